--- a/calicopin/__main__.py
+++ b/calicopin/__main__.py
@@ -6,7 +6,7 @@
 import os
 import sys
 
-from calicopin.boot.signals import SignalReader
+from calicopin.lifecycle.signals import SignalReader
 
 EXIT_UNUSABLE = 2  # as for everything that cannot be read
 OPERATOR_LIBRARIES = (
@@ -45,10 +45,10 @@
 def run_courier():
     """A courier until a signal ends it; returns the exit code."""
     signal_reader = SignalReader()  # before the rest is read in, which takes its time
-    from calicopin.boot.log_import import load_logging
+    from calicopin.lifecycle.log_import import load_logging
 
     load_logging()
-    from calicopin.boot.start import main as serve
+    from calicopin.lifecycle.start import main as serve
 
     return serve(signal_reader)
 
--- a/calicopin/capacity/backlog.py
+++ b/calicopin/capacity/backlog.py
@@ -10,7 +10,7 @@
 
 from calicopin.capacity.records import Measure, fitted, record
 from calicopin.facade import Answer, Call, Facade, Far, Place
-from calicopin.held.texts import Text
+from calicopin.state.texts import Text
 
 SIZES = (10_000, 30_000, 100_000)
 REPEATS = 3
--- a/calicopin/capacity/courier.py
+++ b/calicopin/capacity/courier.py
@@ -16,7 +16,7 @@
 SOURCE_S = source.LOOK / 1000.0  # after which a node has seen a change of its source, at the most
 MOST_LIST_BYTES = float(discovery.MOST_LIST)  # of a list's answer
 DISK_SHARE = 0.5  # of `disk` that live messages fill at most in the segmented store (docs/store.md)
-JOURNAL_SHARE = 0.4  # the same in the one-file journal (`held/journal.py: Journal.limit`)
+JOURNAL_SHARE = 0.4  # the same in the one-file journal (`state/journal.py: Journal.limit`)
 
 
 def calls_a_second() -> float:
--- a/calicopin/command/discovery_node.py
+++ b/calicopin/command/discovery_node.py
@@ -135,8 +135,8 @@
         report(source, fleet)
     if listen is None or node is None:
         raise click.UsageError("give --listen HOST:PORT and --node NAME, or --check to read the source alone")
-    from calicopin.boot.signals import SignalReader
     from calicopin.discovery_node.server import ServerBounds
+    from calicopin.lifecycle.signals import SignalReader
 
     settings = NodeSettings(
         source=source,
--- a/calicopin/configuration/check.py
+++ b/calicopin/configuration/check.py
@@ -10,7 +10,7 @@
 from calicopin.configuration import partners as lists
 from calicopin.configuration import units
 from calicopin.configuration.read import Fault, UnreadableNowError, UnusableError
-from calicopin.held.connections import Budget
+from calicopin.state.connections import Budget
 
 LEAST_BODY, RECORD = 512, 400  # bytes of disk for a text, without its body: what the journal counts with
 TIMES = {
--- a/calicopin/configuration/convert.py
+++ b/calicopin/configuration/convert.py
@@ -11,7 +11,7 @@
 from calicopin.configuration import units
 from calicopin.configuration.read import Read, merge
 from calicopin.configuration.sheet import CourierPart, KindPart, ProductPart, ReturnPart, Sheet
-from calicopin.terms import gives_back
+from calicopin.deployment_settings import gives_back
 
 REPEATS = {"resendable": "read_like", "referenced": "idempotency_key", "once-only": "non_idempotent"}
 BACK = {value: key for key, value in REPEATS.items()}
--- a/calicopin/terms.py
+++ b/calicopin/deployment_settings.py
@@ -5,7 +5,7 @@
 
 from itertools import count
 
-from calicopin.brain import Courier
+from calicopin.decisions import Courier
 from calicopin.interface import CourierSettings, FailBack, Partner, Product, Repeat
 
 REPEATS = {
--- a/calicopin/discovery_node/node.py
+++ b/calicopin/discovery_node/node.py
@@ -9,12 +9,12 @@
 
 from loguru import logger
 
-from calicopin.boot.signals import SignalReader
 from calicopin.discovery_node.catalogue import Catalogue, Figures
 from calicopin.discovery_node.entry import Line
 from calicopin.discovery_node.server import NodeServer, ServerBounds
 from calicopin.discovery_node.source import Source, SourceError, open_source
 from calicopin.discovery_node.upstream import Upstream
+from calicopin.lifecycle.signals import SignalReader
 from calicopin.subscription.leases import LeaseBounds, LeaseTable
 from calicopin.system import HERE, System
 from calicopin.wire.loop import FOREVER, READ, Loop, Until
--- a/calicopin/drill/__init__.py
+++ b/calicopin/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that lets the bench drive the decisions: a codec for its wire, an instance for each courier."""
+"""The former name of `calicopin.simulator_adapter`, kept for deploy files that name `calicopin.drill`."""
--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -6,17 +6,17 @@
 
 import h11
 
-from calicopin import brain, facade, terms
-from calicopin.boot import runtime as shift_module
-from calicopin.boot import start as start_module
-from calicopin.boot.runtime import Runtime
+from calicopin import decisions, deployment_settings, facade
 from calicopin.emulator.referee import ANSWER, DRAIN, EFFECT, ORDER, PUSH, SERVICE, SOUND, WAIT
 from calicopin.facade import Facade
-from calicopin.held.journal import Journal
-from calicopin.held.ledger import Ledger
-from calicopin.held.texts import Text
 from calicopin.interface import How, Repeat
+from calicopin.lifecycle import runtime as shift_module
+from calicopin.lifecycle import start as start_module
+from calicopin.lifecycle.runtime import Runtime
 from calicopin.send_guard import SendGuard
+from calicopin.state.journal import Journal
+from calicopin.state.ledger import Ledger
+from calicopin.state.texts import Text
 from calicopin.wire import clients, endpoints
 from calicopin.wire import notices as notices_module
 from calicopin.wire.clients import Clients, Kept
@@ -110,9 +110,9 @@
 
 def submit_to_the_end(change, repeat):
     """Texts of that kind are submitted until their validity ends, whatever may have run."""
-    last = brain.Text.last_submit
+    last = decisions.Text.last_submit
     change(
-        brain.Text,
+        decisions.Text,
         "last_submit",
         lambda text: text.until if text.product.repeat == repeat else last(text),
     )
@@ -130,18 +130,18 @@
 
 @fault("zone-forgotten", "forgetful", EFFECT)
 def _(change):
-    product = terms.product
-    change(terms, "product", lambda *told: replace(product(*told), memory_by_zone=False))
+    product = deployment_settings.product
+    change(deployment_settings, "product", lambda *told: replace(product(*told), memory_by_zone=False))
 
 
 @fault("nack-promises-too-much", "loss", EFFECT)
 def _(change):
-    change(brain.Text, "nackable", lambda text: True)
+    change(decisions.Text, "nackable", lambda text: True)
 
 
 @fault("wait-forgotten", "limits", WAIT)
 def _(change):
-    change(brain.Route, "halt", lambda route, wait: None)
+    change(decisions.Route, "halt", lambda route, wait: None)
 
 
 @fault("wait-in-other-unit", "shut", WAIT)
@@ -158,25 +158,25 @@
 
 @fault("wait-ends-early", "shut", WAIT)
 def _(change):
-    halt = brain.Route.halt
-    change(brain.Route, "halt", lambda route, wait: halt(route, wait * 0.5))
+    halt = decisions.Route.halt
+    change(decisions.Route, "halt", lambda route, wait: halt(route, wait * 0.5))
 
 
 @fault("drain-missed", "drains", DRAIN)
 def _(change):
-    listed = brain.Courier.on_listed
+    listed = decisions.Courier.on_listed
 
     def deaf(courier, event):
         for entry in event.entries:
             entry.ready = True
         listed(courier, event)
 
-    change(brain.Courier, "on_listed", deaf)
+    change(decisions.Courier, "on_listed", deaf)
 
 
 @fault("no-fail-back", "return", PUSH, 4)
 def _(change):
-    change(brain.Route, "speed", lambda route: route.pace_now())
+    change(decisions.Route, "speed", lambda route: route.pace_now())
 
 
 @fault("restart-forgets-outage", "restart-in-outage", PUSH, 4)
@@ -188,7 +188,7 @@
 @fault("key-out-of-turn", "loss", ORDER)
 def _(change):
     change(
-        brain.Registry,
+        decisions.Registry,
         "turn",
         lambda registry, text: not text.over and registry.scheduler.now < text.last_submit(),
     )
@@ -196,20 +196,20 @@
 
 @fault("key-not-settled", "loss", ORDER)
 def _(change):
-    change(brain.Registry, "on_settle", lambda registry, text, how: None)
+    change(decisions.Registry, "on_settle", lambda registry, text, how: None)
 
 
 @fault("late-final-answer", "outage", ANSWER)
 def _(change):
-    lapse = brain.Registry.on_lapse
+    lapse = decisions.Registry.on_lapse
     change(
-        brain.Registry,
+        decisions.Registry,
         "on_lapse",
         lambda registry, text, *back: registry.scheduler.later(
             registry.scheduler.now + 900.0, registry, "lapsed", text, *back
         ),
     )
-    change(brain.Registry, "on_lapsed", lapse)
+    change(decisions.Registry, "on_lapsed", lapse)
 
 
 @fault("lost-notice", "outage", ANSWER)
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -17,7 +17,7 @@
 from calicopin.emulator.scenario import PARTNER_TROUBLES
 from calicopin.emulator.world import World
 from calicopin.facade import Answer, Facade, Far, Place
-from calicopin.held.texts import Text
+from calicopin.state.texts import Text
 
 MODES = ("refuse", "hang", "shut", "vanish", "slow", "errors", "lose", "spoil")
 
--- a/calicopin/emulator/list_faults.py
+++ b/calicopin/emulator/list_faults.py
@@ -1,14 +1,14 @@
 """Small faults of couriers that subscribe and of discovery nodes, put in one at a time: the referees see
 each."""
 
-from calicopin.boot import subscribed as subscribed_module
-from calicopin.boot.runtime import Runtime
-from calicopin.boot.subscribed import Subscribed
 from calicopin.discovery_node.server import NodeServer
 from calicopin.discovery_node.source import Source
 from calicopin.emulator.faults import fault
 from calicopin.emulator.referee import DRAIN, KNOWN
-from calicopin.held.known_list import KnownList
+from calicopin.lifecycle import subscribed as subscribed_module
+from calicopin.lifecycle.runtime import Runtime
+from calicopin.lifecycle.subscribed import Subscribed
+from calicopin.state.known_list import KnownList
 from calicopin.subscription.leases import NOTHING, Lease
 from calicopin.subscription.nodes import NodeChoice
 from calicopin.subscription.session import Standing
--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from calicopin.emulator.referee import DRAIN, GRACE, INFINITE, KNOWN, Referee
-from calicopin.held.known_list import DamagedError, decode
+from calicopin.state.known_list import DamagedError, decode
 
 TOLD_WITHIN = 6000.0  # ms of reach to a node
 FILE_WITHIN = 8000.0  # ms without a change, after which each courier's file is up to date
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -18,12 +18,12 @@
 
 import httptools
 
-from calicopin.boot import subscribed as subscribed_module
 from calicopin.discovery_node.node import NodeSettings, run
 from calicopin.emulator.net import End
 from calicopin.emulator.process import Calls, Ears, Handle, Process
 from calicopin.emulator.scenario import Trouble
 from calicopin.emulator.standins import Parsed
+from calicopin.lifecycle import subscribed as subscribed_module
 from calicopin.subscription.leases import LeaseBounds
 from calicopin.wire.subscriber import Subscriber
 
--- a/calicopin/emulator/process.py
+++ b/calicopin/emulator/process.py
@@ -232,7 +232,7 @@
 
 
 class SignalReader(Handle):
-    """Signals, as `boot/signals.py` hears them."""
+    """Signals, as `lifecycle/signals.py` hears them."""
 
     STOPS = (signal.SIGTERM, signal.SIGINT)
 
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -9,13 +9,13 @@
 
 from loguru import logger
 
-from calicopin.boot.start import serve
 from calicopin.emulator import faults, list_faults  # noqa: F401  the latter adds its faults to the others
 from calicopin.emulator.day import Day
 from calicopin.emulator.list_referee import judge
 from calicopin.emulator.nodes import given_up_after
 from calicopin.emulator.referee import Referee
 from calicopin.emulator.scenario import load
+from calicopin.lifecycle.start import serve
 
 CPU_MOST = 300  # seconds of CPU for one run: beyond that a loop that asks for nothing never ends
 
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from calicopin import route_state, terms
-from calicopin.brain import HARMLESS
+from calicopin import deployment_settings, route_state
+from calicopin.decisions import HARMLESS
 from calicopin.interface import (
     CallsPaused,
     Close,
@@ -143,13 +143,16 @@
     """The decisions in blocking style: texts and news go in, calls and ends come out. Times are ms."""
 
     def __init__(self, seed, settings, slots, now, restarted=False):
-        self.partners = terms.partners(settings)
-        self.agreed, self.columns = terms.agreed(settings), terms.reports(settings)
-        self.kinds = terms.Indices(settings.get("kinds") or [])
-        self.zones = terms.Indices(settings.get("zones") or [])
-        self.dests, self.endpoints = terms.Indices(), terms.Indices()
+        self.partners = deployment_settings.partners(settings)
+        self.agreed, self.columns = (
+            deployment_settings.agreed(settings),
+            deployment_settings.reports(settings),
+        )
+        self.kinds = deployment_settings.Indices(settings.get("kinds") or [])
+        self.zones = deployment_settings.Indices(settings.get("zones") or [])
+        self.dests, self.endpoints = deployment_settings.Indices(), deployment_settings.Indices()
         last = {"restarted": now} if restarted else {}
-        self.module = terms.courier(seed, settings, slots=slots, asks=False, **last)
+        self.module = deployment_settings.courier(seed, settings, slots=slots, asks=False, **last)
         self.room = settings["ceilings"]["mostHeld"]
         self.awaited = 0  # messages that wait for the first answer on their destination
         self.texts, self.places, self.events = {}, {}, []
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -5,11 +5,11 @@
 
 from dataclasses import asdict
 
-from calicopin import brain, route_state
+from calicopin import decisions, route_state
 from calicopin.facade import Call, Place
-from calicopin.held.texts import Text
 from calicopin.interface import Taken
 from calicopin.route_state import picked, put
+from calicopin.state.texts import Text
 
 FORM = 1  # of these values; another is not taken
 DESTINATION = ("most", "bundle", "came", "load")
@@ -188,7 +188,7 @@
         dest = module.dest(facade.dests(one["dest"]))
         route = module.route(dest, number if one["apart"] else None)
         kind = module.kinds[min(one.get("kind", 0), len(module.kinds) - 1)]
-        module.endpoints[number] = brain.Endpoint(
+        module.endpoints[number] = decisions.Endpoint(
             module.scheduler, number, facade.zones(one["zone"]), dest, route, kind
         )
     put(module.endpoints[number], ("misses", "seen", "shy"), one)
@@ -210,11 +210,11 @@
         ran_at=text.ran_at,
         ran_zone=zone,
     )
-    known = brain.Text(event, dest, module.products[text.product], told.get("taken", now))
+    known = decisions.Text(event, dest, module.products[text.product], told.get("taken", now))
     known.over = ghost or told.get("over", False)
     module.registry.texts[text.number] = known
     if known.key is not None:
-        module.registry.keys.setdefault(known.key, brain.deque()).append(known)
+        module.registry.keys.setdefault(known.key, decisions.deque()).append(known)
     if not flying:
         dest.queue.append(known)
         module.scheduler.later(
@@ -233,7 +233,7 @@
     call = Call(place, texts, one["timeout"], number, open={by_ident[ident].number for ident in one["open"]})
     put(call, CALL, one)
     if call.open:
-        known = brain.Call(target, one["sent"], len(call.open))
+        known = decisions.Call(target, one["sent"], len(call.open))
         known.size, known.told = one["size"], one["mode"]
         target.calls.append(known)
         module.pool.free, target.dest.held = module.pool.free - 1, target.dest.held + 1
--- a/calicopin/interface.py
+++ b/calicopin/interface.py
@@ -1,4 +1,4 @@
-"""Plain types that pass between the decisions (`brain.py`) and whatever protocol stands before them.
+"""Plain types that pass between the decisions (`decisions.py`) and whatever protocol stands before them.
 
 Times are float milliseconds, texts, endpoints and destinations are small whole numbers.
 Nothing here decides anything.
--- a/calicopin/boot/nodes.py
+++ b/calicopin/lifecycle/nodes.py
@@ -28,7 +28,7 @@
 
 
 def _check_address(node, place: str) -> None:
-    from calicopin.boot.start import address
+    from calicopin.lifecycle.start import address
 
     try:
         if not isinstance(node, str):
--- a/calicopin/boot/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from calicopin.held.connections import Budget
+from calicopin.state.connections import Budget
 from calicopin.wire.discovery import read
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
@@ -61,7 +61,7 @@
         """So many bytes may the folder hold; the list in it has its part where destinations are subscribed
         to."""
         if self.subscribes:
-            from calicopin.held.known_list import journal_bytes
+            from calicopin.state.known_list import journal_bytes
 
             self.runtime.subscribed.known_list.limit(disk)
             disk = journal_bytes(disk)
--- a/calicopin/boot/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -4,8 +4,8 @@
 
 from loguru import logger
 
-from calicopin.boot import call_log
 from calicopin.facade import Answer, Far
+from calicopin.lifecycle import call_log
 from calicopin.send_guard import SendGuard
 from calicopin.wire.clients import Kept
 from calicopin.wire.endpoints import Flight, go_on, submit
@@ -38,7 +38,7 @@
     def __init__(self, loop, facade, journal, lines, connect_timeout, ledger):
         self.loop, self.facade, self.journal, self.lines = loop, facade, journal, lines
         self.connect_timeout, self.notices, self.current = connect_timeout, None, False
-        self.subscribed = None  # with discovery nodes: a `boot.subscribed.Subscribed`
+        self.subscribed = None  # with discovery nodes: a `lifecycle.subscribed.Subscribed`
         self.agent = None  # where it is told: nothing is decided before its first call for the list has ended
         self.list_awaited = None  # until when no call is made, since no list was heard
         self.waiting, self.calls, self.given_up, self.calling, self.refusing = [], [], [], True, False
--- a/calicopin/boot/start.py
+++ b/calicopin/lifecycle/start.py
@@ -10,16 +10,16 @@
 from loguru import logger
 
 from calicopin.admin.server import AdminServer
-from calicopin.boot.renewal import Renewal
-from calicopin.boot.runtime import Runtime
-from calicopin.boot.signals import SignalReader
-from calicopin.boot.stop import Stop
+from calicopin.deployment_settings import check, pushed
 from calicopin.facade import Facade
-from calicopin.held.connections import Budget, Lines
-from calicopin.held.journal import Journal
-from calicopin.held.ledger import Ledger
+from calicopin.lifecycle.renewal import Renewal
+from calicopin.lifecycle.runtime import Runtime
+from calicopin.lifecycle.signals import SignalReader
+from calicopin.lifecycle.stop import Stop
+from calicopin.state.connections import Budget, Lines
+from calicopin.state.journal import Journal
+from calicopin.state.ledger import Ledger
 from calicopin.system import HERE, patiently
-from calicopin.terms import check, pushed
 from calicopin.wire.asking import longest_wait
 from calicopin.wire.clients import Clients
 from calicopin.wire.discovery import Discovery, read
@@ -89,7 +89,7 @@
             check(told["settings"])
     subscription = {}
     if not {"nodes", "fleet", "list_age"}.isdisjoint(told):
-        from calicopin.boot.nodes import subscription_told
+        from calicopin.lifecycle.nodes import subscription_told
 
         subscription = subscription_told(told, path)
     discovery = environ.get("LB_DISCOVERY"), told.get("discovery")
@@ -152,7 +152,7 @@
     budget = Budget(post.descriptors, terms["familyInfo"]["workers"], bool(post.admin))
     disk = post.disk
     if post.nodes:
-        from calicopin.held.known_list import journal_bytes
+        from calicopin.state.known_list import journal_bytes
 
         disk = journal_bytes(disk)
     system, out = loop.system, taker.flying if taker else None
@@ -180,7 +180,7 @@
         version, places = taker.told["version"], ()
         runtime.inherit(taker)
     if post.nodes:
-        from calicopin.boot.subscribed import subscribe
+        from calicopin.lifecycle.subscribed import subscribe
 
         runtime.subscribed = subscribe(post, loop, runtime, wait, facade.places.values() if taker else None)
     if not taker:
@@ -330,7 +330,7 @@
 
 def log_as_json(name, level="INFO"):
     """One JSON object a line in place of plain ones. A log that cannot be written never stops the courier."""
-    from calicopin.boot.events import line
+    from calicopin.lifecycle.events import line
 
     def write(message):
         try:
--- a/calicopin/boot/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -1,10 +1,10 @@
 """Leaving on sockets: SIGTERM and the operators' call to quiesce walk through the steps of
-`boot/leave.py`.
+`lifecycle/leave.py`.
 """
 
 from loguru import logger
 
-from calicopin.boot.leave import DRAIN, RETIRED, STOP, Leave
+from calicopin.lifecycle.leave import DRAIN, RETIRED, STOP, Leave
 from calicopin.wire.loop import Event, Until
 
 STEP = 20.0
--- a/calicopin/boot/subscribed.py
+++ b/calicopin/lifecycle/subscribed.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from calicopin.facade import Place
-from calicopin.held.known_list import KnownList
+from calicopin.state.known_list import KnownList
 from calicopin.subscription.interest import InterestFullError
 from calicopin.subscription.session import Standing
 from calicopin.wire.loop import Event
--- a/calicopin/scale/measures.py
+++ b/calicopin/scale/measures.py
@@ -11,13 +11,13 @@
 import time
 from collections import deque
 
-from calicopin import terms
-from calicopin.brain import Courier
+from calicopin import deployment_settings
+from calicopin.decisions import Courier
 from calicopin.facade import Answer, Call, Facade, Far, Place
-from calicopin.held.journal import Journal
-from calicopin.held.texts import Text
 from calicopin.interface import Entry, Listed, Taken
 from calicopin.scale.list_source import ListSize, encode, entries
+from calicopin.state.journal import Journal
+from calicopin.state.texts import Text
 from calicopin.wire.discovery import read
 
 CHANGES = 15  # single changes that are timed in one process
@@ -104,7 +104,7 @@
 
 def messages(count: int, seed: int) -> dict[str, float]:
     """The memory of waiting messages in the decisions alone: their destination has no endpoint."""
-    courier, empty = terms.courier(seed, settings(2 * count), asks=False), resident()
+    courier, empty = deployment_settings.courier(seed, settings(2 * count), asks=False), resident()
     listed_first(courier)
     for number in range(count):
         courier.handle(number * 0.01, [Taken(number, number % USED, 0, VALIDITY * 1000.0 + number * 0.01)])
--- a/calicopin/scale/sender_count.py
+++ b/calicopin/scale/sender_count.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from itertools import count
 
-from calicopin.brain import Courier
+from calicopin.decisions import Courier
 from calicopin.interface import (
     CourierSettings,
     Entry,
--- a/calicopin/send_guard.py
+++ b/calicopin/send_guard.py
@@ -2,8 +2,8 @@
 restart found. It checks what has to hold, counts what does not, and has such a call not made. Decisions only,
 no I/O. Times are float milliseconds of the monotonic clock.
 
-It does not decide when a call may go; that is `brain.py` and `slow_start.py`. What it checks follows from the
-rules alone, so that a fault in those shows here and not at a destination.
+It does not decide when a call may go; that is `decisions.py` and `slow_start.py`. What it checks follows from
+the rules alone, so that a fault in those shows here and not at a destination.
 """
 
 from collections import Counter
--- a/calicopin/drill/instance.py
+++ b/calicopin/simulator_adapter/instance.py
@@ -1,8 +1,8 @@
 """One courier on the bench's wire: the wire's names, seconds and ids outside; ours inside."""
 
-from calicopin.drill.codec import WireError, plain, seconds
+from calicopin.deployment_settings import Indices, agreed, courier, ms, reports
 from calicopin.interface import Entry, How, Listed, ListFailed, Outcome, Taken, Withdrawn, Woken
-from calicopin.terms import Indices, agreed, courier, ms, reports
+from calicopin.simulator_adapter.codec import WireError, plain, seconds
 
 READY, FAILED, WHOLE = 3, 2, (3, 4)
 
--- a/calicopin/soak/faulty_courier.py
+++ b/calicopin/soak/faulty_courier.py
@@ -9,7 +9,7 @@
 import os
 import sys
 
-from calicopin.boot.signals import SignalReader
+from calicopin.lifecycle.signals import SignalReader
 from calicopin.soak.faulty_system import Faults, FaultySystem, read_faults
 
 VARIANT, FORGETS = "LB_SOAK_VARIANT", "forgets"
@@ -28,10 +28,10 @@
 def main() -> int:
     """Serves until a signal; the exit code is a courier's own."""
     signal_reader = SignalReader()
-    from calicopin.boot.log_import import load_logging
+    from calicopin.lifecycle.log_import import load_logging
 
     load_logging()
-    from calicopin.boot import start
+    from calicopin.lifecycle import start
 
     if os.environ.get(VARIANT) == FORGETS:
         forget()
--- a/calicopin/held/journal.py
+++ b/calicopin/state/journal.py
@@ -12,8 +12,8 @@
 from loguru import logger
 
 from calicopin import route_state
-from calicopin.held.texts import Past, Text
 from calicopin.slow_start import WELL
+from calicopin.state.texts import Past, Text
 from calicopin.system import HERE
 
 HEAD = struct.Struct("<II")
--- a/calicopin/held/known_list.py
+++ b/calicopin/state/known_list.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from calicopin.facade import Place
-from calicopin.held.journal import write_all
+from calicopin.state.journal import write_all
 from calicopin.system import patiently
 from calicopin.wire.loop import Until
 
--- a/calicopin/store/measure.py
+++ b/calicopin/store/measure.py
@@ -11,8 +11,8 @@
 import tempfile
 import time
 
-from calicopin.held.journal import Journal, write_all
-from calicopin.held.texts import Text
+from calicopin.state.journal import Journal, write_all
+from calicopin.state.texts import Text
 from calicopin.store.segments import Segments
 from calicopin.system import HERE
 
--- a/calicopin/store/segments.py
+++ b/calicopin/store/segments.py
@@ -19,7 +19,7 @@
 from loguru import logger
 
 from calicopin.fault_log import FaultLog
-from calicopin.held.journal import BEGUN, ENTRY, HEAD, OVER, PAST, TAKEN, Journal, blocks, write_all
+from calicopin.state.journal import BEGUN, ENTRY, HEAD, OVER, PAST, TAKEN, Journal, blocks, write_all
 from calicopin.store import plan
 
 ENDING = ".segment"
--- a/calicopin/system.py
+++ b/calicopin/system.py
@@ -1,7 +1,7 @@
 """The one narrow place through which the courier asks its surroundings: clocks, waiting, sockets and files.
 
-The emulator puts a world of its own in its place; signals come through `boot/signals.py`, which has to be
-there before anything else. Nothing here decides anything, and faults come as the operating system's own
+The emulator puts a world of its own in its place; signals come through `lifecycle/signals.py`, which has to
+be there before anything else. Nothing here decides anything, and faults come as the operating system's own
 OSError.
 """
 
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -6,7 +6,7 @@
 import h11
 from loguru import logger
 
-from calicopin.held.texts import Text
+from calicopin.state.texts import Text
 from calicopin.system import patiently
 from calicopin.wire.http import TOO_LONG, Line, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Until
--- a/tests/configuration_helper.py
+++ b/tests/configuration_helper.py
@@ -6,9 +6,9 @@
 
 from helper import Clock, Rebooted
 
-from calicopin.boot.start import build, posted
 from calicopin.configuration import check
 from calicopin.configuration.read import UnusableError, read
+from calicopin.lifecycle.start import build, posted
 from calicopin.wire.loop import Loop
 
 BASE = """version = 1
--- a/tests/courier_helper.py
+++ b/tests/courier_helper.py
@@ -4,10 +4,10 @@
 
 from helper import Clock, Listener, Rebooted, answer, client, free_address, spin, terms
 
-from calicopin.boot.signals import SignalReader
-from calicopin.boot.start import Post, build
 from calicopin.facade import Facade, Place
-from calicopin.held.texts import Text
+from calicopin.lifecycle.signals import SignalReader
+from calicopin.lifecycle.start import Post, build
+from calicopin.state.texts import Text
 from calicopin.wire.loop import Loop
 
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -5,7 +5,7 @@
 import time
 from itertools import count
 
-from calicopin.brain import Courier
+from calicopin.decisions import Courier
 from calicopin.interface import (
     CourierSettings,
     Entry,
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,7 +9,7 @@
 from configuration_helper import BASE, findings, put, start
 from helper import client, free_address, terms
 
-from calicopin import terms as deployment
+from calicopin import deployment_settings as deployment
 from calicopin.command.__main__ import main
 from calicopin.configuration import check, compare, convert, pages
 from calicopin.configuration.read import Read, read
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -9,14 +9,14 @@
 from courier_helper import CourierFixture, place
 from helper import Clock, Listener, answer, client, spin, terms
 
-from calicopin import brain
-from calicopin.boot.leave import LAST_CALL, LAST_TEXT, LEAVE, LISTEN
-from calicopin.boot.runtime import FIRST_LIST
-from calicopin.boot.signals import SignalReader
-from calicopin.boot.start import listed, posted
-from calicopin.boot.stop import STEP
-from calicopin.held.connections import Budget
-from calicopin.held.texts import Text
+from calicopin import decisions
+from calicopin.lifecycle.leave import LAST_CALL, LAST_TEXT, LEAVE, LISTEN
+from calicopin.lifecycle.runtime import FIRST_LIST
+from calicopin.lifecycle.signals import SignalReader
+from calicopin.lifecycle.start import listed, posted
+from calicopin.lifecycle.stop import STEP
+from calicopin.state.connections import Budget
+from calicopin.state.texts import Text
 
 
 def test_a_text_goes_from_its_client_to_its_endpoint(tmp_path):
@@ -172,7 +172,9 @@
     """
     asked = []
     monkeypatch.setattr(
-        brain.Route, "opens", lambda route, opens=brain.Route.opens: asked.append(route) or opens(route)
+        decisions.Route,
+        "opens",
+        lambda route, opens=decisions.Route.opens: asked.append(route) or opens(route),
     )
     house = CourierFixture(tmp_path, asked=False, groupSize=1024)
     assert house.post("a") == b"202"
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -1303,7 +1303,7 @@
 
 def test_the_couriers_own_process_reads_nothing_of_the_node_in():
     code = (
-        "import sys, calicopin.boot.start;"
+        "import sys, calicopin.lifecycle.start;"
         " print([n for n in sys.modules if 'discovery_node' in n or n in ('click', 'msgspec')])"
     )
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -15,11 +15,11 @@
 from helper import Clock, Listener, Peer, Rebooted, answer, client, spin, terms
 from wire_helper import Out, call, clients, request
 
-from calicopin.boot.leave import LAST_TEXT, LEAVE
-from calicopin.boot.stop import STEP
 from calicopin.facade import Answer, Far, how
-from calicopin.held.connections import Lines
 from calicopin.interface import How
+from calicopin.lifecycle.leave import LAST_TEXT, LEAVE
+from calicopin.lifecycle.stop import STEP
+from calicopin.state.connections import Lines
 from calicopin.wire.asking import TOLD, Asking, longest_pause, longest_wait
 from calicopin.wire.clients import LINGER, NEW, PATIENCE, TURNED_AWAY, Clients
 from calicopin.wire.discovery import GRACE, Discovery
@@ -113,7 +113,9 @@
 def house(tmp_path, monkeypatch):
     """A courier with its clients at hand, told to end; its listener is still open."""
     made = []
-    monkeypatch.setattr("calicopin.boot.start.Clients", lambda *told: made.append(Clients(*told)) or made[0])
+    monkeypatch.setattr(
+        "calicopin.lifecycle.start.Clients", lambda *told: made.append(Clients(*told)) or made[0]
+    )
     house = CourierFixture(tmp_path)
     house.clients, house.resting = (
         made[0],
@@ -484,7 +486,9 @@
     clients' to fill.
     """
     made = []
-    monkeypatch.setattr("calicopin.boot.start.Clients", lambda *told: made.append(Clients(*told)) or made[0])
+    monkeypatch.setattr(
+        "calicopin.lifecycle.start.Clients", lambda *told: made.append(Clients(*told)) or made[0]
+    )
     house = CourierFixture(tmp_path, asked=False)
     watch = house.platform.meet()
     watch.wait(b"\r\n\r\n")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from calicopin.brain import Courier
+from calicopin.decisions import Courier
 from calicopin.interface import (
     CourierSettings,
     Entry,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,7 +24,7 @@
 DRIVER = """
 import os, signal, socket, sys
 from calicopin import system
-from calicopin.boot.signals import SignalReader
+from calicopin.lifecycle.signals import SignalReader
 signal_reader = SignalReader()
 from calicopin import send_guard
 from calicopin.handover import giver, meeting, state, taker
@@ -80,7 +80,7 @@
 arm(giver.Giver, "fit") if role == "old" else arm(taker, "ask")
 system.System.again = staticmethod(lambda: os.execv(sys.executable, [sys.executable, "-m", "calicopin"]))
 sys.argv = sys.argv[:1]
-from calicopin.boot.start import main
+from calicopin.lifecycle.start import main
 sys.exit(main(signal_reader))
 """
 
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -13,9 +13,8 @@
 from courier_helper import facade, place, text
 from helper import PRODUCT, DecisionsFixture, submits
 
-from calicopin.brain import Courier, Endpoint, Route
+from calicopin.decisions import Courier, Endpoint, Route
 from calicopin.facade import Answer, Far
-from calicopin.held.connections import Lines
 from calicopin.interface import (
     Entry,
     How,
@@ -29,6 +28,7 @@
     Undeliverable,
     Withdrawn,
 )
+from calicopin.state.connections import Lines
 
 
 def lines_run(work):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -12,8 +12,8 @@
 from helper import answer, free_address, spin
 from loguru import logger
 
-from calicopin.boot import events
-from calicopin.boot.start import log_level
+from calicopin.lifecycle import events
+from calicopin.lifecycle.start import log_level
 
 
 def test_a_log_of_json_has_one_object_a_line_with_stable_names(tmp_path):
@@ -52,7 +52,7 @@
     with open(os.path.join(root, "docs", "events.md"), encoding="utf-8") as file:
         page = file.read()
     names = set()
-    for folder in ("admin", "boot", "handover", "wire", "held"):
+    for folder in ("admin", "lifecycle", "handover", "wire", "state"):
         for name in os.listdir(os.path.join(root, "calicopin", folder)):
             if name.endswith(".py"):
                 with open(os.path.join(root, "calicopin", folder, name), encoding="utf-8") as file:
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -195,7 +195,7 @@
     read_in = call(
         courier_alone.python,
         "-c",
-        "import sys, calicopin.__main__, calicopin.boot.start\n"
+        "import sys, calicopin.__main__, calicopin.lifecycle.start\n"
         "print(*sorted({'click', 'msgspec', 'tomli_w', 'h11'} & set(sys.modules)))",
     )
     assert (read_in.returncode, read_in.stdout, read_in.stderr) == (0, "h11\n", "")
@@ -203,8 +203,8 @@
 
 RUN_PARTS = (
     "__main__",
-    "boot.start",
-    "boot.leave",
+    "lifecycle.start",
+    "lifecycle.leave",
     "store.segments",
     "handover.giver",
     "handover.taker",
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -13,11 +13,11 @@
 from forced_faults import ForcedFaults
 from helper import Clock, spin
 
-from calicopin.boot.renewal import PATIENCE as RELOAD_PATIENCE
-from calicopin.boot.signals import SignalReader
 from calicopin.discovery_node.source import LOOK as SOURCE_LOOK
 from calicopin.discovery_node.source import Source
-from calicopin.held.journal import Journal
+from calicopin.lifecycle.renewal import PATIENCE as RELOAD_PATIENCE
+from calicopin.lifecycle.signals import SignalReader
+from calicopin.state.journal import Journal
 from calicopin.system import PATIENCE, System, patiently
 from calicopin.system_errors import OF_A_MOMENT
 from calicopin.wire.listfile import LOOK, ListFile
--- a/tests/test_refusing_folder.py
+++ b/tests/test_refusing_folder.py
@@ -10,7 +10,7 @@
 from helper import Clock, Rebooted, answer, spin
 from loguru import logger
 
-from calicopin.boot.runtime import AGAIN, HOLD, LAST_WORD
+from calicopin.lifecycle.runtime import AGAIN, HOLD, LAST_WORD
 from calicopin.system import System
 
 ERRORS = ("ENOSPC", "EIO", "EDQUOT", "EFBIG", "EROFS")
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -9,8 +9,8 @@
 from helper import answer, client, spin
 
 from calicopin.facade import Facade
-from calicopin.held.journal import Journal
 from calicopin.send_guard import Invariant, SendGuard
+from calicopin.state.journal import Journal
 from calicopin.system import System
 from calicopin.wire.clients import Clients
 
@@ -190,7 +190,9 @@
 def house_and_clients(tmp_path, monkeypatch):
     """A courier, and what serves its clients."""
     made = []
-    monkeypatch.setattr("calicopin.boot.start.Clients", lambda *told: made.append(Clients(*told)) or made[-1])
+    monkeypatch.setattr(
+        "calicopin.lifecycle.start.Clients", lambda *told: made.append(Clients(*told)) or made[-1]
+    )
     return CourierFixture(tmp_path), made[0]
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -8,8 +8,8 @@
 from courier_helper import CourierFixture
 from helper import Clock, answer, client, free_address, spin
 
-from calicopin.boot import leave
-from calicopin.boot.start import build
+from calicopin.lifecycle import leave
+from calicopin.lifecycle.start import build
 
 
 class Service(CourierFixture):
@@ -29,7 +29,7 @@
 
     @staticmethod
     def signal_reader():
-        from calicopin.boot.signals import SignalReader
+        from calicopin.lifecycle.signals import SignalReader
 
         return SignalReader()
 
@@ -273,8 +273,8 @@
     import sys
 
     script = (
-        "import sys; from calicopin.boot.log_import import load_logging; load_logging(); "
-        "import calicopin.boot.start, calicopin.handover.giver;"
+        "import sys; from calicopin.lifecycle.log_import import load_logging; load_logging(); "
+        "import calicopin.lifecycle.start, calicopin.handover.giver;"
         "assert not {'ssl', 'asyncio', 'subprocess', 'concurrent'} & set(sys.modules), 'read in';"
         "from loguru import logger; logger.info('said'); import asyncio; asyncio.run(asyncio.sleep(0))"
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,10 +6,10 @@
 from courier_helper import place, text
 from helper import terms
 
-from calicopin.boot.signals import SignalReader
-from calicopin.boot.start import main, posted
+from calicopin.deployment_settings import check
 from calicopin.facade import Answer, Facade, Far
-from calicopin.terms import check
+from calicopin.lifecycle.signals import SignalReader
+from calicopin.lifecycle.start import main, posted
 
 ABSENT = object()
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -9,11 +9,11 @@
 from courier_helper import place, text
 from helper import Clock, free_address
 
-from calicopin.boot.signals import SignalReader
-from calicopin.boot.start import Post, build
+from calicopin.deployment_settings import check, partners, product, pushed, reports
 from calicopin.facade import Answer, Facade, Far
 from calicopin.interface import Repeat
-from calicopin.terms import check, partners, product, pushed, reports
+from calicopin.lifecycle.signals import SignalReader
+from calicopin.lifecycle.start import Post, build
 from calicopin.wire.loop import Loop
 
 SITES = sorted((pathlib.Path(__file__).parent.parent / "deploy" / "sites").glob("*.toml"))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -5,10 +5,8 @@
 from helper import PRODUCT, DecisionsFixture, submits
 
 from calicopin import route_state
-from calicopin.brain import Courier
+from calicopin.decisions import Courier
 from calicopin.facade import Answer, Far
-from calicopin.held.journal import Journal, KeptRoutes
-from calicopin.held.texts import Text
 from calicopin.interface import (
     CourierSettings,
     Entry,
@@ -23,6 +21,8 @@
 )
 from calicopin.route import Route
 from calicopin.slow_start import COLD, OUT, WELL, SlowStart
+from calicopin.state.journal import Journal, KeptRoutes
+from calicopin.state.texts import Text
 from calicopin.store.segments import Segments
 from calicopin.system import System
 
--- a/tests/test_held.py
+++ b/tests/test_state.py
@@ -8,9 +8,9 @@
 import pytest
 
 from calicopin.facade import Place
-from calicopin.held.connections import Budget, Lines
-from calicopin.held.journal import Journal, blocks
-from calicopin.held.texts import Past, Text
+from calicopin.state.connections import Budget, Lines
+from calicopin.state.journal import Journal, blocks
+from calicopin.state.texts import Past, Text
 from calicopin.system import HERE, System
 
 OFFSET = 5e11
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 
 from calicopin.emulator import runs
 from calicopin.emulator.scenario import load
-from calicopin.held.texts import Text
+from calicopin.state.texts import Text
 from calicopin.store import plan
 from calicopin.store.__main__ import main
 from calicopin.store.measure import SIDES
@@ -151,7 +151,7 @@
 
 
 def test_the_single_file_of_before_is_carried_over_once(tmp_path):
-    from calicopin.held.journal import Journal
+    from calicopin.state.journal import Journal
 
     old = Journal(str(tmp_path), 200_000, OFFSET, HERE, LASTING, "b")
     for ident in "abc":
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -8,9 +8,9 @@
 
 import pytest
 from forced_faults import ForcedFaults
-from test_held import text
+from test_state import text
 
-from calicopin.held.journal import Journal
+from calicopin.state.journal import Journal
 from calicopin.store.segments import ENDING, Segments
 from calicopin.system import System
 
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -13,10 +13,10 @@
 from loguru import logger
 from test_subscriber import FLEET, Node, entry
 
-from calicopin.boot.signals import SignalReader
-from calicopin.boot.start import Post, build
-from calicopin.brain import Route
-from calicopin.held.known_list import LOOK, REFRESH, KnownList, decode, journal_bytes
+from calicopin.decisions import Route
+from calicopin.lifecycle.signals import SignalReader
+from calicopin.lifecycle.start import Post, build
+from calicopin.state.known_list import LOOK, REFRESH, KnownList, decode, journal_bytes
 from calicopin.subscription.interest import IDLE, IDLE_SPREAD
 from calicopin.subscription.nodes import TRY_JITTER
 from calicopin.wire.loop import Loop
@@ -357,7 +357,7 @@
 
 
 def renewal(house):
-    from calicopin.boot.renewal import Renewal
+    from calicopin.lifecycle.renewal import Renewal
 
     return Renewal(
         house.loop,
--- a/tests/test_subscription_settings.py
+++ b/tests/test_subscription_settings.py
@@ -13,12 +13,12 @@
 from test_handover import platform
 from test_subscribed_courier import entry_line
 
-from calicopin.boot.signals import SignalReader
-from calicopin.boot.start import main as serve
-from calicopin.boot.start import posted
 from calicopin.command.__main__ import main
 from calicopin.configuration import compare, convert
 from calicopin.configuration.read import read
+from calicopin.lifecycle.signals import SignalReader
+from calicopin.lifecycle.start import main as serve
+from calicopin.lifecycle.start import posted
 
 __all__ = ["platform"]
 
@@ -123,7 +123,7 @@
 
 def test_a_courier_without_nodes_reads_nothing_of_subscriptions_in():
     code = (
-        "import sys, calicopin.boot.start\n"
+        "import sys, calicopin.lifecycle.start\n"
         "names = [name for name in sys.modules if 'subscri' in name or name.endswith('known_list')]\n"
         "assert not names, names"
     )
--- a/tests/test_time.py
+++ b/tests/test_time.py
@@ -8,10 +8,10 @@
 import pytest
 from courier_helper import CourierFixture
 from helper import Clock, answer, spin
-from test_held import text
+from test_state import text
 from test_subscribed_courier import known_list, places, written
 
-from calicopin.held.journal import Journal
+from calicopin.state.journal import Journal
 from calicopin.system import System
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -6,11 +6,11 @@
 from configuration_helper import put, start
 from helper import Clock, Rebooted, client, free_address, spin
 
-from calicopin.boot.renewal import Renewal
-from calicopin.boot.start import posted
 from calicopin.configuration import partners
 from calicopin.configuration.posting import lister
 from calicopin.configuration.read import read
+from calicopin.lifecycle.renewal import Renewal
+from calicopin.lifecycle.start import posted
 from calicopin.wire.listfile import LOOK, ListFile
 from calicopin.wire.loop import Loop
 
--- a/tests/test_wire_calls.py
+++ b/tests/test_wire_calls.py
@@ -8,7 +8,7 @@
 from wire_helper import Out, call
 
 from calicopin.facade import Far
-from calicopin.held.connections import Lines
+from calicopin.state.connections import Lines
 
 
 def test_a_call_passes_id_and_body_on_and_its_connection_serves_the_next(loop):
--- a/tests/test_wire_loop.py
+++ b/tests/test_wire_loop.py
@@ -5,7 +5,7 @@
 from helper import Listener, answer, spin
 from wire_helper import Out, call
 
-from calicopin.held.connections import Lines
+from calicopin.state.connections import Lines
 from calicopin.wire.loop import READ, Event, Until
 
 
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -9,7 +9,7 @@
 from helper import Clock, Listener, answer, spin
 from loguru import logger
 
-from calicopin.held.texts import Text
+from calicopin.state.texts import Text
 from calicopin.wire.asking import Asking
 from calicopin.wire.discovery import Discovery
 from calicopin.wire.loop import Loop
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -3,8 +3,8 @@
 from helper import free_address, spin
 
 from calicopin.facade import Call, Place
-from calicopin.held.connections import Budget, Lines
-from calicopin.held.texts import Text
+from calicopin.state.connections import Budget, Lines
+from calicopin.state.texts import Text
 from calicopin.wire.clients import Clients, Kept
 from calicopin.wire.endpoints import Flight, submit
 
