--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -114,7 +114,7 @@
     400: How.NOT_SENT,
     413: How.NOT_SENT,
 }  # any other may have run
-STATES = {
+OUTCOMES_BY_TEXT_STATE = {
     "delivered": How.DELIVERED,
     "failed": How.ERROR,
     "refused": How.FULL,
@@ -133,7 +133,7 @@
         return (How.CALLED_OFF if answer.gone else How.TIMEOUT if answer.late else How.BROKEN), False
     if answer.ends is not None:
         state = str(answer.ends.get(ident))
-        return STATES.get(state, How.ERROR), state in ("delivered", "over")
+        return OUTCOMES_BY_TEXT_STATE.get(state, How.ERROR), state in ("delivered", "over")
     if answer.status == 503 and answer.no_slot:
         return How.NOT_SENT, False
     return ANSWERS.get(answer.status, How.ERROR), answer.status in (200, 410)
@@ -144,22 +144,22 @@
 
     def __init__(self, seed, settings, slots, now, restarted=False):
         self.partners = deployment_settings.partners(settings)
-        self.agreed, self.columns = (
-            deployment_settings.agreed(settings),
-            deployment_settings.reports(settings),
+        self.has_agreed_rates, self.load_columns = (
+            deployment_settings.lists_agreed_rates(settings),
+            deployment_settings.load_columns(settings),
         )
         self.kinds = deployment_settings.Indices(settings.get("kinds") or [])
         self.zones = deployment_settings.Indices(settings.get("zones") or [])
         self.dests, self.endpoints = deployment_settings.Indices(), deployment_settings.Indices()
-        last = {"restarted": now} if restarted else {}
-        self.module = deployment_settings.courier(seed, settings, slots=slots, asks=False, **last)
-        self.room = settings["ceilings"]["mostHeld"]
+        restart = {"restarted": now} if restarted else {}
+        self.module = deployment_settings.courier(seed, settings, slots=slots, asks=False, **restart)
+        self.max_texts = settings["ceilings"]["mostHeld"]
         self.awaited = 0  # messages that wait for the first answer on their destination
         self.texts, self.places, self.events = {}, {}, []
         self.places_of = {}  # the numbers of the endpoints that are listed, by destination
-        self.dropped = []  # destinations that are known no more, until the journal has heard of it
+        self.dropped_dests = []  # destinations that are known no more, until the journal has heard of it
         self.unlisted = {}  # the numbers of endpoints that may be known to nobody any more
-        self.calls, self.backs, self.ends, self.lines, self.spare = (
+        self.calls, self.returned_texts, self.final_answers, self.log_lines, self.endpoints_to_close = (
             deque(),
             deque(),
             deque(),
@@ -173,7 +173,7 @@
 
     def full(self):
         """Whether as many texts are held as the settings allow."""
-        return len(self.texts) + self.awaited >= self.room
+        return len(self.texts) + self.awaited >= self.max_texts
 
     def advice(self, text):
         """The milliseconds after which a text that is turned away may come again (0: none told)."""
@@ -212,14 +212,14 @@
 
     def dropped_destinations(self):
         """The destinations of which nothing is known any more since this was asked last."""
-        dropped, self.dropped = self.dropped, []
+        dropped, self.dropped_dests = self.dropped_dests, []
         return dropped
 
     def changed_routes(self):
         """(destination, endpoint or None, state or None) of each route of which the next process has to know
         something else than it had to so far; a state of None: nothing."""
-        touched, self.module.scheduler.touched = self.module.scheduler.touched, {}
-        for route in touched:
+        changed, self.module.scheduler.touched = self.module.scheduler.touched, {}
+        for route in changed:
             dest, endpoint = route.key
             if dest in self.dests.ident and (endpoint is None or endpoint in self.endpoints.ident):
                 state = route_state.values(route) if route.kept else None
@@ -232,7 +232,7 @@
     def overran(self):
         """The names of routes that were sent more than slow start allows since this was asked last."""
         names, self.module.scheduler.overran = self.module.scheduler.overran, []
-        return [self._with_listed_number(name) for name in names]
+        return [self._with_destination_id(name) for name in names]
 
     def endpoint_of(self, call):
         """What the decisions know of a call's target, or None."""
@@ -241,16 +241,16 @@
     def unknown(self, texts, routes, now):
         """The names of what the decisions do not know: of texts that are held, and of routes by destination
         and endpoint that were in an outage and are not warm by now."""
-        known, names = self.module.registry.texts, []
+        known_texts, names = self.module.registry.texts, []
         for text in texts:
-            if text.number in self.texts and text.number not in known:
+            if text.number in self.texts and text.number not in known_texts:
                 names.append(text.ident)
         for (dest, endpoint), state in routes.items():
-            held = self.module.dests.get(self.dests.index.get(dest))
-            place = None if endpoint is None else self.endpoints.index.get(endpoint)
-            route = held and held.routes.get(place)
-            binds = state["mode"] == OUT or (state["mode"] == COLD and now < state["warm_at"])
-            if binds and (route is None or route.mode == WELL):
+            known_dest = self.module.dests.get(self.dests.index.get(dest))
+            number = None if endpoint is None else self.endpoints.index.get(endpoint)
+            route = known_dest and known_dest.routes.get(number)
+            restricted = state["mode"] == OUT or (state["mode"] == COLD and now < state["warm_at"])
+            if restricted and (route is None or route.mode == WELL):
                 names.append(f"destination {dest}" + (f" endpoint {endpoint}" if endpoint else ""))
         return names
 
@@ -258,7 +258,7 @@
         """Nothing more is owed for it."""
         if self.texts.pop(text.number, None):
             self.events.append(Withdrawn(text.number))
-            self.ends.append(End(text, None, why="its client has left"))
+            self.final_answers.append(End(text, None, why="its client has left"))
 
     def hand_back(self):
         """What waits and does no harm elsewhere ends as nacked."""
@@ -276,8 +276,8 @@
             self.places, self.places_of = {}, {}
         for place in places:
             number = self.endpoints(place.ident)
-            former.setdefault(number, self._unplace(number))
-            self._place(number, place)
+            former.setdefault(number, self._remove_place(number))
+            self._add_place(number, place)
             entries.append(
                 Entry(
                     number,
@@ -285,40 +285,40 @@
                     self.kinds(place.kind),
                     self.zones(place.zone),
                     place.ready,
-                    place.agreed if self.agreed else None,
+                    place.agreed if self.has_agreed_rates else None,
                 )
             )
             if place.left:
-                self._unplace(number)
+                self._remove_place(number)
                 self.unlisted[number] = None
         if whole:
             self.unlisted |= {number: None for number in before if number not in self.places}
         self.events.append(Listed(entries, whole))
-        self._forget(before)
+        self._forget_unlisted(before)
         return former
 
-    def _place(self, number, place):
+    def _add_place(self, number, place):
         self.places[number] = place
         self.places_of.setdefault(place.dest, {})[number] = None
 
-    def _unplace(self, number):
+    def _remove_place(self, number):
         place = self.places.pop(number, None)
         if place is not None:
-            others = self.places_of[place.dest]
-            del others[number]
-            if not others:
+            siblings = self.places_of[place.dest]
+            del siblings[number]
+            if not siblings:
                 del self.places_of[place.dest]
         return place
 
-    def _forget(self, before):
+    def _forget_unlisted(self, before):
         """Endpoints that are not listed, were not in the list before this one, and that the decisions do not
         know."""
         for number in list(self.unlisted):
             if number not in self.places and number in before:
                 continue  # the next news tells
             del self.unlisted[number]
-            known = number in self.places or number in self.module.endpoints
-            if not known and number in self.endpoints.ident:
+            in_use = number in self.places or number in self.module.endpoints
+            if not in_use and number in self.endpoints.ident:
                 self.endpoints.forget(self.endpoints.ident[number])
 
     def release(self, dest):
@@ -328,7 +328,7 @@
         self.unlisted |= dict.fromkeys(numbers)
         if dest in self.dests.index:
             self.events.append(Released(self.dests(dest)))
-        return [self._unplace(number) for number in numbers]
+        return [self._remove_place(number) for number in numbers]
 
     def in_use(self, dest):
         """Whether a message for the destination is held: in its queue, out, or handed in since the last
@@ -345,11 +345,11 @@
 
     def report(self, call, answer, elapsed):
         """How a call ended. What had its outcome before is passed over."""
-        told = {column: answer.load.get(column) for column in self.columns}
+        load = {column: answer.load.get(column) for column in self.load_columns}
         for text in call.texts:
             if text.number in call.open:
                 outcome, ended = how(answer, text.ident)
-                self._outcome(call, text, outcome, elapsed, ended, answer.wait, told)
+                self._outcome(call, text, outcome, elapsed, ended, answer.wait, load)
         if answer.wait > call.waited:
             if (
                 not call.open and call.told
@@ -358,18 +358,18 @@
             call.waited = answer.wait
         call.told = True
 
-    def _outcome(self, call, text, outcome, elapsed, ended, wait=0.0, told=None):
+    def _outcome(self, call, text, outcome, elapsed, ended, wait=0.0, load=None):
         call.open.discard(text.number)
-        told = told or {}
+        load = load or {}
         self.events.append(
-            Outcome(text.number, call.endpoint, outcome, wait, elapsed, ended, told.get("x0"), told.get("x1"))
+            Outcome(text.number, call.endpoint, outcome, wait, elapsed, ended, load.get("x0"), load.get("x1"))
         )
         if not ended:
-            self.backs.append((text, outcome not in HARMLESS))
+            self.returned_texts.append((text, outcome not in HARMLESS))
         elif self.texts.pop(text.number, None):
-            done = outcome == How.DELIVERED
-            why = f"delivered to {call.place.ident}" if done else f"over, says {call.place.ident}"
-            self.ends.append(End(text, None, delivered=done, why=why))
+            delivered = outcome == How.DELIVERED
+            why = f"delivered to {call.place.ident}" if delivered else f"over, says {call.place.ident}"
+            self.final_answers.append(End(text, None, delivered=delivered, why=why))
 
     def avoided(self):
         """How many of the listed endpoints are in an outage as far as is known: next to nothing is sent
@@ -383,12 +383,12 @@
 
         Rates are calls a second, times milliseconds.
         """
-        out = []
+        states = []
         for ident, number in self.dests.index.items():
             dest = self.module.dests.get(number)
             routes = list(dest.routes.values()) if dest else []
             worst = max(routes, key=lambda route: ("well", "cold", "out").index(route.mode), default=None)
-            out.append(
+            states.append(
                 dict(
                     destination=ident,
                     mode=worst.mode if worst else "well",
@@ -400,7 +400,7 @@
                     wait_ms=round(max(0.0, worst.pause - self.module.scheduler.now), 1) if worst else 0.0,
                 )
             )
-        return out
+        return states
 
     # The module's turn.
 
@@ -411,16 +411,16 @@
             self.wake = None
         if self.events:
             events, self.events = self.events, []
-            self._carry_out(now, self.module.handle(now, events))
+            self._apply_actions(now, self.module.handle(now, events))
             self.unlisted |= dict.fromkeys(self.module.forgotten)
             for number in self.module.faded:
-                self.dropped.append(self.dests.ident[number])
+                self.dropped_dests.append(self.dests.ident[number])
                 self.dests.forget(self.dests.ident[number])
             if self.module.faded:
-                self._forget(())
+                self._forget_unlisted(())
         return self.wake[0] if self.wake else float("inf")
 
-    def _carry_out(self, now, actions):
+    def _apply_actions(self, now, actions):
         shared = {}
         for action in actions:
             if isinstance(action, Submit):
@@ -430,14 +430,16 @@
                 if text:
                     nack = isinstance(action, Nack)
                     stay_away = action.stay_away if nack else 0.0
-                    self.ends.append(End(text, "bounced" if nack else "dead", stay_away, why=action.why))
+                    self.final_answers.append(
+                        End(text, "bounced" if nack else "dead", stay_away, why=action.why)
+                    )
             elif isinstance(action, Wake):
                 self.wake = (now + action.after, action.token)
             elif isinstance(action, Close):
                 if action.endpoint in self.places:
-                    self.spare.append(self.places[action.endpoint])
+                    self.endpoints_to_close.append(self.places[action.endpoint])
             elif isinstance(action, Log):
-                self.lines.append(action.line)
+                self.log_lines.append(action.line)
 
     def _submit(self, now, action, shared):
         """Submits of one tick to one endpoint travel as one call, as far as the settings allow.
@@ -474,23 +476,23 @@
 
     def back(self):
         """The next text whose submit came back without an end, and whether that may have run; or None."""
-        return self.backs.popleft() if self.backs else None
+        return self.returned_texts.popleft() if self.returned_texts else None
 
     def ended(self):
         """The next text that came to its end, or None."""
-        return self.ends.popleft() if self.ends else None
+        return self.final_answers.popleft() if self.final_answers else None
 
     def given_back(self):
         """The next endpoint whose idle connections are of no more use, or None."""
-        return self.spare.popleft() if self.spare else None
+        return self.endpoints_to_close.popleft() if self.endpoints_to_close else None
 
     def said(self):
         """The next line for on-call staff, or None; destinations under the numbers of the list."""
-        return self._with_listed_number(self.lines.popleft()) if self.lines else None
+        return self._with_destination_id(self.log_lines.popleft()) if self.log_lines else None
 
-    def _with_listed_number(self, line):
-        def listed(found):
-            number = int(found[1])
+    def _with_destination_id(self, line):
+        def with_id(match):
+            number = int(match[1])
             return f"destination {self.dests.ident.get(number, number)}"
 
-        return DESTINATION_NAME.sub(listed, line, count=1)
+        return DESTINATION_NAME.sub(with_id, line, count=1)
--- a/calicopin/fault_log.py
+++ b/calicopin/fault_log.py
@@ -6,13 +6,13 @@
 
 from loguru import logger
 
-WHILE = 60_000.0  # ms until a kind of fault is told with its traceback again
-REPEAT = 1000.0  # ms between two lines on faults of one kind
-MOST_KINDS = 256  # that are told apart: kinds come from the code, so that only a loop of names reaches it
+TRACEBACK_INTERVAL_MS = 60_000.0  # ms until a kind of fault is told with its traceback again
+LINE_INTERVAL_MS = 1000.0  # ms between two lines on faults of one kind
+MAX_KINDS = 256  # that are told apart: kinds come from the code, so that only a loop of names reaches it
 
 
 @dataclass(slots=True)
-class Kind:
+class KindState:
     """What was told of one kind of fault: when, and how many there were since the last line."""
 
     traceback_at: float = float("-inf")
@@ -28,22 +28,27 @@
 
     def tell(self, event: str, message: str, fault: BaseException, **fields) -> None:
         """One line at ERROR, with `event` and `fields`, or only a count; `message` names fields in braces."""
-        kind = self._kind(event, fault)
-        whole = self.now() >= kind.traceback_at + WHILE
-        if self._line(kind, event, message + ": {fault!r}", fault, whole, fields) and whole:
+        kind = self._state_of(event, fault)
+        with_traceback = self.now() >= kind.traceback_at + TRACEBACK_INTERVAL_MS
+        if (
+            self._write_line(kind, event, message + ": {fault!r}", fault, with_traceback, fields)
+            and with_traceback
+        ):
             kind.traceback_at = self.now()
 
     def tell_refusal(self, event: str, message: str, fault: OSError, **fields) -> None:
         """The same for what the system refuses and the courier is made to meet: never with a traceback."""
-        self._line(self._kind(event, fault), event, message + ": {fault}", fault, False, fields)
+        self._write_line(self._state_of(event, fault), event, message + ": {fault}", fault, False, fields)
 
-    def _line(self, kind: Kind, event: str, message: str, fault, whole: bool, fields: dict) -> bool:
+    def _write_line(
+        self, kind: KindState, event: str, message: str, fault, with_traceback: bool, fields: dict
+    ) -> bool:
         """Whether the line was written; else it is counted."""
         now = self.now()
-        if now < kind.line_at + REPEAT:
+        if now < kind.line_at + LINE_INTERVAL_MS:
             kind.left_out += 1
             return False
-        logger.opt(exception=fault if whole else None).error(
+        logger.opt(exception=fault if with_traceback else None).error(
             message + (" ({left_out} more since the last line)" if kind.left_out else ""),
             event=event,
             fault=fault,
@@ -53,8 +58,8 @@
         kind.line_at, kind.left_out = now, 0
         return True
 
-    def _kind(self, event, fault):
+    def _state_of(self, event, fault):
         key = event, type(fault), getattr(fault, "errno", None)
-        if key not in self.kinds and len(self.kinds) >= MOST_KINDS:
+        if key not in self.kinds and len(self.kinds) >= MAX_KINDS:
             self.kinds.clear()
-        return self.kinds.setdefault(key, Kind())
+        return self.kinds.setdefault(key, KindState())
--- a/calicopin/simulator_adapter/__main__.py
+++ b/calicopin/simulator_adapter/__main__.py
@@ -3,53 +3,55 @@
 import sys
 import traceback
 
-from calicopin.simulator_adapter.codec import WireError, batches, plain
+from calicopin.simulator_adapter.codec import WireError, batches, single_line
 from calicopin.simulator_adapter.instance import Instance
 
 
 def answer(clock, events, instances, pages):
     """The reply to one batch, without its last line."""
-    notes, reply, who = {}, [], None
-    page, left = None, 0
+    events_of, reply, instance_id = {}, [], None
+    page, missing = None, 0
     for number, name, values in events:
-        if left and name != "ENDPOINT":
-            raise WireError(f"line {number}: page {page} lacks {left} of its entries")
+        if missing and name != "ENDPOINT":
+            raise WireError(f"line {number}: page {page} lacks {missing} of its entries")
         if name == "FOR":
-            who = values[0]
+            instance_id = values[0]
         elif name == "PAGE":
-            page, left = values
+            page, missing = values
             pages[page] = []
         elif name == "ENDPOINT":
-            if not left:
+            if not missing:
                 raise WireError(f"line {number}: ENDPOINT outside a page")
             pages[page].append(values)
-            left -= 1
-        elif who is None:
+            missing -= 1
+        elif instance_id is None:
             raise WireError(f"line {number}: {name} before any FOR")
         elif name == "DETACH":
-            instances.pop(who, None)
-            notes.pop(who, None)
+            instances.pop(instance_id, None)
+            events_of.pop(instance_id, None)
         elif name == "HELLO":
-            instances[who], notes[who] = Instance(values[0], values[1], number), []
-        elif who not in instances:
-            raise WireError(f"line {number}: {name} for instance {who}, which has not begun")
+            instances[instance_id], events_of[instance_id] = Instance(values[0], values[1], number), []
+        elif instance_id not in instances:
+            raise WireError(f"line {number}: {name} for instance {instance_id}, which has not begun")
         else:
-            event = instances[who].read(number, name, values, pages)
-            notes.setdefault(who, [])
+            event = instances[instance_id].read(number, name, values, pages)
+            events_of.setdefault(instance_id, [])
             if event is not None:
-                notes[who].append(event)
-    if left:
-        raise WireError(f"page {page} lacks {left} of its entries at the end of the batch")
-    for who in list(notes):
+                events_of[instance_id].append(event)
+    if missing:
+        raise WireError(f"page {page} lacks {missing} of its entries at the end of the batch")
+    for instance_id in list(events_of):
         try:
-            lines = instances[who].act(clock * 1000.0, notes[who])
+            lines = instances[instance_id].act(clock * 1000.0, events_of[instance_id])
         except Exception as fault:
             traceback.print_exc()
-            place = traceback.extract_tb(fault.__traceback__)[-1]
-            cause = f"instance {who}: {type(fault).__name__}: {fault} ({place.name}, line {place.lineno})"
-            return reply + [f"INSTANCE {who}", f"BAIL_OUT {plain(cause)}"]
+            frame = traceback.extract_tb(fault.__traceback__)[-1]
+            cause = (
+                f"instance {instance_id}: {type(fault).__name__}: {fault} ({frame.name}, line {frame.lineno})"
+            )
+            return reply + [f"INSTANCE {instance_id}", f"BAIL_OUT {single_line(cause)}"]
         if lines:
-            reply.append(f"INSTANCE {who}")
+            reply.append(f"INSTANCE {instance_id}")
             reply.extend(lines)
     return reply
 
--- a/calicopin/simulator_adapter/codec.py
+++ b/calicopin/simulator_adapter/codec.py
@@ -8,76 +8,102 @@
     """A line that cannot be read, with a plain sentence about it."""
 
 
-def _flag(word):
+def _parse_flag(word):
     if word not in ("0", "1"):
         raise ValueError(f"{word!r} is neither 0 nor 1")
     return word == "1"
 
 
-def _whole(word):
+def _parse_unsigned(word):
     value = int(word)
     if value < 0:
         raise ValueError(f"{word!r} is negative")
     return value
 
 
-def _number(word):
+def _parse_number(word):
     value = float(word)
     if value - value != 0.0:
         raise ValueError(f"{word!r} is not a finite number")
     return value
 
 
-def _maybe(read):
-    return lambda word: None if word == "-" else read(word)
+def _optional(parse):
+    return lambda word: None if word == "-" else parse(word)
 
 
-def _report(word):
-    return None if word == "-" else [_number(part) for part in word.split(",")]
+def _parse_load(word):
+    return None if word == "-" else [_parse_number(part) for part in word.split(",")]
 
 
-def _object(text):
+def _parse_object(text):
     value = json.loads(text)
     if not isinstance(value, dict):
         raise ValueError("the settings are no object")
     return value
 
 
-# What each message holds, in the order of the wire. A field of `_object` takes the rest of the line.
-EVENTS = {
-    "CLOCK": (_number, _whole),
+# What each message holds, in the order of the wire. A field of `_parse_object` takes the rest of the line.
+EVENT_PARSERS = {
+    "CLOCK": (_parse_number, _parse_unsigned),
     "EOB": (),
-    "FOR": (_whole,),
-    "HELLO": (_whole, _object),
-    "PAGE": (_whole, _whole),
-    "ENDPOINT": (_whole, _maybe(_number), _maybe(_number), _whole, _maybe(_whole), _maybe(_whole), _whole),
-    "PEERS_KNOWN": (_whole, _maybe(_whole), _maybe(_whole)),
-    "ACCEPT": (_whole, _whole, _maybe(_whole), _maybe(_number), _maybe(str), _number, _whole, _maybe(_whole)),
-    "VERDICT": (_whole, _whole, _maybe(_number), _flag, _whole, _whole, _maybe(_number), _report),
-    "HEAD_RECEIVED": (_whole, _whole, _whole, _maybe(_number)),
-    "BELL": (_whole,),
+    "FOR": (_parse_unsigned,),
+    "HELLO": (_parse_unsigned, _parse_object),
+    "PAGE": (_parse_unsigned, _parse_unsigned),
+    "ENDPOINT": (
+        _parse_unsigned,
+        _optional(_parse_number),
+        _optional(_parse_number),
+        _parse_unsigned,
+        _optional(_parse_unsigned),
+        _optional(_parse_unsigned),
+        _parse_unsigned,
+    ),
+    "PEERS_KNOWN": (_parse_unsigned, _optional(_parse_unsigned), _optional(_parse_unsigned)),
+    "ACCEPT": (
+        _parse_unsigned,
+        _parse_unsigned,
+        _optional(_parse_unsigned),
+        _optional(_parse_number),
+        _optional(str),
+        _parse_number,
+        _parse_unsigned,
+        _optional(_parse_unsigned),
+    ),
+    "VERDICT": (
+        _parse_unsigned,
+        _parse_unsigned,
+        _optional(_parse_number),
+        _parse_flag,
+        _parse_unsigned,
+        _parse_unsigned,
+        _optional(_parse_number),
+        _parse_load,
+    ),
+    "HEAD_RECEIVED": (_parse_unsigned, _parse_unsigned, _parse_unsigned, _optional(_parse_number)),
+    "BELL": (_parse_unsigned,),
     "DETACH": (),
-    "ABORTED": (_whole,),
-    "PEER": (_whole, str),
-    "HEALTH_RESULT": (_whole, _whole, _maybe(_number), _report),
+    "ABORTED": (_parse_unsigned,),
+    "PEER": (_parse_unsigned, str),
+    "HEALTH_RESULT": (_parse_unsigned, _parse_unsigned, _optional(_parse_number), _parse_load),
 }
 
 
 def read_line(line, number):
     """One line as (name, values); raises WireError with the line and the fault."""
     name, _, rest = line.partition(" ")
-    shape = EVENTS.get(name)
-    if shape is None:
+    parsers = EVENT_PARSERS.get(name)
+    if parsers is None:
         raise WireError(f"line {number}: {name[:40]!r} is no message of this wire")
-    words = rest.split(" ", len(shape) - 1 if name == "HELLO" else -1) if rest else []
-    if len(words) != len(shape):
-        raise WireError(f"line {number}: {name} has {len(words)} values where {len(shape)} are due")
+    words = rest.split(" ", len(parsers) - 1 if name == "HELLO" else -1) if rest else []
+    if len(words) != len(parsers):
+        raise WireError(f"line {number}: {name} has {len(words)} values where {len(parsers)} are due")
     values = []
-    for place, (read, word) in enumerate(zip(shape, words, strict=True), 1):
+    for position, (parse, word) in enumerate(zip(parsers, words, strict=True), 1):
         try:
-            values.append(read(word))
+            values.append(parse(word))
         except ValueError as fault:
-            raise WireError(f"line {number}: value {place} of {name} cannot be read: {fault}") from None
+            raise WireError(f"line {number}: value {position} of {name} cannot be read: {fault}") from None
     return name, values
 
 
@@ -101,11 +127,11 @@
         raise WireError(f"the input ends inside batch {clock[1]}")
 
 
-def seconds(ms):
+def wire_seconds(milliseconds):
     """Milliseconds as the wire's seconds, to its microsecond and never too short."""
-    return f"{math.ceil(ms * 1000.0 - 1e-3) / 1e6:.6f}"
+    return f"{math.ceil(milliseconds * 1000.0 - 1e-3) / 1e6:.6f}"
 
 
-def plain(text):
+def single_line(text):
     """A text that fits on one line."""
     return " ".join(str(text).split())
--- a/calicopin/simulator_adapter/instance.py
+++ b/calicopin/simulator_adapter/instance.py
@@ -1,62 +1,68 @@
 """One courier on the bench's wire: the wire's names, seconds and ids outside; ours inside."""
 
-from calicopin.deployment_settings import Indices, agreed, courier, ms, reports
+from calicopin.deployment_settings import (
+    Indices,
+    courier,
+    lists_agreed_rates,
+    load_columns,
+    milliseconds,
+)
 from calicopin.interface import Entry, How, Listed, ListFailed, Outcome, Taken, Withdrawn, Woken
-from calicopin.simulator_adapter.codec import WireError, plain, seconds
+from calicopin.simulator_adapter.codec import WireError, single_line, wire_seconds
 
-READY, FAILED, WHOLE = 3, 2, (3, 4)
+ENDPOINT_READY, LIST_FAILED, WHOLE_LIST = 3, 2, (3, 4)
 
 
 class Instance:
     """Turns one courier's events and actions from and into lines."""
 
-    def __init__(self, seed, env, number):
+    def __init__(self, seed, settings, number):
         try:
-            self.courier = courier(seed, env)
+            self.courier = courier(seed, settings)
         except (KeyError, TypeError, ValueError, IndexError) as fault:
             raise WireError(f"line {number}: the settings of HELLO lack or garble {fault}") from None
-        self.reports = reports(env)
-        self.agreed = agreed(env)
-        self.grades = len(env["grades"])
+        self.load_columns = load_columns(settings)
+        self.has_agreed_rates = lists_agreed_rates(settings)
+        self.product_count = len(settings["grades"])
         self.dests, self.endpoints = Indices(), Indices()
-        self.texts, self.handles, self.out, self.ended, self.next_text = {}, {}, {}, set(), 0
+        self.texts, self.handle_of, self.submits_out, self.ended, self.next_number = {}, {}, {}, set(), 0
 
     def read(self, number, name, values, pages):
         """One event of the wire as one of ours, or None where it says nothing to the courier."""
-        read = getattr(self, "_" + name.lower(), None)
-        return read(number, values, pages) if read else None
+        reader = getattr(self, "_" + name.lower(), None)
+        return reader(number, values, pages) if reader else None
 
     def _accept(self, number, values, _):
-        handle, dest, group, _, resource, until, qos, _ = values
-        if qos >= self.grades:
-            raise WireError(f"line {number}: ACCEPT names class {qos} of {self.grades}")
-        text, self.next_text = self.next_text, self.next_text + 1
-        self.texts[handle], self.handles[text], self.out[text] = text, handle, 0
-        return Taken(text, self.dests(dest), qos, until * 1000.0, resource, group or 0)
+        handle, dest, customer, _, key, valid_until, product, _ = values
+        if product >= self.product_count:
+            raise WireError(f"line {number}: ACCEPT names class {product} of {self.product_count}")
+        text, self.next_number = self.next_number, self.next_number + 1
+        self.texts[handle], self.handle_of[text], self.submits_out[text] = text, handle, 0
+        return Taken(text, self.dests(dest), product, valid_until * 1000.0, key, customer or 0)
 
     def _verdict(self, number, values, _):
-        handle, _, note, finished, endpoint, reason, elapsed, report = values
-        if reason not in How._value2member_map_:
-            raise WireError(f"line {number}: VERDICT holds the unknown outcome {reason}")
+        handle, _, advised_wait, ended, endpoint, outcome, elapsed, load_values = values
+        if outcome not in How._value2member_map_:
+            raise WireError(f"line {number}: VERDICT holds the unknown outcome {outcome}")
         text = self.texts.get(handle)
         if text is None:
             return None
-        self.out[text] -= 1
-        told = dict(zip(self.reports, report, strict=False)) if report else {}
-        wait = note if reason == How.FULL and note else 0.0
+        self.submits_out[text] -= 1
+        load = dict(zip(self.load_columns, load_values, strict=False)) if load_values else {}
+        wait = advised_wait if outcome == How.FULL and advised_wait else 0.0
         event = Outcome(
             text,
             self.endpoints(endpoint),
-            How(reason),
+            How(outcome),
             wait,
-            ms(elapsed),
-            finished,
-            told.get("x0"),
-            told.get("x1"),
+            milliseconds(elapsed),
+            ended,
+            load.get("x0"),
+            load.get("x1"),
         )
-        if finished:
+        if ended:
             self.ended.add(text)
-        self._forget(text)
+        self._forget_if_done(text)
         return event
 
     def _aborted(self, _, values, __):
@@ -64,34 +70,34 @@
         if text is None:
             return None
         self.ended.add(text)
-        self._forget(text)
+        self._forget_if_done(text)
         return Withdrawn(text)
 
-    def _forget(self, text):
+    def _forget_if_done(self, text):
         """Drops a text's ids once it is ended and no submit of it is out."""
-        if text in self.ended and self.out[text] <= 0:
+        if text in self.ended and self.submits_out[text] <= 0:
             self.ended.discard(text)
-            del self.out[text], self.texts[self.handles.pop(text)]
+            del self.submits_out[text], self.texts[self.handle_of.pop(text)]
 
     def _peers_known(self, number, values, pages):
-        kind, _, bank = values
-        if kind == FAILED:
+        result, _, page = values
+        if result == LIST_FAILED:
             return ListFailed()
-        if bank not in pages:
-            raise WireError(f"line {number}: PEERS_KNOWN names page {bank}, which was not sent")
+        if page not in pages:
+            raise WireError(f"line {number}: PEERS_KNOWN names page {page}, which was not sent")
         return Listed(
             [
                 Entry(
                     self.endpoints(endpoint),
-                    self.dests(cell),
-                    machine or 0,
-                    hall or 0,
-                    phase == READY,
-                    share if self.agreed else None,
+                    self.dests(dest),
+                    kind or 0,
+                    zone or 0,
+                    state == ENDPOINT_READY,
+                    rate if self.has_agreed_rates else None,
                 )
-                for phase, share, _, cell, hall, machine, endpoint in pages[bank]
+                for state, rate, _, dest, zone, kind, endpoint in pages[page]
             ],
-            kind in WHOLE,
+            result in WHOLE_LIST,
         )
 
     def _bell(self, _, values, __):
@@ -101,33 +107,33 @@
         """The courier's answer to a batch, as lines."""
         lines = []
         for action in self.courier.handle(now, events):
-            write = getattr(self, "_do_" + type(action).__name__.lower())
-            lines.append(write(action))
+            writer = getattr(self, "_do_" + type(action).__name__.lower())
+            lines.append(writer(action))
         return lines
 
     def _do_submit(self, action):
-        self.out[action.text] += 1
+        self.submits_out[action.text] += 1
         return (
-            f"HAND_OFF {self.handles[action.text]} {self.endpoints.ident[action.endpoint]} "
-            f"{seconds(action.timeout)}"
+            f"HAND_OFF {self.handle_of[action.text]} {self.endpoints.ident[action.endpoint]} "
+            f"{wire_seconds(action.timeout)}"
         )
 
-    def _end(self, text):
-        handle = self.handles[text]
+    def _end_text(self, text):
+        handle = self.handle_of[text]
         self.ended.add(text)
-        self._forget(text)
+        self._forget_if_done(text)
         return handle
 
     def _do_nack(self, action):
-        stay = seconds(action.stay_away) if action.stay_away > 0.0 else "-"
-        return f"REJECT {self._end(action.text)} {stay}"
+        stay_away = wire_seconds(action.stay_away) if action.stay_away > 0.0 else "-"
+        return f"REJECT {self._end_text(action.text)} {stay_away}"
 
     def _do_undeliverable(self, action):
-        return f"SURRENDER {self._end(action.text)}"
+        return f"SURRENDER {self._end_text(action.text)}"
 
     @staticmethod
     def _do_wake(action):
-        return f"NOTIFY_ME {seconds(action.after)} {action.token}"
+        return f"NOTIFY_ME {wire_seconds(action.after)} {action.token}"
 
     def _do_close(self, action):
         return f"DROP_CONNS {self.endpoints.ident[action.endpoint]}"
@@ -138,4 +144,4 @@
 
     @staticmethod
     def _do_log(action):
-        return f"WRITE_LOG {plain(action.line)}"
+        return f"WRITE_LOG {single_line(action.line)}"
--- a/calicopin/system.py
+++ b/calicopin/system.py
@@ -16,8 +16,8 @@
 
 from calicopin.system_errors import of_a_moment
 
-PATIENCE = 5000.0  # ms for which a start tries again what the system refuses for a moment
-PAUSE = 50.0  # ms between two tries
+RETRY_LIMIT_MS = 5000.0  # ms for which a start tries again what the system refuses for a moment
+RETRY_INTERVAL_MS = 50.0  # ms between two tries
 
 
 class System:
@@ -50,9 +50,9 @@
             return ""
 
     @staticmethod
-    def pause(span):
+    def pause(duration):
         """Stands still for so long, in ms: for a start, and for the end, when the loop waits no more."""
-        time.sleep(span / 1000.0)
+        time.sleep(duration / 1000.0)
 
     @staticmethod
     def poller():
@@ -76,18 +76,18 @@
         return listener
 
     @staticmethod
-    def passed(word):
+    def passed(descriptor):
         """The listening socket that this process inherited as the descriptor of that number, as one that
         does not block; ValueError where it is none.
         """
         try:
-            sock = socket.socket(fileno=int(word))
+            sock = socket.socket(fileno=int(descriptor))
             listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
         except (ValueError, OverflowError, OSError) as fault:
-            raise ValueError(f"LB_PASSED_SOCKET: {word[:40]!r} is no open socket: {fault}") from None
+            raise ValueError(f"LB_PASSED_SOCKET: {descriptor[:40]!r} is no open socket: {fault}") from None
         if not listening:
             sock.detach()
-            raise ValueError(f"LB_PASSED_SOCKET: descriptor {word} does not listen")
+            raise ValueError(f"LB_PASSED_SOCKET: descriptor {descriptor} does not listen")
         sock.setblocking(False)
         return sock
 
@@ -103,8 +103,8 @@
         try:
             listener.bind(path)
         except OSError as fault:
-            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as knock:
-                if fault.errno != errno.EADDRINUSE or not knock.connect_ex(path):
+            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
+                if fault.errno != errno.EADDRINUSE or not probe.connect_ex(path):
                     listener.close()
                     raise
             os.unlink(path)
@@ -131,10 +131,10 @@
     def stamp(path):
         """What tells that a file was replaced or written to; None where there is none."""
         try:
-            what = os.stat(path)
+            status = os.stat(path)
         except OSError:
             return None
-        return what.st_mtime_ns, what.st_size, what.st_ino
+        return status.st_mtime_ns, status.st_size, status.st_ino
 
     @staticmethod
     def stream():
@@ -209,15 +209,15 @@
 HERE = System()
 
 
-def patiently(system, act, *args):
-    """What `act(*args)` returns. For a start alone: what the system refuses for a moment is tried again for
-    `PATIENCE`; then, or for any other reason at once, its OSError is raised.
+def patiently(system, operation, *args):
+    """What `operation(*args)` returns. For a start alone: what the system refuses for a moment is tried again
+    `RETRY_LIMIT_MS`; then, or for any other reason at once, its OSError is raised.
     """
-    until = system.now() + PATIENCE
+    deadline = system.now() + RETRY_LIMIT_MS
     while True:
         try:
-            return act(*args)
+            return operation(*args)
         except OSError as fault:
-            if not of_a_moment(fault) or system.now() >= until:
+            if not of_a_moment(fault) or system.now() >= deadline:
                 raise
-        system.pause(PAUSE)
+        system.pause(RETRY_INTERVAL_MS)
--- a/calicopin/system_errors.py
+++ b/calicopin/system_errors.py
@@ -10,13 +10,13 @@
 PASSING = frozenset((errno.EINTR, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM))
 
 # This machine had nothing to make a connection with: the other side was never asked.
-NO_ROOM_HERE = PASSING | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
+LOCAL_RESOURCE_ERRORS = PASSING | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
 
 # No way to the other side just now, told by this machine without asking; ECONNABORTED: broken off by it.
-NO_ROUTE = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ECONNABORTED))
+NO_ROUTE_ERRORS = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ECONNABORTED))
 
 # accept: of the one connection that was next, which is gone; the ones behind it are as good as before.
-OF_ONE_CONNECTION = frozenset(
+SINGLE_CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EINTR,
@@ -35,7 +35,7 @@
 )
 
 # Of files: what another moment may mend; a path that is wrong, or rights that are missing, it does not.
-OF_A_MOMENT = frozenset(
+TRANSIENT_FILE_ERRORS = frozenset(
     (
         errno.EINTR,
         errno.ENOBUFS,
@@ -51,7 +51,7 @@
 
 def of_a_moment(fault: OSError) -> bool:
     """Whether opening, reading or making a file may succeed a moment later."""
-    return fault.errno in OF_A_MOMENT
+    return fault.errno in TRANSIENT_FILE_ERRORS
 
 
 def passes(fault: OSError) -> bool:
@@ -61,14 +61,14 @@
 
 def no_room_here(code: int | None) -> bool:
     """Whether a connection was not made for want of something on this machine."""
-    return code in NO_ROOM_HERE
+    return code in LOCAL_RESOURCE_ERRORS
 
 
 def no_route(code: int | None) -> bool:
     """Whether this machine knew no way to the other side."""
-    return code in NO_ROUTE
+    return code in NO_ROUTE_ERRORS
 
 
 def of_one_connection(fault: OSError) -> bool:
     """Whether a fault of accept leaves the connections behind it to be accepted."""
-    return fault.errno in OF_ONE_CONNECTION
+    return fault.errno in SINGLE_CONNECTION_ERRORS
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -58,18 +58,18 @@
     """
     opened = []
 
-    def noted(open_some):
-        def open_and_note(*args, **told):
-            got = open_some(*args, **told)
-            numbers = got if isinstance(got, tuple) else (got,)
+    def recording(open_function):
+        def open_and_record(*args, **keywords):
+            result = open_function(*args, **keywords)
+            numbers = result if isinstance(result, tuple) else (result,)
             opened.extend((number, identity(number)) for number in numbers)
-            return got
+            return result
 
-        return open_and_note
+        return open_and_record
 
-    monkeypatch.setattr(os, "pipe2", noted(os.pipe2))
+    monkeypatch.setattr(os, "pipe2", recording(os.pipe2))
     for name in ("create", "lock", "open_to_read"):
-        monkeypatch.setattr(System, name, staticmethod(noted(getattr(System, name))))
+        monkeypatch.setattr(System, name, staticmethod(recording(getattr(System, name))))
     yield
     signal.set_wakeup_fd(-1)
     if any(still_open(number, what) for number, what in opened):
@@ -87,10 +87,10 @@
 def identity(number):
     """Which file or pipe an open descriptor stands for; None where it is not open."""
     try:
-        told = os.fstat(number)
+        status = os.fstat(number)
     except OSError:
         return None
-    return told.st_dev, told.st_ino
+    return status.st_dev, status.st_ino
 
 
 @pytest.fixture
--- a/tests/forced_faults.py
+++ b/tests/forced_faults.py
@@ -30,8 +30,8 @@
         return super().connect(address)
 
     def getsockopt(self, *what):
-        if what == (socket.SOL_SOCKET, socket.SO_ERROR) and (told := self.system.next("so_error")):
-            return getattr(errno, told)
+        if what == (socket.SOL_SOCKET, socket.SO_ERROR) and (error := self.system.next("so_error")):
+            return getattr(errno, error)
         return super().getsockopt(*what)
 
     def send(self, data, *flags):
@@ -54,16 +54,16 @@
         self.told, self.always, self.met = defaultdict(deque), {}, defaultdict(int)
 
     def next(self, name):
-        told = self.told[name].popleft() if self.told[name] else self.always.get(name)
-        self.met[name] += told is not None
-        return told
+        error = self.told[name].popleft() if self.told[name] else self.always.get(name)
+        self.met[name] += error is not None
+        return error
 
     def meet(self, name):
         """Raises what is due; whether the call is to be a short one."""
-        told = self.next(name)
-        if told is None or told == SHORT:
-            return told == SHORT
-        raise OSError(getattr(errno, told), os.strerror(getattr(errno, told)))
+        error = self.next(name)
+        if error is None or error == SHORT:
+            return error == SHORT
+        raise OSError(getattr(errno, error), os.strerror(getattr(errno, error)))
 
     def wrap(self, plain, prefix=""):
         forced = ForcedSocket(plain.family, plain.type, plain.proto, fileno=plain.detach())
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -8,21 +8,21 @@
 
 import pytest
 
-MOST = 3
+MAX_LINES = 3
 
 
-def known_red(words):
+def known_red(content):
     """(test, cause, issue) of each line; raises ValueError with the line that is none, or is one too many."""
     rows = []
-    for number, line in enumerate(words.splitlines(), 1):
+    for number, line in enumerate(content.splitlines(), 1):
         if not line.strip():
             continue
         row = [part.strip() for part in line.split("|")]
         if len(row) != 3 or not all(row) or not row[0].startswith("tests/") or "::" not in row[0]:
             raise ValueError(f"KNOWN-RED.txt:{number}: a line is `tests/FILE.py::TEST | cause | issue`")
         rows.append(tuple(row))
-    if len(rows) > MOST:
-        raise ValueError(f"KNOWN-RED.txt: {len(rows)} lines, {MOST} at most")
+    if len(rows) > MAX_LINES:
+        raise ValueError(f"KNOWN-RED.txt: {len(rows)} lines, {MAX_LINES} at most")
     if len({row[0] for row in rows}) < len(rows):
         raise ValueError("KNOWN-RED.txt: a test stands there twice")
     return rows
@@ -38,7 +38,7 @@
     ]
 
 
-def told(config):
+def read_list(config):
     path = pathlib.Path(config.rootpath) / "KNOWN-RED.txt"
     try:
         return known_red(path.read_text() if path.exists() else "")
@@ -47,12 +47,12 @@
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    for row in told(config):
+    for row in read_list(config):
         terminalreporter.write_line(f"known red: {' | '.join(row)}")
 
 
 def pytest_collection_modifyitems(config, items):
-    rows, collected = told(config), {item.nodeid for item in items}
+    rows, collected = read_list(config), {item.nodeid for item in items}
     whole = config.args == config.getini("testpaths") and not config.option.keyword
     if missing := unnamed(rows, collected, whole):
         raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(missing)}")
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,7 +1,8 @@
 """The decisions behind the facade: what calls and their ends make of texts."""
 
 import pytest
-from courier_helper import endings, facade, picked, place, text
+from courier_helper import endings, picked, place, text
+from courier_helper import facade as make_facade
 from helper import terms
 
 from calicopin.facade import Answer, Facade, Far, how
@@ -9,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "told,outcome,over",
+    "answer,outcome,ended",
     [
         (Answer(Far.CALLED_OFF), How.NOT_SENT, False),
         (Answer(Far.UNCONNECTED), How.UNREACHED, False),
@@ -32,86 +33,86 @@
         (Answer(Far.ANSWERED, status=200, ends={}), How.ERROR, False),
     ],
 )
-def test_how_far_a_submit_came_tells_its_outcome(told, outcome, over):
-    assert how(told, "x") == (outcome, over)
+def test_how_far_a_submit_came_tells_its_outcome(answer, outcome, ended):
+    assert how(answer, "x") == (outcome, ended)
 
 
 def test_texts_that_share_a_call_are_counted_one_by_one():
-    house = facade(places=[place(kind="many")])
+    facade = make_facade(places=[place(kind="many")])
     for ident in "abc":
-        house.hand_in(text(ident))
-    house.tick(0.0)
-    (call,) = picked(house)
-    house.report(
+        facade.hand_in(text(ident))
+    facade.tick(0.0)
+    (call,) = picked(facade)
+    facade.report(
         call,
         Answer(Far.ANSWERED, status=200, wait=900.0, ends={"a": "delivered", "b": "refused", "c": "failed"}),
         100.0,
     )
-    house.tick(100.0)
-    backs = [house.back(), house.back()]
-    assert endings(house) == [("a", None)] and [(t.ident, ran) for t, ran in backs] == [
+    facade.tick(100.0)
+    returned = [facade.back(), facade.back()]
+    assert endings(facade) == [("a", None)] and [(t.ident, ran) for t, ran in returned] == [
         ("b", False),
         ("c", True),
     ]
-    assert not picked(house)
-    house.tick(999.0)
-    assert not picked(house)
-    due = 999.0
-    while due < 3400.0:
-        due = house.tick(due)
-    assert sorted(one.ident for call in picked(house) for one in call.texts) == ["b"]  # c may have run
+    assert not picked(facade)
+    facade.tick(999.0)
+    assert not picked(facade)
+    next_tick = 999.0
+    while next_tick < 3400.0:
+        next_tick = facade.tick(next_tick)
+    assert sorted(one.ident for call in picked(facade) for one in call.texts) == ["b"]  # c may have run
 
 
 def test_a_wait_in_an_answer_that_delivered_binds_too():
-    house = facade()
-    house.hand_in(text("a"))
-    house.tick(0.0)
-    (call,) = picked(house)
-    house.report(call, Answer(Far.ANSWERED, status=200, wait=600.0), 50.0)
-    house.hand_in(text("b"))
-    house.tick(50.0)
-    assert endings(house) == [("a", None)] and not picked(house)
-    house.tick(649.0)
-    assert not picked(house)
+    facade = make_facade()
+    facade.hand_in(text("a"))
+    facade.tick(0.0)
+    (call,) = picked(facade)
+    facade.report(call, Answer(Far.ANSWERED, status=200, wait=600.0), 50.0)
+    facade.hand_in(text("b"))
+    facade.tick(50.0)
+    assert endings(facade) == [("a", None)] and not picked(facade)
+    facade.tick(649.0)
+    assert not picked(facade)
 
 
 def test_a_call_that_took_its_time_to_connect_is_asked_about_again():
     """Drains, told waits and memories of references may have come or gone meanwhile."""
-    house = facade(now=1000.0, places=[place(), place("s-2")])
-    house.hand_in(text("a", 1, ran_at=-13000.0, ran_zone="a", tries=1))
-    house.hand_in(text("b"))
-    house.tick(1000.0)
-    calls = {call.texts[0].ident: call for call in picked(house)}
+    facade = make_facade(now=1000.0, places=[place(), place("s-2")])
+    facade.hand_in(text("a", 1, ran_at=-13000.0, ran_zone="a", tries=1))
+    facade.hand_in(text("b"))
+    facade.tick(1000.0)
+    calls = {call.texts[0].ident: call for call in picked(facade)}
     assert (
-        house.still(calls["a"], 1900.0)
-        and not house.still(calls["a"], 2000.0)
-        and house.still(calls["b"], 2000.0)
+        facade.still(calls["a"], 1900.0)
+        and not facade.still(calls["a"], 2000.0)
+        and facade.still(calls["b"], 2000.0)
     )
-    for change in (False, True):
-        here = calls["b"].place.ident
-        house.listed([place(here, ready=change)], False)
-        house.tick(1100.0)
-        assert house.still(calls["b"], 1100.0) is change
-    house.report(calls["a"], Answer(Far.ANSWERED, status=429, wait=500.0), 150.0)
-    house.tick(1150.0)
-    assert not house.still(calls["b"], 1600.0) and house.still(calls["b"], 1650.0)
+    for ready in (False, True):
+        endpoint = calls["b"].place.ident
+        facade.listed([place(endpoint, ready=ready)], False)
+        facade.tick(1100.0)
+        assert facade.still(calls["b"], 1100.0) is ready
+    facade.report(calls["a"], Answer(Far.ANSWERED, status=429, wait=500.0), 150.0)
+    facade.tick(1150.0)
+    assert not facade.still(calls["b"], 1600.0) and facade.still(calls["b"], 1650.0)
 
 
 def test_no_text_is_out_twice_where_texts_with_other_time_outs_share_its_call():
     """A once-only text waits to its end; the call once stayed open with it while the other was sent again."""
     for products in ((0, 2), (2, 0)):
-        house = facade(places=[place(kind="many")])
+        facade = make_facade(places=[place(kind="many")])
         for number, product in enumerate(products):
-            house.hand_in(text(str(number), product))
-        due = house.tick(0.0)
-        (call,) = picked(house)
+            facade.hand_in(text(str(number), product))
+        next_tick = facade.tick(0.0)
+        (call,) = picked(facade)
         assert len(call.texts) == 2 and call.timeout == 2000.0
-        while due < 9000.0:
-            due = house.tick(due)
-        assert not picked(house)
-        house.report(call, Answer(Far.SENT, late=True), 2000.0)
-        house.tick(9000.0)
-        assert [one.product for call in picked(house) for one in call.texts] == [0]
+        while next_tick < 9000.0:
+            next_tick = facade.tick(next_tick)
+        assert not picked(facade)
+        facade.report(call, Answer(Far.SENT, late=True), 2000.0)
+        facade.tick(9000.0)
+        assert [one.product for call in picked(facade) for one in call.texts] == [0]
 
 
 def test_a_shared_call_ends_with_the_first_of_its_texts():
@@ -120,37 +121,37 @@
     Endpoints that hung let go of all of it when the time of the first was up, and still answered that all
     were delivered: the others were taken on and had no end.
     """
-    house = facade(places=[place(kind="many")])
-    house.hand_in(text("a", until=700.0))
-    house.hand_in(text("b"))
-    house.tick(0.0)
-    (call,) = picked(house)
+    facade = make_facade(places=[place(kind="many")])
+    facade.hand_in(text("a", until=700.0))
+    facade.hand_in(text("b"))
+    facade.tick(0.0)
+    (call,) = picked(facade)
     assert len(call.texts) == 2 and call.timeout == 700.0
-    house.report(call, Answer(Far.SENT, late=True), 700.0)
-    house.tick(700.0)
-    assert endings(house) == [("a", "bounced")]
-    (again,) = picked(house)
+    facade.report(call, Answer(Far.SENT, late=True), 700.0)
+    facade.tick(700.0)
+    assert endings(facade) == [("a", "bounced")]
+    (again,) = picked(facade)
     assert [one.ident for one in again.texts] == ["b"]
-    house.report(again, Answer(Far.ANSWERED, status=200), 100.0)
-    house.tick(800.0)
-    assert endings(house) == [("b", None)]
+    facade.report(again, Answer(Far.ANSWERED, status=200), 100.0)
+    facade.tick(800.0)
+    assert endings(facade) == [("b", None)]
 
 
 def test_what_a_restored_text_may_still_do():
     """Sent and not heard of: resendable and referenced go again, once-only is given up, and so is a spent
     one.
     """
-    house = facade(now=1000.0)
-    house.hand_in(text("resendable", 0, ran_at=10.0, ran_zone="a", tries=1))
-    house.hand_in(text("referenced", 1, ran_at=10.0, ran_zone="a", tries=1))
-    house.hand_in(text("forgotten", 1, until=30000.0, ran_at=-15000.0, ran_zone="a", tries=1))
-    house.hand_in(text("once", 2, ran_at=10.0, ran_zone="a", tries=1))
-    house.hand_in(text("fresh", 2, tries=1))
-    house.hand_in(text("spent", 0, tries=4))
-    house.hand_in(text("late", 0, until=900.0))
-    house.tick(1000.0)
-    assert sorted(call.texts[0].ident for call in picked(house)) == ["fresh", "referenced", "resendable"]
-    assert sorted(endings(house)) == [
+    facade = make_facade(now=1000.0)
+    facade.hand_in(text("resendable", 0, ran_at=10.0, ran_zone="a", tries=1))
+    facade.hand_in(text("referenced", 1, ran_at=10.0, ran_zone="a", tries=1))
+    facade.hand_in(text("forgotten", 1, until=30000.0, ran_at=-15000.0, ran_zone="a", tries=1))
+    facade.hand_in(text("once", 2, ran_at=10.0, ran_zone="a", tries=1))
+    facade.hand_in(text("fresh", 2, tries=1))
+    facade.hand_in(text("spent", 0, tries=4))
+    facade.hand_in(text("late", 0, until=900.0))
+    facade.tick(1000.0)
+    assert sorted(call.texts[0].ident for call in picked(facade)) == ["fresh", "referenced", "resendable"]
+    assert sorted(endings(facade)) == [
         ("forgotten", "bounced"),
         ("late", "bounced"),
         ("once", "dead"),
@@ -160,106 +161,106 @@
 
 def test_a_key_rests_after_a_restart():
     """The last call of a key may still run, also where its text is over and no longer known."""
-    house = Facade(7, terms(), 8, 1000.0, restarted=True)
-    house.listed([place()], True)
-    house.hand_in(text("first", 2, key="van", ran_at=900.0, ran_zone="a", tries=1))
-    house.hand_in(text("second", 2, key="van"))
-    house.hand_in(text("free", 2))
-    due = house.tick(1000.0)
-    assert [one.ident for call in picked(house) for one in call.texts] == ["free"]
-    while due < 1700.0:
-        due = house.tick(due)
-    assert not picked(house)
-    house.tick(due)
-    assert [one.ident for call in picked(house) for one in call.texts] == ["second"]
+    facade = Facade(7, terms(), 8, 1000.0, restarted=True)
+    facade.listed([place()], True)
+    facade.hand_in(text("first", 2, key="van", ran_at=900.0, ran_zone="a", tries=1))
+    facade.hand_in(text("second", 2, key="van"))
+    facade.hand_in(text("free", 2))
+    next_tick = facade.tick(1000.0)
+    assert [one.ident for call in picked(facade) for one in call.texts] == ["free"]
+    while next_tick < 1700.0:
+        next_tick = facade.tick(next_tick)
+    assert not picked(facade)
+    facade.tick(next_tick)
+    assert [one.ident for call in picked(facade) for one in call.texts] == ["second"]
 
 
 def test_the_first_tick_is_not_taken_for_a_standstill():
     """Late by the whole clock, a courier would have let any burst through for as long."""
-    house = facade(now=1e9)
-    house.hand_in(text("a", until=1e9 + 9000.0))
-    house.tick(1e9)
-    assert house.module.scheduler.late == 0.0 and house.module.live
+    facade = make_facade(now=1e9)
+    facade.hand_in(text("a", until=1e9 + 9000.0))
+    facade.tick(1e9)
+    assert facade.module.scheduler.late == 0.0 and facade.module.live
 
 
 def test_a_withdrawn_text_is_forgotten_whatever_the_decisions_still_want():
-    house = facade()
-    house.hand_in(one := text("a"))
-    house.tick(0.0)
-    house.withdraw(one)
-    house.hand_in(two := text("b"))
-    house.texts.pop(two.number)
-    due = house.tick(1.0)
-    while due < 3000.0:
-        due = house.tick(due)
-    assert endings(house) == [("a", None)] and [call.texts[0].ident for call in picked(house)] == ["a"]
-    assert house.module.pool.free == 7  # only the call that is out holds a slot
+    facade = make_facade()
+    facade.hand_in(first := text("a"))
+    facade.tick(0.0)
+    facade.withdraw(first)
+    facade.hand_in(second := text("b"))
+    facade.texts.pop(second.number)
+    next_tick = facade.tick(1.0)
+    while next_tick < 3000.0:
+        next_tick = facade.tick(next_tick)
+    assert endings(facade) == [("a", None)] and [call.texts[0].ident for call in picked(facade)] == ["a"]
+    assert facade.module.pool.free == 7  # only the call that is out holds a slot
 
 
 def test_a_full_house_is_known_and_tells_when_to_come_again():
-    house = facade()
-    house.hand_in(text("a"))
-    house.tick(0.0)
-    house.report(picked(house)[0], Answer(Far.ANSWERED, status=429, wait=900.0), 100.0)
-    house.tick(100.0)
+    facade = make_facade()
+    facade.hand_in(text("a"))
+    facade.tick(0.0)
+    facade.report(picked(facade)[0], Answer(Far.ANSWERED, status=429, wait=900.0), 100.0)
+    facade.tick(100.0)
     for number in range(40):
-        house.hand_in(text(str(number), dest=9))
-    assert house.full() and house.advice(text("b")) == 2000.0 and house.advice(text("c", dest=9)) == 0.0
+        facade.hand_in(text(str(number), dest=9))
+    assert facade.full() and facade.advice(text("b")) == 2000.0 and facade.advice(text("c", dest=9)) == 0.0
 
 
 def test_a_text_whose_time_is_up_is_not_in_a_call_that_comes_up_later():
     """It had its final answer, and then went out with the others that share the call."""
-    house = facade(places=[place(kind="many")])
-    house.hand_in(text("a", until=700.0))
-    house.hand_in(text("b"))
-    house.tick(0.0)
-    (call,) = picked(house)
-    assert not house.still(call, 700.0)
-    house.report(call, Answer(Far.UNCONNECTED), 700.0)
-    due = house.tick(700.0)
-    assert endings(house) == [("a", "bounced")]
-    while due < 3000.0 and not house.calls:
-        due = house.tick(due)
-    assert [one.ident for call in picked(house) for one in call.texts] == ["b"]
+    facade = make_facade(places=[place(kind="many")])
+    facade.hand_in(text("a", until=700.0))
+    facade.hand_in(text("b"))
+    facade.tick(0.0)
+    (call,) = picked(facade)
+    assert not facade.still(call, 700.0)
+    facade.report(call, Answer(Far.UNCONNECTED), 700.0)
+    next_tick = facade.tick(700.0)
+    assert endings(facade) == [("a", "bounced")]
+    while next_tick < 3000.0 and not facade.calls:
+        next_tick = facade.tick(next_tick)
+    assert [one.ident for call in picked(facade) for one in call.texts] == ["b"]
 
 
 def test_a_shared_call_ends_with_the_time_of_a_text_that_has_a_key_in_order():
     """Its key rested from then on, while the call was still out."""
-    house = facade(places=[place(kind="many")])
-    house.hand_in(text("a", product=2, until=19000.0, key="k"))
-    house.hand_in(text("b", product=2))
-    house.tick(0.0)
-    (call,) = picked(house)
+    facade = make_facade(places=[place(kind="many")])
+    facade.hand_in(text("a", product=2, until=19000.0, key="k"))
+    facade.hand_in(text("b", product=2))
+    facade.tick(0.0)
+    (call,) = picked(facade)
     assert len(call.texts) == 2 and call.timeout == pytest.approx(2000.0)
 
 
-def named_for_closing(house, *told):
+def endpoints_to_close(facade, *results):
     """The endpoints whose idle connections are given back after one call to each of these destinations
     ended so.
     """
-    for now, (dest, answered) in enumerate(told):
-        house.hand_in(text(f"t-{dest}", dest=dest, until=900.0))
-        house.tick(float(now))
-        for call in picked(house):
-            house.report(call, answered, 5.0)
-        house.tick(now + 0.5)
-    named = set()
-    for now in range(len(told), 200):
-        house.tick(float(now))
-        while (back := house.given_back()) is not None:
-            named.add(back.ident)
-    return named
+    for now, (dest, answer) in enumerate(results):
+        facade.hand_in(text(f"t-{dest}", dest=dest, until=900.0))
+        facade.tick(float(now))
+        for call in picked(facade):
+            facade.report(call, answer, 5.0)
+        facade.tick(now + 0.5)
+    endpoints = set()
+    for now in range(len(results), 200):
+        facade.tick(float(now))
+        while (endpoint := facade.given_back()) is not None:
+            endpoints.add(endpoint.ident)
+    return endpoints
 
 
 def test_idle_connections_to_a_kind_that_refused_one_are_named_for_closing():
     """On sockets as on the bench: the decisions say which, the wire closes them."""
-    house = facade(places=[place("s-1"), place("s-2", dest=8), place("s-3", dest=9, kind="many")])
+    facade = make_facade(places=[place("s-1"), place("s-2", dest=8), place("s-3", dest=9, kind="many")])
     delivered = Answer(Far.ANSWERED, status=200)
-    named = named_for_closing(house, (7, Answer(Far.UNCONNECTED)), (8, delivered), (9, delivered))
-    assert "s-2" in named and "s-3" not in named
+    to_close = endpoints_to_close(facade, (7, Answer(Far.UNCONNECTED)), (8, delivered), (9, delivered))
+    assert "s-2" in to_close and "s-3" not in to_close
 
 
 def test_no_connection_is_given_back_where_the_settings_say_so():
     ceilings = terms()["ceilings"] | {"giveBack": False}
-    house = facade(places=[place("s-1"), place("s-2", dest=8)], ceilings=ceilings)
-    assert not named_for_closing(house, (7, Answer(Far.UNCONNECTED)), (8, Answer(Far.ANSWERED, status=200)))
+    facade = make_facade(places=[place("s-1"), place("s-2", dest=8)], ceilings=ceilings)
+    assert not endpoints_to_close(facade, (7, Answer(Far.UNCONNECTED)), (8, Answer(Far.ANSWERED, status=200)))
--- a/tests/test_fault_log.py
+++ b/tests/test_fault_log.py
@@ -5,15 +5,15 @@
 from loguru import logger
 from wire_helper import clients, request
 
-from calicopin.fault_log import MOST_KINDS, REPEAT, WHILE, FaultLog
+from calicopin.fault_log import LINE_INTERVAL_MS, MAX_KINDS, TRACEBACK_INTERVAL_MS, FaultLog
 from calicopin.wire.loop import AGAIN, Loop, Until
 
 
 @pytest.fixture
 def records():
-    told = []
-    sink = logger.add(lambda message: told.append(message.record), level="ERROR")
-    yield told
+    records = []
+    sink = logger.add(lambda message: records.append(message.record), level="ERROR")
+    yield records
     logger.remove(sink)
 
 
@@ -23,11 +23,11 @@
     for _ in range(100):
         faults.tell("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
     assert len(records) == 1 and records[0]["exception"] is not None
-    clock.now += REPEAT
+    clock.now += LINE_INTERVAL_MS
     faults.tell("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
     assert records[1]["message"] == "a call to s-1 ended: ValueError('odd') (99 more since the last line)"
     assert records[1]["exception"] is None and records[1]["extra"]["event"] == "call.fault"
-    clock.now += WHILE
+    clock.now += TRACEBACK_INTERVAL_MS
     faults.tell("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
     assert records[2]["exception"] is not None and records[2]["extra"]["left_out"] == 0
 
@@ -35,10 +35,10 @@
 def test_what_the_system_refuses_has_a_line_a_second_and_no_traceback(records):
     clock = Clock()
     faults = FaultLog(clock)
-    for _ in range(3 * int(WHILE / REPEAT)):
+    for _ in range(3 * int(TRACEBACK_INTERVAL_MS / LINE_INTERVAL_MS)):
         faults.tell_refusal("journal.refused", "{turns} turns", OSError(28, "full"), turns=3)
-        clock.now += REPEAT / 2.0
-    assert len(records) == 1.5 * WHILE / REPEAT
+        clock.now += LINE_INTERVAL_MS / 2.0
+    assert len(records) == 1.5 * TRACEBACK_INTERVAL_MS / LINE_INTERVAL_MS
     assert all(record["exception"] is None for record in records)
     assert records[0]["message"] == "3 turns: [Errno 28] full"
     assert records[1]["message"] == "3 turns: [Errno 28] full (1 more since the last line)"
@@ -50,9 +50,9 @@
         faults.tell("turn.fault", "a turn ended", fault)
     faults.tell("call.fault", "a call ended", ValueError("a"))
     assert len(records) == 5
-    for number in range(3 * MOST_KINDS):
+    for number in range(3 * MAX_KINDS):
         faults.tell(f"event {number}", "odd", ValueError())
-    assert len(faults.kinds) <= MOST_KINDS
+    assert len(faults.kinds) <= MAX_KINDS
 
 
 def test_coroutines_that_fail_over_and_over_do_not_fill_the_log(records):
@@ -74,8 +74,8 @@
 
 
 def test_requests_that_meet_a_fault_are_answered_each_and_told_once(loop, records):
-    house, address = clients(loop)
-    house.acceptor.take = lambda text: 1 / 0
+    server, address = clients(loop)
+    server.acceptor.take = lambda text: 1 / 0
     for _ in range(5):
         peer = client(loop, address)
         peer.say(request())
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,7 +11,7 @@
 LINE = "tests/test_a.py::test_fails | it is broken | issue 7\n"
 
 
-def run(folder, words):
+def run(folder, listed):
     """The exit code and what was printed."""
     (folder / "tests").mkdir(exist_ok=True)
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
@@ -21,8 +21,8 @@
     (folder / "tests" / "test_a.py").write_text(
         "def test_fails():\n    assert False\n\n\ndef test_passes():\n    pass\n"
     )
-    if words is not None:
-        (folder / "KNOWN-RED.txt").write_text(words)
+    if listed is not None:
+        (folder / "KNOWN-RED.txt").write_text(listed)
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
         cwd=folder,
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    "words,code,said",
+    "listed,code,output",
     [
         (None, 1, "1 failed, 1 passed"),
         ("", 1, "1 failed, 1 passed"),
@@ -45,20 +45,20 @@
         (LINE + "more\n", 4, "KNOWN-RED.txt:2"),
     ],
 )
-def test_only_what_is_listed_may_fail_and_it_has_to(tmp_path, words, code, said):
-    status, printed = run(tmp_path, words)
-    assert (status, said in printed) == (code, True), printed
+def test_only_what_is_listed_may_fail_and_it_has_to(tmp_path, listed, code, output):
+    status, printed = run(tmp_path, listed)
+    assert (status, output in printed) == (code, True), printed
 
 
 def test_a_fourth_line_a_second_for_a_test_and_half_a_line_are_refused():
     rows = [LINE.replace("fails", f"fails_{number}") for number in range(4)]
     assert len(known_red("\n".join(rows[:3]))) == 3
-    for words in (
+    for listed in (
         "".join(rows),
         LINE + LINE,
         "tests/test_a.py::test_fails | it is broken |",
         "test_fails | why | issue 7",
     ):
         with pytest.raises(ValueError):
-            known_red(words)
+            known_red(listed)
     assert unnamed(known_red(LINE), {"tests/test_c.py::test"}, whole=False) == []
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -15,15 +15,15 @@
 
 from calicopin.discovery_node.source import LOOK as SOURCE_LOOK
 from calicopin.discovery_node.source import Source
-from calicopin.lifecycle.renewal import PATIENCE as RELOAD_PATIENCE
+from calicopin.lifecycle.renewal import PATIENCE as RELOAD_RETRY_LIMIT
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.state.journal import Journal
-from calicopin.system import PATIENCE, System, patiently
-from calicopin.system_errors import OF_A_MOMENT
+from calicopin.system import RETRY_LIMIT_MS, System, patiently
+from calicopin.system_errors import TRANSIENT_FILE_ERRORS
 from calicopin.wire.listfile import LOOK, ListFile
 from calicopin.wire.loop import AGAIN, Loop
 
-MOMENTARY = [errno.errorcode[code] for code in sorted(OF_A_MOMENT)]
+TRANSIENT = [errno.errorcode[code] for code in sorted(TRANSIENT_FILE_ERRORS)]
 
 
 def fault(name):
@@ -44,7 +44,7 @@
         self.clock += span
 
 
-@pytest.mark.parametrize("error", MOMENTARY)
+@pytest.mark.parametrize("error", TRANSIENT)
 def test_a_start_tries_again_what_is_refused_for_a_moment(tmp_path, error):
     system = PausedSystem()
     system.told["read"].extend([error] * 5)
@@ -58,12 +58,12 @@
         patiently(system, system.read, str(tmp_path / "none"))
     assert system.clock == 0.0
     system.always["read"] = "EIO"
-    with pytest.raises(OSError) as told:
+    with pytest.raises(OSError) as raised:
         patiently(system, system.read, str(tmp_path / "none"))
-    assert told.value.errno == errno.EIO and PATIENCE <= system.clock < PATIENCE + 100.0
+    assert raised.value.errno == errno.EIO and RETRY_LIMIT_MS <= system.clock < RETRY_LIMIT_MS + 100.0
 
 
-class SteppedBoot(ForcedFaults):
+class SteppedWallClock(ForcedFaults):
     """The machine's run goes on, and its wall clock was set by an hour."""
 
     step = 0.0
@@ -82,27 +82,31 @@
 @pytest.mark.parametrize("step", [3.6e6, -3.6e6])
 def test_a_start_that_cannot_tell_the_machines_run_for_a_moment_goes_by_no_stepped_clock(tmp_path, step):
     """Without it times went by the wall clock, and a message ended an hour early."""
-    system = SteppedBoot()
-    house = CourierFixture(tmp_path, system=system)
-    assert house.post("a", left=30.0) == b"202"
-    until = house.runtime.journal.texts["a"].until
-    house.kill()
+    system = SteppedWallClock()
+    courier = CourierFixture(tmp_path, system=system)
+    assert courier.post("a", left=30.0) == b"202"
+    until = courier.runtime.journal.texts["a"].until
+    courier.kill()
     system.step = step
     system.told["boot"].append("ENFILE")
-    back = CourierFixture(tmp_path, clock=Clock(house.loop.now()), endpoint=house.endpoint, system=system)
-    assert back.runtime.journal.texts["a"].until == pytest.approx(until, abs=100.0)
+    restarted = CourierFixture(
+        tmp_path, clock=Clock(courier.loop.now()), endpoint=courier.endpoint, system=system
+    )
+    assert restarted.runtime.journal.texts["a"].until == pytest.approx(until, abs=100.0)
 
 
 def test_a_journal_that_cannot_be_read_for_a_moment_is_not_taken_for_an_empty_one(tmp_path):
-    house = CourierFixture(tmp_path)
-    assert house.post("a", left=60.0) == b"202"
-    house.kill()
+    courier = CourierFixture(tmp_path)
+    assert courier.post("a", left=60.0) == b"202"
+    courier.kill()
     system = ForcedFaults()
     system.pause = lambda span: None
     system.told["read"].extend(["EIO", "ENFILE"])
-    back = CourierFixture(tmp_path, clock=Clock(house.loop.now()), endpoint=house.endpoint, system=system)
-    assert set(back.runtime.journal.texts) == {"a"}
-    assert isinstance(back.runtime.journal, Journal) and system.met["read"] == 2
+    restarted = CourierFixture(
+        tmp_path, clock=Clock(courier.loop.now()), endpoint=courier.endpoint, system=system
+    )
+    assert set(restarted.runtime.journal.texts) == {"a"}
+    assert isinstance(restarted.runtime.journal, Journal) and system.met["read"] == 2
 
 
 def test_a_start_without_a_descriptor_for_its_signals_waits_for_one_and_hears_what_came(monkeypatch):
@@ -124,43 +128,43 @@
 
 
 def test_a_reload_that_the_system_refuses_is_tried_again(tmp_path):
-    house = CourierFixture(tmp_path)
-    post, refused = replace(house.posts[0], disk=6_000_000), ["ENFILE", "EIO"]
-    read = house.again
-    house.again = lambda: (_ for _ in ()).throw(fault(refused.pop())) if refused else read()
-    house.posts.append(post)
-    most = house.runtime.journal.most
+    courier = CourierFixture(tmp_path)
+    post, refused = replace(courier.posts[0], disk=6_000_000), ["ENFILE", "EIO"]
+    read = courier.again
+    courier.again = lambda: (_ for _ in ()).throw(fault(refused.pop())) if refused else read()
+    courier.posts.append(post)
+    limit = courier.runtime.journal.most
     os.kill(os.getpid(), signal.SIGHUP)
-    spin(house.loop, lambda: len(refused) == 1)
+    spin(courier.loop, lambda: len(refused) == 1)
     for _ in range(3):
-        house.loop.now.now += AGAIN
+        courier.loop.now.now += AGAIN
         for _ in range(3):
-            house.loop.once(house.loop.now())
-    assert not refused and house.runtime.journal.most == 2 * most
+            courier.loop.once(courier.loop.now())
+    assert not refused and courier.runtime.journal.most == 2 * limit
 
 
 def test_a_reload_that_is_refused_for_long_ends_and_the_next_signal_begins_anew(tmp_path):
-    house = CourierFixture(tmp_path)
-    asked = []
+    courier = CourierFixture(tmp_path)
+    attempts = []
 
     def refuse():
-        asked.append(house.loop.now())
+        attempts.append(courier.loop.now())
         raise fault("EIO")
 
-    house.again = refuse
+    courier.again = refuse
     os.kill(os.getpid(), signal.SIGHUP)
-    spin(house.loop, lambda: asked)
+    spin(courier.loop, lambda: attempts)
     for _ in range(100):
-        house.loop.now.now += AGAIN
-        house.loop.once(house.loop.now())
-    assert RELOAD_PATIENCE - AGAIN <= asked[-1] - asked[0] <= RELOAD_PATIENCE + AGAIN
-    before = len(asked)
+        courier.loop.now.now += AGAIN
+        courier.loop.once(courier.loop.now())
+    assert RELOAD_RETRY_LIMIT - AGAIN <= attempts[-1] - attempts[0] <= RELOAD_RETRY_LIMIT + AGAIN
+    before = len(attempts)
     os.kill(os.getpid(), signal.SIGHUP)
-    spin(house.loop, lambda: len(asked) > before)
+    spin(courier.loop, lambda: len(attempts) > before)
 
 
 def test_a_watched_list_that_cannot_be_read_just_now_is_read_with_the_next_look(tmp_path):
-    path, heard, faults = tmp_path / "list", [], ["ENFILE"]
+    path, lists, faults = tmp_path / "list", [], ["ENFILE"]
     path.write_text("old")
 
     def load(_):
@@ -169,14 +173,14 @@
         return [path.read_text()]
 
     loop = Loop(now=Clock())
-    ListFile(loop, str(path), load, lambda places, whole: heard.append(places))
+    ListFile(loop, str(path), load, lambda places, whole: lists.append(places))
     loop.once(loop.now())
     path.unlink()
     path.write_text("newer")
     for _ in range(2):
         loop.now.now += LOOK
         loop.once(loop.now())
-    assert heard == [["newer"]]
+    assert lists == [["newer"]]
 
 
 def test_a_source_of_a_node_that_cannot_be_read_just_now_is_read_with_the_next_look(tmp_path):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,20 +14,20 @@
 ABSENT = object()
 
 
-def with_(path, value):
-    told = json.loads(json.dumps(terms()))
-    table, *steps = told, *(int(step) if step.isdigit() else step for step in path.split("."))
+def changed_settings(path, value):
+    settings = json.loads(json.dumps(terms()))
+    table, *steps = settings, *(int(step) if step.isdigit() else step for step in path.split("."))
     for step in steps[:-1]:
         table = table[step]
     if value is ABSENT:
         del table[steps[-1]]
     else:
         table[steps[-1]] = value
-    return told
+    return settings
 
 
 @pytest.mark.parametrize(
-    "path,value,named",
+    "path,value,message",
     [
         (
             "grades.1.idempotency",
@@ -61,27 +61,28 @@
     ],
 )
 def test_what_cannot_be_read_by_its_meaning_is_refused_by_its_place(
-    path, value, named, tmp_path, monkeypatch, capsys
+    path, value, message, tmp_path, monkeypatch, capsys
 ):
     """Most of these once ended in a fault in the middle of a day, or kept every message to its end without
     a call.
     """
-    told = with_(path, value)
+    settings = changed_settings(path, value)
     with pytest.raises(ValueError) as fault:
-        check(told)
-    assert str(fault.value).startswith(named) and "\n" not in str(fault.value)
+        check(settings)
+    assert str(fault.value).startswith(message) and "\n" not in str(fault.value)
     (tmp_path / "c.json").write_text(
-        json.dumps({"listen": "127.0.0.1:1", "state": str(tmp_path), "settings": told})
+        json.dumps({"listen": "127.0.0.1:1", "state": str(tmp_path), "settings": settings})
     )
     monkeypatch.setattr("os.environ", {"LB_CONFIG": str(tmp_path / "c.json")})
     assert main(SignalReader()) == 2 and capsys.readouterr().err.strip() == str(fault.value)
 
 
 @pytest.mark.parametrize(
-    "told", [{}, [], {"listen": "127.0.0.1:1", "state": "x"}, {"listen": "127.0.0.1:1", "settings": terms()}]
+    "settings",
+    [{}, [], {"listen": "127.0.0.1:1", "state": "x"}, {"listen": "127.0.0.1:1", "settings": terms()}],
 )
-def test_a_file_that_lacks_what_a_start_needs_is_a_plain_refusal(told, tmp_path, monkeypatch, capsys):
-    (tmp_path / "c.json").write_text(json.dumps(told))
+def test_a_file_that_lacks_what_a_start_needs_is_a_plain_refusal(settings, tmp_path, monkeypatch, capsys):
+    (tmp_path / "c.json").write_text(json.dumps(settings))
     monkeypatch.setattr("os.environ", {"LB_CONFIG": str(tmp_path / "c.json")})
     assert main(SignalReader()) == 2
     assert str(tmp_path / "c.json") in (line := capsys.readouterr().err.strip()) and "\n" not in line
@@ -119,12 +120,12 @@
     """Each message still ends, through refusals, silence and answers; a cold time or a span of 0 once
     stopped every turn by a fault.
     """
-    check(told := with_(path, value))
-    house = Facade(7, told, 8, 0.0)
-    house.listed([place()], True)
+    check(settings := changed_settings(path, value))
+    facade = Facade(7, settings, 8, 0.0)
+    facade.listed([place()], True)
     for number in range(6):
-        house.hand_in(text(str(number), number % 3))
-    said = [
+        facade.hand_in(text(str(number), number % 3))
+    results = [
         Answer(Far.SENT, late=True),
         Answer(Far.ANSWERED, status=429, wait=100.0),
         Answer(Far.UNCONNECTED),
@@ -133,12 +134,12 @@
     ]
     ends, now = [], 0.0
     for step in range(500):
-        house.tick(now)
-        while call := house.pick():
+        facade.tick(now)
+        while call := facade.pick():
             for one in call.texts:
                 one.went_out(now, call.place.zone)
-            house.report(call, said[step % 5], 50.0)
-        while end := house.ended():
+            facade.report(call, results[step % 5], 50.0)
+        while end := facade.ended():
             ends.append(end.text.ident)
         now += 50.0
     assert sorted(ends) == [str(number) for number in range(6)]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -9,7 +9,7 @@
 from courier_helper import place, text
 from helper import Clock, free_address
 
-from calicopin.deployment_settings import check, partners, product, pushed, reports
+from calicopin.deployment_settings import check, load_columns, partners, product, pushed
 from calicopin.facade import Answer, Facade, Far
 from calicopin.interface import Repeat
 from calicopin.lifecycle.signals import SignalReader
@@ -17,16 +17,16 @@
 from calicopin.wire.loop import Loop
 
 SITES = sorted((pathlib.Path(__file__).parent.parent / "deploy" / "sites").glob("*.toml"))
-REPEATS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+IDEMPOTENCY_BY_EFFECT = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
 
-def told(site):
+def settings_of(site):
     """A site file's terms in the form in which a courier is told them, with the most of each range."""
     family, allow, rules, tier = site["fam"], site["allow"], site["rules"], site["tier"][0]
     grades = [
         dict(
             name=one["name"],
-            idempotency=REPEATS[one["effect"]],
+            idempotency=IDEMPOTENCY_BY_EFFECT[one["effect"]],
             aim=one["aim_ms"] / 1e3,
             giveUp=one["deadline_ms"] / 1e3,
             points=one["worth"],
@@ -76,21 +76,21 @@
 
 
 def test_a_variant_is_read_and_its_messages_end(site):
-    settings = told(site)
+    settings = settings_of(site)
     check(settings)
-    house = Facade(7, settings, 8, 0.0)
-    house.listed([place()], True)
+    facade = Facade(7, settings, 8, 0.0)
+    facade.listed([place()], True)
     assert len(partners(settings)) >= len(site["fam"]["kind"]) and 20 <= settings["groupSize"] <= 30
     for number, grade in enumerate(settings["grades"]):
-        house.hand_in(text(str(number), number, until=grade["giveUp"] * 1000.0))
+        facade.hand_in(text(str(number), number, until=grade["giveUp"] * 1000.0))
     ends, now = [], 0.0
     while now < 30000.0:
-        house.tick(now)
-        while call := house.pick():
+        facade.tick(now)
+        while call := facade.pick():
             for one in call.texts:
                 one.went_out(now, call.place.zone)
-            house.report(call, Answer(Far.SENT, late=True), 50.0)
-        while end := house.ended():
+            facade.report(call, Answer(Far.SENT, late=True), 50.0)
+        while end := facade.ended():
             ends.append((end.text.product, end.verdict))
         now += 25.0
     once = {
@@ -112,18 +112,18 @@
         256,
         3_000_000,
         {"version": 0, "full": True, "servers": []},
-        told(site),
+        settings_of(site),
     )
     runtime = build(post, loop, SignalReader(), lambda: post)
-    assert runtime.facade.room == site["fam"]["least_open"] and not runtime.stuck
+    assert runtime.facade.max_texts == site["fam"]["least_open"] and not runtime.stuck
 
 
 def test_the_variants_have_what_the_users_deployments_have_not():
-    sites = {path.stem: told(tomllib.loads(path.read_text())) for path in SITES}
-    alone, many = sites["tromso-permits"], sites["cusco-alerts"]
-    assert [product(grade, "linear").repeat for grade in alone["grades"]] == [Repeat.ONCE_ONLY]
-    assert not pushed(alone) and not reports(alone) and pushed(many) and reports(many)
+    settings = {path.stem: settings_of(tomllib.loads(path.read_text())) for path in SITES}
+    permits, alerts = settings["tromso-permits"], settings["cusco-alerts"]
+    assert [product(grade, "linear").repeat for grade in permits["grades"]] == [Repeat.ONCE_ONLY]
+    assert not pushed(permits) and not load_columns(permits) and pushed(alerts) and load_columns(alerts)
     assert (
-        min(grade["giveUp"] for grade in many["grades"]) <= 1.2
-        and min(grade["keyTtl"] for grade in many["grades"] if grade["keyTtl"]) == 1.0
+        min(grade["giveUp"] for grade in alerts["grades"]) <= 1.2
+        and min(grade["keyTtl"] for grade in alerts["grades"] if grade["keyTtl"]) == 1.0
     )
