--- a/calicopin/__init__.py
+++ b/calicopin/__init__.py
@@ -1,1 +1,1 @@
-"""calicopin: a courier that carries texts to many outside destinations."""
+"""calicopin: a courier that delivers texts (requests) to many outside destinations."""
--- a/calicopin/__main__.py
+++ b/calicopin/__main__.py
@@ -1,6 +1,6 @@
-"""The courier on sockets, told by the platform's variables: `python -m calicopin`.
+"""Entry point, `python -m calicopin`: a courier configured by environment variables, or the command line.
 
-With words behind it, the command line.
+The command line runs if there are arguments or `LB_CONFIG` is not set.
 """
 
 import os
@@ -8,18 +8,16 @@
 
 from calicopin.lifecycle.signals import SignalReader
 
-EXIT_UNUSABLE = 2  # as for everything that cannot be read
+EXIT_UNUSABLE = 2  # also for configurations that cannot be read
 OPERATOR_LIBRARIES = (
     "click",
     "msgspec",
     "tomli_w",
-)  # the command line and operators' files need them, a courier doesn't
+)  # needed by the command line and configuration files, not by a courier
 
 
 def main():
-    """Serves as a courier where the platform's variables ask for it, else runs the command line; returns
-    the exit code.
-    """
+    """Runs a courier or the command line; returns the exit code."""
     try:
         if len(sys.argv) > 1 or "LB_CONFIG" not in os.environ:
             return run_command_line()
@@ -36,15 +34,15 @@
 
 
 def run_command_line():
-    """The command line on this process's words; ends the process itself."""
+    """Runs the command line on the arguments of this process; exits the process itself."""
     from calicopin.command.__main__ import main as command
 
     return command(prog_name="calicopin")
 
 
 def run_courier():
-    """A courier until a signal ends it; returns the exit code."""
-    signal_reader = SignalReader()  # before the rest is read in, which takes its time
+    """Runs a courier until a signal stops it; returns the exit code."""
+    signal_reader = SignalReader()  # before the slow imports below, so that no signal is lost
     from calicopin.lifecycle.log_import import load_logging
 
     load_logging()
--- a/calicopin/deployment_settings.py
+++ b/calicopin/deployment_settings.py
@@ -1,6 +1,6 @@
-"""The terms of a deployment, read at start: the one reader for the adapter and for the courier on sockets.
+"""Reads the settings of a deployment into `CourierSettings`, for the simulator adapter and the courier.
 
-Nothing here decides anything; keys that are not known are passed over.
+Unknown keys are ignored.
 """
 
 from itertools import count
@@ -16,7 +16,7 @@
 
 
 class Indices:
-    """Gives each outside id a small index, in the order of arrival; none is given twice."""
+    """Maps external ids to small integers, in the order of arrival; no integer is reused."""
 
     def __init__(self, idents=()):
         self.index, self.ident, self.next = {}, {}, count()
@@ -24,25 +24,25 @@
             self(ident)
 
     def __call__(self, ident):
-        """The number of an id; a new one where it has none yet."""
+        """Returns the number of an id, and assigns the next one to an unknown id."""
         if ident not in self.index:
             self.index[ident] = number = next(self.next)
             self.ident[number] = ident
         return self.index[ident]
 
     def forget(self, ident):
-        """Drops an id and its number; KeyError where it is not known."""
+        """Removes an id and its number; raises KeyError for an unknown id."""
         del self.ident[self.index.pop(ident)]
 
 
-REQUIRED_MINIMUMS = {  # what has to be there, with the least that can be served
+REQUIRED_MINIMUMS = {  # required keys by section, with the smallest supported value
     "": {"slotNo": 0, "groupSize": 1, "tick": 0.0},
     "familyInfo": {"workers": 1},
     "ceilings": {"mostHeld": 1, "tryLimit": 1},
     "rules": {"coldFrom": 0.0, "cold": 0.0, "tipMultiple": 0.0, "fall": 0.0},
     "grades": {"aim": 1e-3, "giveUp": 1e-3},
 }
-OPTIONAL_MINIMUMS = {  # what may be absent or null
+OPTIONAL_MINIMUMS = {  # keys that may be absent or null
     "ceilings": {"connectTimeout": 0.0, "idleClose": 0.0, "maxRetryAfter": 0.0},
     "rules": {"orderSettle": 0.0, "askWithin": 0.0},
     "grades": {"points": 0.0, "lateWorth": 0.0, "keyTtl": 0.0},
@@ -50,13 +50,14 @@
 
 
 def check(settings):
-    """Raises ValueError with the place of the first setting that cannot be read by its meaning: another
-    customer's settings are refused by name at the start, and not met by chance in the middle of a day.
+    """Raises ValueError with the path of the first invalid setting.
+
+    Invalid settings are refused at startup, before they can fail a courier that is running.
     """
 
     def require_table(value, place):
         if not isinstance(value, dict):
-            raise ValueError(f"{place}: {value!r:.40} is no table of settings")
+            raise ValueError(f"{place}: {value!r:.40} is not a table of settings")
         return value
 
     def check_numbers(values, prefix, section):
@@ -71,7 +72,7 @@
                 or not isinstance(value, (int, float))
                 or not least <= value < float("inf")
             ):
-                raise ValueError(f"{prefix}{key}: {value!r:.40} is no number from {least:g} up")
+                raise ValueError(f"{prefix}{key}: {value!r:.40} is not a number of at least {least:g}")
 
     check_numbers(require_table(settings, "settings"), "settings.", "")
     for section in ("familyInfo", "ceilings", "rules"):
@@ -80,16 +81,16 @@
         )
     grades = settings.get("grades")
     if not isinstance(grades, list) or not grades:
-        raise ValueError("settings.grades: there has to be one at least")
+        raise ValueError("settings.grades: at least one grade is required")
     names = set()
     for position, grade in enumerate(grades):
         place = f"settings.grades[{position}]"
         name, repeat = require_table(grade, place).get("name"), grade.get("idempotency")
         if not isinstance(name, str) or not name or name in names:
-            raise ValueError(f"{place}.name: {name!r:.40} is no name of its own")
+            raise ValueError(f"{place}.name: {name!r:.40} is not a unique name")
         if repeat not in REPEAT_BY_IDEMPOTENCY:
             raise ValueError(
-                f"{place}.idempotency: {repeat!r:.40} is none of {', '.join(REPEAT_BY_IDEMPOTENCY)}"
+                f"{place}.idempotency: {repeat!r:.40} is not one of {', '.join(REPEAT_BY_IDEMPOTENCY)}"
             )
         names.add(name)
         check_numbers(grade, f"{place}.", "grades")
@@ -98,12 +99,12 @@
 
 
 def milliseconds(value):
-    """Seconds as milliseconds; 0 where nothing is told."""
+    """Converts seconds to milliseconds; None gives 0."""
     return (value or 0.0) * 1000.0
 
 
 def product(grade, fades):
-    """One entry of `grades` in our words."""
+    """Builds a `Product` from one entry of `grades`."""
     return Product(
         repeat=REPEAT_BY_IDEMPOTENCY[grade["idempotency"]],
         sla=milliseconds(grade["aim"]),
@@ -118,7 +119,7 @@
 
 
 def partners(settings):
-    """What holds for each kind of destination."""
+    """The `Partner` of each kind of destination, in the order of `kinds`."""
     family = settings["familyInfo"]
     apart, bundles = family.get("ownLimits") or [], family.get("bundleMax") or []
     kinds = max(len(settings.get("kinds") or []), len(apart), len(bundles), 1)
@@ -132,31 +133,27 @@
 
 
 def lists_agreed_rates(settings):
-    """Whether the list tells the rate that a destination takes."""
+    """Whether list entries carry the call rate agreed with the destination."""
     return settings.get("weights") in ("nominal", "rough", "live")
 
 
 def pushed(settings):
-    """Whether an agent beside the courier is sent the list, and answers at once and at no cost with what
-    it has.
-    """
+    """Whether a local agent receives the list, so that asking it is immediate and free."""
     return settings.get("discovery") != "ask"
 
 
 def gives_back(ceilings):
-    """Whether idle connections are given back: unless it says otherwise, wherever partners keep them at
-    all.
-    """
+    """Whether surplus idle connections are closed; by default, if `idleClose` is set."""
     return bool(ceilings.get("giveBack", ceilings.get("idleClose")))
 
 
 def load_columns(settings):
-    """The columns of the load that endpoints report, in their order; empty where they report none."""
+    """The names of the load values that endpoints report, in order; empty if they report none."""
     return (settings.get("loadInfo") or {}).get("columns") or []
 
 
 def courier(seed, settings, **overrides):
-    """A courier from the settings; `other` stands in for what is given differently."""
+    """Builds a courier from the settings; `overrides` replaces fields of `CourierSettings`."""
     family, ceilings, rules = settings["familyInfo"], settings["ceilings"], settings["rules"]
     values = dict(
         seed=seed,
@@ -170,7 +167,7 @@
         partners=partners(settings),
         fail_back=FailBack(
             cold_from=rules["coldFrom"],
-            cold=max(1.0, milliseconds(rules["cold"])),  # 0: over at once
+            cold=max(1.0, milliseconds(rules["cold"])),  # 0: ends at once
             multiple=rules["tipMultiple"],
             span=max(1.0, milliseconds(rules["fall"])),
         ),
--- a/calicopin/drill/__init__.py
+++ b/calicopin/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The former name of `calicopin.simulator_adapter`, kept for deploy files that name `calicopin.drill`."""
+"""Alias of `calicopin.simulator_adapter`, kept for deploy files that use this former name."""
--- a/calicopin/drill/__main__.py
+++ b/calicopin/drill/__main__.py
@@ -1,4 +1,4 @@
-"""Runs `calicopin.simulator_adapter` for deploy files that still name `python -m calicopin.drill`."""
+"""Runs `calicopin.simulator_adapter`, for deploy files that still use `python -m calicopin.drill`."""
 
 import sys
 
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -1,6 +1,7 @@
-"""The decisions in blocking style: hand in, report, tick, then pick what is to be called and read what ended.
+"""Method-call interface to the decisions: texts and results of calls go in, calls and final answers come out.
 
-The code around it never sees the module's events or actions. Nothing here decides anything.
+`Facade` translates between methods and the events and actions of `decisions.Courier`, and between the
+caller's ids and the small integers that the decisions use. It takes no decisions itself.
 """
 
 import re
@@ -32,28 +33,31 @@
 )
 from calicopin.slow_start import COLD, OUT, WELL
 
-DESTINATION_NAME = re.compile(r"^destination (\d+)")  # as the decisions name one in their lines
+DESTINATION_NAME = re.compile(r"^destination (\d+)")  # how the decisions name a destination in log lines
 
 
 class Far(IntEnum):
-    """How far a submit had come when it ended."""
+    """The stage that a submit had reached when it ended."""
 
-    CALLED_OFF = 0  # it took its time to connect, and then was no longer wanted
-    UNCONNECTED = 1
-    UNSENT = 2  # its last byte was not written
-    SENT = 3
+    CALLED_OFF = 0  # cancelled before anything was sent
+    UNCONNECTED = 1  # the connection could not be established
+    UNSENT = 2  # the last byte of the request was not written
+    SENT = 3  # the request was written, no complete answer was read
     ANSWERED = 4
 
 
 @dataclass(slots=True)
 class Answer:
-    """How one call ended. `ends` holds what a bulk answer says of each text."""
+    """The result of one call.
+
+    `late` marks a time-out; `wait` is the wait in ms that the answer asked for; `no_slot` is set where a
+    header says that the endpoint had no free slot; `load` holds the reported load by column; `ends` holds
+    the state of each text by id, from the body of a bulk answer (None for a single text).
+    """
 
     far: Far
     late: bool = False
-    gone: bool = (
-        False  # its connection was gone before the call: no fault of the endpoint's, yet it may have run
-    )
+    gone: bool = False  # closed before the call: not the endpoint's failure, but the submit may have run
     status: int = 0
     wait: float = 0.0
     no_slot: bool = False
@@ -63,7 +67,7 @@
 
 @dataclass(slots=True)
 class Place:
-    """One line of the list, in our words."""
+    """One endpoint of the server list; a handover sends it by `asdict`."""
 
     ident: str
     address: str
@@ -77,26 +81,29 @@
 
 @dataclass(slots=True)
 class Call:
-    """One call to make, with the texts that share it."""
+    """One call to make, with the texts that it carries; `timeout` is in ms."""
 
     place: Place
     texts: list
     timeout: float
     endpoint: int = -1
-    told: bool = False  # whether an outcome was reported, and with what wait
-    waited: float = 0.0
-    open: set = field(default_factory=set)  # texts of which nothing was reported yet
+    told: bool = False  # whether an outcome was reported
+    waited: float = 0.0  # the longest wait reported so far, in ms
+    open: set = field(default_factory=set)  # numbers of the texts without a reported outcome
 
     @property
     def valid_until(self) -> float:
-        """When the time of the first of its texts is up, in ms of the loop's clock."""
+        """When the validity period of the first of its texts ends, in ms of the loop's clock."""
         return min(text.until for text in self.texts)
 
 
 @dataclass(slots=True)
 class End:
-    """The one final answer of a text: delivered, over, or a notice with what it says and why (for the
-    log)."""
+    """The final answer of a text, given once.
+
+    `verdict` is the result that the notice names, None where no notice is owed; `wait` is the time in ms
+    after which the client may send the text again; `why` is for the log.
+    """
 
     text: object
     verdict: str | None
@@ -113,7 +120,7 @@
     410: How.NOT_SENT,
     400: How.NOT_SENT,
     413: How.NOT_SENT,
-}  # any other may have run
+}  # after any other status the submit may have run
 OUTCOMES_BY_TEXT_STATE = {
     "delivered": How.DELIVERED,
     "failed": How.ERROR,
@@ -124,7 +131,7 @@
 
 
 def how(answer, ident):
-    """The outcome of one text, and whether nothing more is owed for it."""
+    """Returns the outcome of the text `ident` and whether its processing ends with it."""
     if answer.far == Far.CALLED_OFF:
         return How.NOT_SENT, False
     if answer.far <= Far.UNSENT:
@@ -140,7 +147,11 @@
 
 
 class Facade:
-    """The decisions in blocking style: texts and news go in, calls and ends come out. Times are ms."""
+    """Method-call interface to one `decisions.Courier`. Times are ms of the loop's clock.
+
+    The caller passes in texts, list updates and results of calls, calls `tick`, and then drains the queues:
+    `pick`, `back`, `ended`, `given_back` and `said`.
+    """
 
     def __init__(self, seed, settings, slots, now, restarted=False):
         self.partners = deployment_settings.partners(settings)
@@ -154,11 +165,11 @@
         restart = {"restarted": now} if restarted else {}
         self.module = deployment_settings.courier(seed, settings, slots=slots, asks=False, **restart)
         self.max_texts = settings["ceilings"]["mostHeld"]
-        self.awaited = 0  # messages that wait for the first answer on their destination
+        self.awaited = 0  # requests that wait for the first list of their destination
         self.texts, self.places, self.events = {}, {}, []
-        self.places_of = {}  # the numbers of the endpoints that are listed, by destination
-        self.dropped_dests = []  # destinations that are known no more, until the journal has heard of it
-        self.unlisted = {}  # the numbers of endpoints that may be known to nobody any more
+        self.places_of = {}  # numbers of the listed endpoints, by destination id
+        self.dropped_dests = []  # forgotten destinations not yet returned by dropped_destinations
+        self.unlisted = {}  # numbers of endpoints that may be unused by now
         self.calls, self.returned_texts, self.final_answers, self.log_lines, self.endpoints_to_close = (
             deque(),
             deque(),
@@ -169,20 +180,20 @@
         self.next_number, self.wake = 0, None
         self.tick(now)
 
-    # What comes in.
+    # Input.
 
     def full(self):
-        """Whether as many texts are held as the settings allow."""
+        """Whether the limit on texts from the settings is reached."""
         return len(self.texts) + self.awaited >= self.max_texts
 
     def advice(self, text):
-        """The milliseconds after which a text that is turned away may come again (0: none told)."""
-        if text.dest not in self.dests.index:  # nothing is known of it, and nothing is to be kept for it
+        """The ms after which a text that is turned away may be sent again; 0: no advice."""
+        if text.dest not in self.dests.index:  # creates no state for an unknown destination
             return self.module.registry.advice
         return self.module.advice(self.dests(text.dest))
 
     def hand_in(self, text, restored=False):
-        """A new text, or one that a restart brought back."""
+        """Adds a new text, or one restored after a restart."""
         text.number, self.next_number = self.next_number, self.next_number + 1
         self.texts[text.number] = text
         zone = None if text.ran_zone is None else self.zones(text.ran_zone)
@@ -201,23 +212,27 @@
         )
 
     def restore_route(self, dest, endpoint, state, continuous):
-        """What the last process knew of a route (`endpoint` None: of the whole destination); `continuous`
-        says whether the monotonic clock has gone on since."""
+        """Restores what the previous process knew of a route (`endpoint` None: of the whole destination).
+
+        `continuous` says whether the monotonic clock has kept running since, that is, without a reboot.
+        """
         number = None if endpoint is None else self.endpoints(endpoint)
         self.events.append(RouteState(self.dests(dest), number, state, continuous))
 
     def interrupted(self, dest):
-        """A call of the last process to that destination was still out when that ended."""
+        """Reports that a call to the destination was in progress when the previous process ended."""
         self.events.append(Interrupted(self.dests(dest)))
 
     def dropped_destinations(self):
-        """The destinations of which nothing is known any more since this was asked last."""
+        """Returns the destinations that were forgotten since the last call of this method."""
         dropped, self.dropped_dests = self.dropped_dests, []
         return dropped
 
     def changed_routes(self):
-        """(destination, endpoint or None, state or None) of each route of which the next process has to know
-        something else than it had to so far; a state of None: nothing."""
+        """Yields (destination, endpoint or None, state or None) of each route whose persisted state changed.
+
+        A state of None means that nothing has to be persisted any more.
+        """
         changed, self.module.scheduler.touched = self.module.scheduler.touched, {}
         for route in changed:
             dest, endpoint = route.key
@@ -230,17 +245,20 @@
                 )
 
     def overran(self):
-        """The names of routes that were sent more than slow start allows since this was asked last."""
+        """Names of the routes that exceeded their slow-start limit since the last call of this method."""
         names, self.module.scheduler.overran = self.module.scheduler.overran, []
         return [self._with_destination_id(name) for name in names]
 
     def endpoint_of(self, call):
-        """What the decisions know of a call's target, or None."""
+        """The decisions' record of the endpoint of a call, or None."""
         return self.module.endpoints.get(call.endpoint)
 
     def unknown(self, texts, routes, now):
-        """The names of what the decisions do not know: of texts that are held, and of routes by destination
-        and endpoint that were in an outage and are not warm by now."""
+        """Names of what a restart should have restored but the decisions do not know.
+
+        These are texts that are held, and routes, by (destination, endpoint), whose outage or slow start has
+        not ended at `now`.
+        """
         known_texts, names = self.module.registry.texts, []
         for text in texts:
             if text.number in self.texts and text.number not in known_texts:
@@ -255,22 +273,25 @@
         return names
 
     def withdraw(self, text):
-        """Nothing more is owed for it."""
+        """Drops a text whose client has left; no answer is owed for it."""
         if self.texts.pop(text.number, None):
             self.events.append(Withdrawn(text.number))
             self.final_answers.append(End(text, None, why="its client has left"))
 
     def hand_back(self):
-        """What waits and does no harm elsewhere ends as nacked."""
+        """Nacks every waiting text that is safe to send elsewhere; used by a drain."""
         self.events.append(Emptied())
 
     def serves(self, dest):
-        """Whether the destination was ever listed."""
+        """Whether the destination is known."""
         return dest in self.dests.index
 
     def listed(self, places, whole):
-        """News of the list; what has left is forgotten once the decisions have no more use for it. Returns
-        the number of each endpoint that is named, with its place as it was before, or None."""
+        """Applies an update of the server list; `whole` replaces the list.
+
+        Endpoints that left are forgotten once the decisions no longer use them. Returns, by the number of
+        each endpoint in the update, its former place or None.
+        """
         entries, before, former = [], self.places, {}
         if whole:
             self.places, self.places_of = {}, {}
@@ -311,19 +332,21 @@
         return place
 
     def _forget_unlisted(self, before):
-        """Endpoints that are not listed, were not in the list before this one, and that the decisions do not
-        know."""
+        """Forgets endpoints that are not listed, were not in the list `before`, and that the decisions do not
+        use."""
         for number in list(self.unlisted):
             if number not in self.places and number in before:
-                continue  # the next news tells
+                continue  # checked again with the next update
             del self.unlisted[number]
             in_use = number in self.places or number in self.module.endpoints
             if not in_use and number in self.endpoints.ident:
                 self.endpoints.forget(self.endpoints.ident[number])
 
     def release(self, dest):
-        """The destination is used no more: what is known of it goes once the decisions have no more use for
-        it. Returns its endpoints as they were listed."""
+        """Stops using a destination; its state is forgotten once the decisions no longer use it.
+
+        Returns its endpoints as they were listed.
+        """
         numbers = list(self.places_of.get(dest, ()))
         self.unlisted |= dict.fromkeys(numbers)
         if dest in self.dests.index:
@@ -331,8 +354,7 @@
         return [self._remove_place(number) for number in numbers]
 
     def in_use(self, dest):
-        """Whether a message for the destination is held: in its queue, out, or handed in since the last
-        tick."""
+        """Whether a text for the destination is queued, in a call, or added since the last tick."""
         number = self.dests.index.get(dest)
         known = self.module.dests.get(number)
         return (known is not None and bool(known.queue or known.held)) or any(
@@ -340,11 +362,11 @@
         )
 
     def destinations(self):
-        """All destinations of which something is known."""
+        """All known destinations."""
         return list(self.dests.index)
 
     def report(self, call, answer, elapsed):
-        """How a call ended. What had its outcome before is passed over."""
+        """Reports the result of a call after `elapsed` ms; texts that have an outcome already are skipped."""
         load = {column: answer.load.get(column) for column in self.load_columns}
         for text in call.texts:
             if text.number in call.open:
@@ -353,7 +375,7 @@
         if answer.wait > call.waited:
             if (
                 not call.open and call.told
-            ):  # the head came whole only after the first line had told the outcome
+            ):  # the status line gave the outcome; the wait came later, with the headers
                 self.module.halt(call.endpoint, answer.wait)
             call.waited = answer.wait
         call.told = True
@@ -372,16 +394,14 @@
             self.final_answers.append(End(text, None, delivered=delivered, why=why))
 
     def avoided(self):
-        """How many of the listed endpoints are in an outage as far as is known: next to nothing is sent
-        there.
-        """
+        """The number of listed endpoints in an outage; these get next to no calls."""
         known = self.module.endpoints
         return sum(number in known and known[number].route.mode == "out" for number in self.places)
 
     def state(self):
-        """What is known of each destination that was ever listed: as on-call staff would ask for it.
+        """The state of each known destination, for on-call staff.
 
-        Rates are calls a second, times milliseconds.
+        `pace` is in calls per second, times are in milliseconds.
         """
         states = []
         for ident, number in self.dests.index.items():
@@ -402,10 +422,10 @@
             )
         return states
 
-    # The module's turn.
+    # Processing and output.
 
     def tick(self, now):
-        """Everything that came in since the last tick is decided; returns when the next one is due."""
+        """Processes all input since the last tick; returns when the next tick is due (inf: no timer)."""
         if self.wake and self.wake[0] <= now:
             self.events.append(Woken(self.wake[1]))
             self.wake = None
@@ -442,15 +462,16 @@
                 self.log_lines.append(action.line)
 
     def _submit(self, now, action, shared):
-        """Submits of one tick to one endpoint travel as one call, as far as the settings allow.
+        """Adds a submit to a call; submits of one tick to one endpoint share a call, up to the bundle size.
 
-        The first of their time-outs ends the whole call. Guards the one final answer: a text whose time was
-        up while its call went on for the others might yet have run, and an endpoint that sees its time up may
-        let go of all of them. A text that went again meanwhile would be a second copy, and one behind a text
-        of its key out of turn. It may hurt where much shares calls near its end.
+        The earliest time-out among the texts ends the whole call, so that each text gets one final answer. If
+        the call went on for the others, a text whose time is up might still run, and an endpoint that sees
+        it expired may drop all of them; a resent text would then be a second copy, and a text behind it with
+        the same key would be sent out of order. The cost: a shared call is cut
+        short by the text that is closest to its end.
         """
         text, place = self.texts.get(action.text), self.places[action.endpoint]
-        if text is None:  # withdrawn meanwhile
+        if text is None:  # withdrawn in the meantime
             self.events.append(Outcome(action.text, action.endpoint, How.NOT_SENT, ended=True))
             return
         bundle = self.partners[min(self.kinds(place.kind), len(self.partners) - 1)].bundle
@@ -463,31 +484,31 @@
         call.timeout = min(call.timeout, action.timeout)
 
     def pause_calls(self, paused):
-        """Whether no call can be made from now on; messages wait, and those whose time is up end."""
+        """Stops or resumes all calls; while stopped, texts wait in their queues and still expire."""
         self.events.append(CallsPaused(paused))
 
     def pick(self):
-        """The next call to make, or None."""
+        """Returns the next call to make, or None."""
         return self.calls.popleft() if self.calls else None
 
     def still(self, call, now):
-        """Whether a call that was picked and took its time to connect may begin now."""
+        """Whether a picked call may still be sent, once its connection is established."""
         return bool(self.module.still(now, call.endpoint, [text.number for text in call.texts]))
 
     def back(self):
-        """The next text whose submit came back without an end, and whether that may have run; or None."""
+        """Returns the next text that needs another submit, with whether the last may have run; or None."""
         return self.returned_texts.popleft() if self.returned_texts else None
 
     def ended(self):
-        """The next text that came to its end, or None."""
+        """Returns the next final answer, or None."""
         return self.final_answers.popleft() if self.final_answers else None
 
     def given_back(self):
-        """The next endpoint whose idle connections are of no more use, or None."""
+        """Returns the next endpoint whose idle connections should be closed, or None."""
         return self.endpoints_to_close.popleft() if self.endpoints_to_close else None
 
     def said(self):
-        """The next line for on-call staff, or None; destinations under the numbers of the list."""
+        """Returns the next log line for on-call staff, or None; destinations appear by their listed id."""
         return self._with_destination_id(self.log_lines.popleft()) if self.log_lines else None
 
     def _with_destination_id(self, line):
--- a/calicopin/fault_log.py
+++ b/calicopin/fault_log.py
@@ -1,19 +1,20 @@
-"""Faults in the log: one traceback for each kind in a while, else one line, and no more
-than one a second, which counts what was left out. Times are float milliseconds of the monotonic clock.
+"""Rate-limited logging of exceptions: per kind one line per second, one traceback per minute.
+
+Suppressed lines are counted in the next one. Times are float milliseconds of the monotonic clock.
 """
 
 from dataclasses import dataclass, field
 
 from loguru import logger
 
-TRACEBACK_INTERVAL_MS = 60_000.0  # ms until a kind of fault is told with its traceback again
-LINE_INTERVAL_MS = 1000.0  # ms between two lines on faults of one kind
-MAX_KINDS = 256  # that are told apart: kinds come from the code, so that only a loop of names reaches it
+TRACEBACK_INTERVAL_MS = 60_000.0  # between two tracebacks of one kind
+LINE_INTERVAL_MS = 1000.0  # between two lines of one kind
+MAX_KINDS = 256  # bounds memory; the kinds come from the code, so only generated event names reach it
 
 
 @dataclass(slots=True)
 class KindState:
-    """What was told of one kind of fault: when, and how many there were since the last line."""
+    """When exceptions of one kind were last logged, and how many were suppressed since then."""
 
     traceback_at: float = float("-inf")
     line_at: float = float("-inf")
@@ -21,13 +22,13 @@
 
 
 class FaultLog:
-    """Tells faults that no one foresaw. A kind is the event, the type of the fault and its errno."""
+    """Logs exceptions. A kind is an event, the exception type and its errno."""
 
     def __init__(self, now):
         self.now, self.kinds = now, {}
 
     def tell(self, event: str, message: str, fault: BaseException, **fields) -> None:
-        """One line at ERROR, with `event` and `fields`, or only a count; `message` names fields in braces."""
+        """Logs an unexpected exception at ERROR, or counts it; `message` names `fields` in braces."""
         kind = self._state_of(event, fault)
         with_traceback = self.now() >= kind.traceback_at + TRACEBACK_INTERVAL_MS
         if (
@@ -37,13 +38,13 @@
             kind.traceback_at = self.now()
 
     def tell_refusal(self, event: str, message: str, fault: OSError, **fields) -> None:
-        """The same for what the system refuses and the courier is made to meet: never with a traceback."""
+        """Logs an expected system error that the courier handles, without a traceback."""
         self._write_line(self._state_of(event, fault), event, message + ": {fault}", fault, False, fields)
 
     def _write_line(
         self, kind: KindState, event: str, message: str, fault, with_traceback: bool, fields: dict
     ) -> bool:
-        """Whether the line was written; else it is counted."""
+        """Writes a line, or counts it as suppressed; returns whether it was written."""
         now = self.now()
         if now < kind.line_at + LINE_INTERVAL_MS:
             kind.left_out += 1
--- a/calicopin/simulator_adapter/__init__.py
+++ b/calicopin/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that lets the bench drive the decisions: a codec for its wire, an instance for each courier."""
+"""Adapter through which the simulator drives the decisions: the wire codec and one `Instance` per courier."""
--- a/calicopin/simulator_adapter/__main__.py
+++ b/calicopin/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Hosts many couriers, each for itself, on the wire's standard input and output."""
+"""Runs many independent couriers; reads events from standard input and writes actions to standard output."""
 
 import sys
 import traceback
@@ -8,7 +8,7 @@
 
 
 def answer(clock, events, instances, pages):
-    """The reply to one batch, without its last line."""
+    """Returns the lines of the reply to one batch, without the final YIELD."""
     events_of, reply, instance_id = {}, [], None
     page, missing = None, 0
     for number, name, values in events:
@@ -32,7 +32,7 @@
         elif name == "HELLO":
             instances[instance_id], events_of[instance_id] = Instance(values[0], values[1], number), []
         elif instance_id not in instances:
-            raise WireError(f"line {number}: {name} for instance {instance_id}, which has not begun")
+            raise WireError(f"line {number}: {name} for instance {instance_id}, which sent no HELLO")
         else:
             event = instances[instance_id].read(number, name, values, pages)
             events_of.setdefault(instance_id, [])
@@ -57,7 +57,7 @@
 
 
 def main(source=sys.stdin, sink=sys.stdout):
-    """Answers every batch until the input ends; 2 where a line cannot be read."""
+    """Answers each batch until the input ends; returns the exit code, 2 for a line that cannot be read."""
     instances, pages = {}, {}
     try:
         for clock, number, events in batches(source):
--- a/calicopin/simulator_adapter/codec.py
+++ b/calicopin/simulator_adapter/codec.py
@@ -1,11 +1,11 @@
-"""Reads and writes the lines of the wire marsh-b659. Nothing here decides anything."""
+"""Codec for the lines of the simulator's wire protocol, marsh-b659."""
 
 import json
 import math
 
 
 class WireError(Exception):
-    """A line that cannot be read, with a plain sentence about it."""
+    """A line cannot be read; the message names the line and the cause."""
 
 
 def _parse_flag(word):
@@ -39,11 +39,11 @@
 def _parse_object(text):
     value = json.loads(text)
     if not isinstance(value, dict):
-        raise ValueError("the settings are no object")
+        raise ValueError("the settings are not an object")
     return value
 
 
-# What each message holds, in the order of the wire. A field of `_parse_object` takes the rest of the line.
+# Parsers of the values of each message, in wire order. `_parse_object` takes the rest of the line.
 EVENT_PARSERS = {
     "CLOCK": (_parse_number, _parse_unsigned),
     "EOB": (),
@@ -90,14 +90,14 @@
 
 
 def read_line(line, number):
-    """One line as (name, values); raises WireError with the line and the fault."""
+    """Parses one line into (name, values); raises WireError with the line number and the cause."""
     name, _, rest = line.partition(" ")
     parsers = EVENT_PARSERS.get(name)
     if parsers is None:
-        raise WireError(f"line {number}: {name[:40]!r} is no message of this wire")
+        raise WireError(f"line {number}: {name[:40]!r} is not a message of this protocol")
     words = rest.split(" ", len(parsers) - 1 if name == "HELLO" else -1) if rest else []
     if len(words) != len(parsers):
-        raise WireError(f"line {number}: {name} has {len(words)} values where {len(parsers)} are due")
+        raise WireError(f"line {number}: {name} has {len(words)} values, {len(parsers)} expected")
     values = []
     for position, (parse, word) in enumerate(zip(parsers, words, strict=True), 1):
         try:
@@ -108,13 +108,13 @@
 
 
 def batches(lines):
-    """Batches as (clock in seconds, number, [(line number, name, values), ...])."""
+    """Yields batches as (clock in seconds, batch number, [(line number, name, values), ...])."""
     clock = None
     for number, line in enumerate(lines, 1):
         name, values = read_line(line.rstrip("\r\n"), number)
         if clock is None:
             if name != "CLOCK":
-                raise WireError(f"line {number}: {name} stands where a batch begins with CLOCK")
+                raise WireError(f"line {number}: {name} where CLOCK was expected to begin a batch")
             clock, events = values, []
         elif name == "CLOCK":
             raise WireError(f"line {number}: CLOCK inside a batch")
@@ -128,10 +128,10 @@
 
 
 def wire_seconds(milliseconds):
-    """Milliseconds as the wire's seconds, to its microsecond and never too short."""
+    """Formats milliseconds as seconds, rounded up to a microsecond so that no wait is too short."""
     return f"{math.ceil(milliseconds * 1000.0 - 1e-3) / 1e6:.6f}"
 
 
 def single_line(text):
-    """A text that fits on one line."""
+    """Joins all lines and runs of white space into one line."""
     return " ".join(str(text).split())
--- a/calicopin/simulator_adapter/instance.py
+++ b/calicopin/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One courier on the bench's wire: the wire's names, seconds and ids outside; ours inside."""
+"""One courier driven by the simulator: translates between wire messages and events and actions."""
 
 from calicopin.deployment_settings import (
     Indices,
@@ -14,13 +14,13 @@
 
 
 class Instance:
-    """Turns one courier's events and actions from and into lines."""
+    """Translates wire messages into events of one courier, and its actions into wire lines."""
 
     def __init__(self, seed, settings, number):
         try:
             self.courier = courier(seed, settings)
         except (KeyError, TypeError, ValueError, IndexError) as fault:
-            raise WireError(f"line {number}: the settings of HELLO lack or garble {fault}") from None
+            raise WireError(f"line {number}: HELLO: missing or invalid setting: {fault}") from None
         self.load_columns = load_columns(settings)
         self.has_agreed_rates = lists_agreed_rates(settings)
         self.product_count = len(settings["grades"])
@@ -28,7 +28,7 @@
         self.texts, self.handle_of, self.submits_out, self.ended, self.next_number = {}, {}, {}, set(), 0
 
     def read(self, number, name, values, pages):
-        """One event of the wire as one of ours, or None where it says nothing to the courier."""
+        """Converts a wire message into an event of the courier, or None if the courier ignores it."""
         reader = getattr(self, "_" + name.lower(), None)
         return reader(number, values, pages) if reader else None
 
@@ -43,7 +43,7 @@
     def _verdict(self, number, values, _):
         handle, _, advised_wait, ended, endpoint, outcome, elapsed, load_values = values
         if outcome not in How._value2member_map_:
-            raise WireError(f"line {number}: VERDICT holds the unknown outcome {outcome}")
+            raise WireError(f"line {number}: VERDICT has the unknown outcome {outcome}")
         text = self.texts.get(handle)
         if text is None:
             return None
@@ -74,7 +74,7 @@
         return Withdrawn(text)
 
     def _forget_if_done(self, text):
-        """Drops a text's ids once it is ended and no submit of it is out."""
+        """Forgets the ids of a text once it has ended and none of its submits is in progress."""
         if text in self.ended and self.submits_out[text] <= 0:
             self.ended.discard(text)
             del self.submits_out[text], self.texts[self.handle_of.pop(text)]
@@ -104,7 +104,7 @@
         return Woken(values[0])
 
     def act(self, now, events):
-        """The courier's answer to a batch, as lines."""
+        """Passes a batch of events to the courier at `now` (ms); returns its actions as wire lines."""
         lines = []
         for action in self.courier.handle(now, events):
             writer = getattr(self, "_do_" + type(action).__name__.lower())
--- a/calicopin/system.py
+++ b/calicopin/system.py
@@ -1,8 +1,7 @@
-"""The one narrow place through which the courier asks its surroundings: clocks, waiting, sockets and files.
+"""The courier's only interface to the operating system: clocks, sleeping, sockets and files.
 
-The emulator puts a world of its own in its place; signals come through `lifecycle/signals.py`, which has to
-be there before anything else. Nothing here decides anything, and faults come as the operating system's own
-OSError.
+The emulator replaces it by a simulated system. Signals are handled in `lifecycle/signals.py`, which has to be
+loaded before anything else. Failures are raised as the operating system's own OSError.
 """
 
 import errno
@@ -16,30 +15,31 @@
 
 from calicopin.system_errors import of_a_moment
 
-RETRY_LIMIT_MS = 5000.0  # ms for which a start tries again what the system refuses for a moment
-RETRY_INTERVAL_MS = 50.0  # ms between two tries
+RETRY_LIMIT_MS = 5000.0  # how long a start retries an operation that fails with a transient error
+RETRY_INTERVAL_MS = 50.0
 
 
 class System:
     """The operating system.
 
-    Times are float milliseconds; files are descriptors, paths and contents are plain.
+    Times are float milliseconds; open files are descriptors, paths are str and contents are bytes.
     """
 
     @staticmethod
     def now():
-        """The monotonic clock."""
+        """The monotonic clock, in ms."""
         return time.monotonic() * 1000.0
 
     @staticmethod
     def wall():
-        """Unix time; it may be set at any moment, in either direction."""
+        """Unix time in ms; it may be set forwards or backwards at any moment."""
         return time.time() * 1000.0
 
     @staticmethod
     def boot():
-        """A name for the machine's run since it was started, as long as which the monotonic clock goes on;
-        "" where there is none to be had, OSError where it could not be read just now.
+        """The id of the current boot; while it is the same, the monotonic clock keeps running.
+
+        Returns "" where the system has no boot id; raises OSError for a transient error.
         """
         try:
             with open("/proc/sys/kernel/random/boot_id", encoding="ascii") as file:
@@ -51,19 +51,17 @@
 
     @staticmethod
     def pause(duration):
-        """Stands still for so long, in ms: for a start, and for the end, when the loop waits no more."""
+        """Sleeps for `duration` ms; for startup and shutdown only, when the event loop does not run."""
         time.sleep(duration / 1000.0)
 
     @staticmethod
     def poller():
-        """Something with `register`, `modify`, `unregister` and `poll` (seconds), as `select.epoll` has
-        them.
-        """
+        """An object with `register`, `modify`, `unregister` and `poll` (seconds), like `select.epoll`."""
         return select.epoll()
 
     @staticmethod
     def listen(host, port):
-        """A listening socket that does not block."""
+        """A non-blocking listening TCP socket."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -77,28 +75,31 @@
 
     @staticmethod
     def passed(descriptor):
-        """The listening socket that this process inherited as the descriptor of that number, as one that
-        does not block; ValueError where it is none.
+        """The listening socket inherited under the given descriptor number, made non-blocking.
+
+        Raises ValueError if it is not a listening socket.
         """
         try:
             sock = socket.socket(fileno=int(descriptor))
             listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
         except (ValueError, OverflowError, OSError) as fault:
-            raise ValueError(f"LB_PASSED_SOCKET: {descriptor[:40]!r} is no open socket: {fault}") from None
+            raise ValueError(
+                f"LB_PASSED_SOCKET: {descriptor[:40]!r} is not an open socket: {fault}"
+            ) from None
         if not listening:
             sock.detach()
-            raise ValueError(f"LB_PASSED_SOCKET: descriptor {descriptor} does not listen")
+            raise ValueError(f"LB_PASSED_SOCKET: descriptor {descriptor} is not a listening socket")
         sock.setblocking(False)
         return sock
 
     @staticmethod
     def again():
-        """This process begins anew, as it was started; it does not return."""
+        """Replaces this process by a new run of the same command line; does not return."""
         os.execv(sys.executable, [sys.executable, *sys.orig_argv[1:]])
 
     @staticmethod
     def listen_path(path):
-        """The same on a Unix socket; what a dead process left under that path makes room."""
+        """A non-blocking listening Unix socket; replaces a stale socket file of a dead process."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
         try:
             listener.bind(path)
@@ -115,8 +116,9 @@
 
     @staticmethod
     def lock(folder):
-        """Makes the folder where there is none and holds it until the process ends; OSError where another
-        holds it.
+        """Creates the folder if needed and locks it until the process ends.
+
+        Raises OSError if another process holds the lock.
         """
         os.makedirs(folder, mode=0o700, exist_ok=True)
         file = os.open(os.path.join(folder, "lock"), os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -129,7 +131,7 @@
 
     @staticmethod
     def stamp(path):
-        """What tells that a file was replaced or written to; None where there is none."""
+        """A value that changes when a file is replaced or written; None if there is no such file."""
         try:
             status = os.stat(path)
         except OSError:
@@ -138,38 +140,38 @@
 
     @staticmethod
     def stream():
-        """A socket for one connection, not yet connected, that does not block."""
+        """A non-blocking, unconnected TCP socket."""
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
 
     @staticmethod
     def read(path):
-        """A file's contents; FileNotFoundError where there is none."""
+        """A file's contents; raises FileNotFoundError if there is no such file."""
         with open(path, "rb") as file:
             return file.read()
 
     @staticmethod
     def open_to_read(path):
-        """A file held open for reading: its name may go to another one."""
+        """Opens a file for reading; the descriptor stays valid when another file takes its name."""
         return os.open(path, os.O_RDONLY | os.O_CLOEXEC)
 
     @staticmethod
     def read_at(file, size, offset):
-        """Up to so many bytes of an open file from there on."""
+        """Reads up to `size` bytes of an open file, starting at `offset`."""
         return os.pread(file, size, offset)
 
     @staticmethod
     def token(size):
-        """So many random bytes as hexadecimal digits, not the same for two processes."""
+        """`size` random bytes as hexadecimal digits, different for each process."""
         return os.urandom(size).hex()
 
     @staticmethod
     def create(path):
-        """A new empty file for appending, in place of any other under its name."""
+        """Opens an empty file for appending; truncates an existing one."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     @staticmethod
     def sync_folder(path):
-        """The names in a folder are on the disk: a new file's own sync does not put its name there."""
+        """Syncs a folder to disk; syncing a new file does not make its name durable."""
         folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(folder)
@@ -178,28 +180,30 @@
 
     @staticmethod
     def settle():
-        """The program is read in and stays: its objects are left out of later collections."""
+        """Excludes the objects of the loaded program from later garbage collections."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(20000, 20, 50)
 
     @staticmethod
     def names(folder):
-        """The files in a folder."""
+        """The names in a folder."""
         return os.listdir(folder)
 
-    status = staticmethod(os.stat)  # (path), as an os.stat_result
-    open_status = staticmethod(os.fstat)  # (file), the same
+    status = staticmethod(os.stat)  # (path) -> os.stat_result
+    open_status = staticmethod(os.fstat)  # (file) -> os.stat_result
     remove = staticmethod(os.unlink)  # (path)
     sync = staticmethod(os.fdatasync)  # (file)
-    write = staticmethod(os.write)  # (file, data) -> bytes written, fewer than given perhaps
+    write = staticmethod(os.write)  # (file, data) -> bytes written, possibly fewer than given
     cut = staticmethod(os.ftruncate)  # (file, size)
-    replace = staticmethod(os.replace)  # (path, path), at once
+    replace = staticmethod(os.replace)  # (old path, new path), atomic
 
     @staticmethod
     def close(file):
-        """Closes a file. The descriptor is free behind it whatever the system says, and what has to outlast a
-        loss of power was synced before: a fault of the close itself tells nothing that could be done."""
+        """Closes a file and ignores errors.
+
+        Linux frees the descriptor in any case, and what has to survive a loss of power was synced before.
+        """
         try:
             os.close(file)
         except OSError:
@@ -210,8 +214,9 @@
 
 
 def patiently(system, operation, *args):
-    """What `operation(*args)` returns. For a start alone: what the system refuses for a moment is tried again
-    `RETRY_LIMIT_MS`; then, or for any other reason at once, its OSError is raised.
+    """Calls `operation(*args)` and retries it after transient errors; for startup only, since it sleeps.
+
+    Raises the OSError of the operation after `RETRY_LIMIT_MS`, and at once if it is not transient.
     """
     deadline = system.now() + RETRY_LIMIT_MS
     while True:
--- a/calicopin/system_errors.py
+++ b/calicopin/system_errors.py
@@ -1,21 +1,21 @@
-"""What a system call's fault says of the call, of the other side and of this machine. No I/O.
+"""Classifies errors of system calls: transient, caused by this machine, or caused by one connection. No I/O.
 
-Source: the manual pages of Linux, section 2 (accept, connect, recv, send, socket, epoll_ctl) and section 7
-(ip, tcp); the table with what is done on each stands in `docs/system-calls.md`.
+Source: the Linux manual pages, section 2 (accept, connect, recv, send, socket, epoll_ctl) and section 7 (ip,
+tcp). `docs/system-calls.md` lists how each error is handled.
 """
 
 import errno
 
-# The kernel had no room for the call; the connection or the file is as it was before.
+# The kernel lacked resources for the call, or a signal interrupted it; the connection or file is unchanged.
 PASSING = frozenset((errno.EINTR, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM))
 
-# This machine had nothing to make a connection with: the other side was never asked.
+# This machine lacked resources for a connection; the peer was not contacted.
 LOCAL_RESOURCE_ERRORS = PASSING | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
 
-# No way to the other side just now, told by this machine without asking; ECONNABORTED: broken off by it.
+# No route to the peer, as reported by this machine; ECONNABORTED: aborted by this machine.
 NO_ROUTE_ERRORS = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ECONNABORTED))
 
-# accept: of the one connection that was next, which is gone; the ones behind it are as good as before.
+# accept: errors of one connection, which is gone; the connections queued behind it are not affected.
 SINGLE_CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
@@ -34,7 +34,7 @@
     )
 )
 
-# Of files: what another moment may mend; a path that is wrong, or rights that are missing, it does not.
+# Files: errors that may pass; a wrong path or a missing permission does not.
 TRANSIENT_FILE_ERRORS = frozenset(
     (
         errno.EINTR,
@@ -50,25 +50,25 @@
 
 
 def of_a_moment(fault: OSError) -> bool:
-    """Whether opening, reading or making a file may succeed a moment later."""
+    """Whether opening, reading or creating a file may succeed if retried."""
     return fault.errno in TRANSIENT_FILE_ERRORS
 
 
 def passes(fault: OSError) -> bool:
-    """Whether the same call may succeed a moment later on the same connection or file."""
+    """Whether the same call on the same connection or file may succeed if retried."""
     return fault.errno in PASSING
 
 
 def no_room_here(code: int | None) -> bool:
-    """Whether a connection was not made for want of something on this machine."""
+    """Whether a connection failed because this machine lacked resources."""
     return code in LOCAL_RESOURCE_ERRORS
 
 
 def no_route(code: int | None) -> bool:
-    """Whether this machine knew no way to the other side."""
+    """Whether this machine had no route to the peer."""
     return code in NO_ROUTE_ERRORS
 
 
 def of_one_connection(fault: OSError) -> bool:
-    """Whether a fault of accept leaves the connections behind it to be accepted."""
+    """Whether an error of accept concerns one connection only, so that the next can be accepted."""
     return fault.errno in SINGLE_CONNECTION_ERRORS
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,6 @@
-"""What all tests share: signals, log handlers and descriptors as they were, a loop with a clock that the test
-moves, and the list of tests known to fail.
+"""Fixtures of all tests: signals, log handlers and descriptors are restored, `loop` has a manual clock.
+
+Also loads the hooks for the list of tests that are known to fail.
 """
 
 import gc
@@ -26,16 +27,16 @@
 ]
 
 
-# One verdict in every run. Read in here: the plugin would otherwise read the library in at the end of a
-# run, when coroutines that tests left behind are collected; their log lines parse source, which likely
-# breaks the parse under way.
+# Same examples in every run. Imported here: otherwise the plugin imports the library at the end of a run,
+# when coroutines that tests left behind are collected. Their log lines parse source, which likely breaks the
+# parse in progress.
 settings.register_profile("calicopin", derandomize=True, deadline=None)
 settings.load_profile("calicopin")
 
 
 @pytest.fixture(autouse=True)
 def signals():
-    """Whatever a courier in the test's own process does to them is undone."""
+    """Restores the signal handlers that a courier in the test process has replaced."""
     before = {sign: signal.getsignal(sign) for sign in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)}
     yield
     signal.set_wakeup_fd(-1)
@@ -45,7 +46,7 @@
 
 @pytest.fixture(autouse=True)
 def log_handlers():
-    """No handler stays behind that writes to a stream which ended with its test."""
+    """Replaces log handlers that write to a stream which was closed with its test."""
     yield
     logger.remove()
     logger.add(sys.stderr)
@@ -53,8 +54,10 @@
 
 @pytest.fixture(autouse=True)
 def descriptors(monkeypatch):
-    """What couriers of the test's own process opened by number is closed behind them. A test leaves a killed
-    courier as it is, and a number, unlike a socket, is not closed with the object that held it.
+    """Closes the descriptors that couriers in the test process opened.
+
+    A test leaves a killed courier as it is, and a plain descriptor, unlike a socket, is not closed when the
+    object that held it is collected.
     """
     opened = []
 
@@ -73,19 +76,19 @@
     yield
     signal.set_wakeup_fd(-1)
     if any(still_open(number, what) for number, what in opened):
-        gc.collect()  # what would close some of them by itself does it now
+        gc.collect()  # objects that close their own descriptors do so first
         for number, what in opened:
             if still_open(number, what):
                 os.close(number)
 
 
 def still_open(number, what):
-    """Whether that number stands for what it stood for when it was opened."""
+    """Whether the descriptor still refers to the file that it was opened for."""
     return what is not None and identity(number) == what
 
 
 def identity(number):
-    """Which file or pipe an open descriptor stands for; None where it is not open."""
+    """The device and inode of an open descriptor; None if it is not open."""
     try:
         status = os.fstat(number)
     except OSError:
--- a/tests/forced_faults.py
+++ b/tests/forced_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail as told: one fault for each call, in their order, by the call's name."""
+"""A `System` whose calls fail as scheduled by a test: one errno per call, by the name of the call."""
 
 import errno
 import os
@@ -9,11 +9,11 @@
 
 from calicopin.system import System
 
-SHORT = "short"  # in place of an errno's name: one byte is moved
+SHORT = "short"  # in place of an errno name: the call transfers one byte
 
 
 class ForcedSocket(socket.socket):
-    """A socket whose calls meet what is told for them in its system."""
+    """A socket whose calls raise the errors scheduled in its system."""
 
     system = None
 
@@ -47,8 +47,11 @@
 
 
 class ForcedFaults(Rebooted):
-    """`told` holds, by call, the errnos that the next ones meet; `always` one that each meets. Calls on
-    clients' connections are called `client_recv`, `client_send`, `client_peek`."""
+    """Fails calls by name: `told` holds the errno names for the next calls, `always` one for every call.
+
+    `met` counts the failures. Calls on connections of clients are named `client_recv`, `client_send` and
+    `client_peek`.
+    """
 
     def __init__(self):
         self.told, self.always, self.met = defaultdict(deque), {}, defaultdict(int)
@@ -59,7 +62,7 @@
         return error
 
     def meet(self, name):
-        """Raises what is due; whether the call is to be a short one."""
+        """Raises the scheduled error; returns whether the call is to be a short one."""
         error = self.next(name)
         if error is None or error == SHORT:
             return error == SHORT
@@ -118,7 +121,7 @@
 
 
 class ForcedPoller:
-    """An epoll whose `register` and `modify` meet what is told for `epoll_ctl`."""
+    """An epoll whose `register` and `modify` raise the errors scheduled for `epoll_ctl`."""
 
     def __init__(self, system):
         self.system, self.poller = system, System.poller()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""KNOWN-RED.txt: tests that fail because of a real fault that is not fixed yet.
 
-Each is expected to fail, strictly: one that passes again turns the run red until its line goes. A missing or
-empty file means none.
+Each is a strict xfail: a listed test that passes fails the run until its line is removed. A missing or empty
+file lists no tests.
 """
 
 import pathlib
@@ -12,7 +12,7 @@
 
 
 def known_red(content):
-    """(test, cause, issue) of each line; raises ValueError with the line that is none, or is one too many."""
+    """Returns (test, cause, issue) of each line; raises ValueError for an invalid, repeated or extra line."""
     rows = []
     for number, line in enumerate(content.splitlines(), 1):
         if not line.strip():
@@ -24,14 +24,12 @@
     if len(rows) > MAX_LINES:
         raise ValueError(f"KNOWN-RED.txt: {len(rows)} lines, {MAX_LINES} at most")
     if len({row[0] for row in rows}) < len(rows):
-        raise ValueError("KNOWN-RED.txt: a test stands there twice")
+        raise ValueError("KNOWN-RED.txt: a test is listed twice")
     return rows
 
 
 def unnamed(rows, collected, whole):
-    """Tests that a line names and that are not there; of a run of some tests only files that were
-    collected tell.
-    """
+    """Listed tests that do not exist; in a partial run only those of collected files are checked."""
     files = {name.partition("::")[0] for name in collected}
     return [
         test for test, _, _ in rows if test not in collected and (whole or test.partition("::")[0] in files)
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,4 +1,4 @@
-"""The decisions behind the facade: what calls and their ends make of texts."""
+"""The facade over the decisions: how results of calls determine the fate of texts."""
 
 import pytest
 from courier_helper import endings, picked, place, text
@@ -33,11 +33,11 @@
         (Answer(Far.ANSWERED, status=200, ends={}), How.ERROR, False),
     ],
 )
-def test_how_far_a_submit_came_tells_its_outcome(answer, outcome, ended):
+def test_the_outcome_follows_from_the_result_of_the_call(answer, outcome, ended):
     assert how(answer, "x") == (outcome, ended)
 
 
-def test_texts_that_share_a_call_are_counted_one_by_one():
+def test_texts_in_a_shared_call_have_separate_outcomes():
     facade = make_facade(places=[place(kind="many")])
     for ident in "abc":
         facade.hand_in(text(ident))
@@ -63,7 +63,7 @@
     assert sorted(one.ident for call in picked(facade) for one in call.texts) == ["b"]  # c may have run
 
 
-def test_a_wait_in_an_answer_that_delivered_binds_too():
+def test_a_wait_in_an_answer_of_200_is_respected():
     facade = make_facade()
     facade.hand_in(text("a"))
     facade.tick(0.0)
@@ -76,8 +76,8 @@
     assert not picked(facade)
 
 
-def test_a_call_that_took_its_time_to_connect_is_asked_about_again():
-    """Drains, told waits and memories of references may have come or gone meanwhile."""
+def test_a_call_is_checked_again_once_its_connection_is_established():
+    """Meanwhile its endpoint may start or stop draining, a wait may begin, or a reference may expire."""
     facade = make_facade(now=1000.0, places=[place(), place("s-2")])
     facade.hand_in(text("a", 1, ran_at=-13000.0, ran_zone="a", tries=1))
     facade.hand_in(text("b"))
@@ -98,8 +98,8 @@
     assert not facade.still(calls["b"], 1600.0) and facade.still(calls["b"], 1650.0)
 
 
-def test_no_text_is_out_twice_where_texts_with_other_time_outs_share_its_call():
-    """A once-only text waits to its end; the call once stayed open with it while the other was sent again."""
+def test_no_text_is_sent_twice_when_a_shared_call_has_texts_with_different_time_outs():
+    """A once-only text waits for the whole time-out; the call stayed open while the other was resent."""
     for products in ((0, 2), (2, 0)):
         facade = make_facade(places=[place(kind="many")])
         for number, product in enumerate(products):
@@ -115,11 +115,11 @@
         assert [one.product for call in picked(facade) for one in call.texts] == [0]
 
 
-def test_a_shared_call_ends_with_the_first_of_its_texts():
-    """It once stayed out for the rest.
+def test_a_shared_call_ends_with_the_earliest_validity_period_of_its_texts():
+    """The call continued for the remaining texts.
 
-    Endpoints that hung let go of all of it when the time of the first was up, and still answered that all
-    were delivered: the others were taken on and had no end.
+    A slow endpoint dropped the whole call when the first text expired, yet answered that all were delivered:
+    the other texts were accepted and got no final answer.
     """
     facade = make_facade(places=[place(kind="many")])
     facade.hand_in(text("a", until=700.0))
@@ -137,9 +137,11 @@
     assert endings(facade) == [("b", None)]
 
 
-def test_what_a_restored_text_may_still_do():
-    """Sent and not heard of: resendable and referenced go again, once-only is given up, and so is a spent
-    one.
+def test_which_restored_texts_are_sent_again():
+    """After a submit without an answer, resendable and referenced texts are sent again.
+
+    Once-only texts are undeliverable; texts out of attempts, out of time or past their reference's memory are
+    nacked.
     """
     facade = make_facade(now=1000.0)
     facade.hand_in(text("resendable", 0, ran_at=10.0, ran_zone="a", tries=1))
@@ -159,8 +161,8 @@
     ]
 
 
-def test_a_key_rests_after_a_restart():
-    """The last call of a key may still run, also where its text is over and no longer known."""
+def test_a_key_is_blocked_for_its_settling_time_after_a_restart():
+    """The last call of a key may still run, even if its text has ended and is no longer known."""
     facade = Facade(7, terms(), 8, 1000.0, restarted=True)
     facade.listed([place()], True)
     facade.hand_in(text("first", 2, key="van", ran_at=900.0, ran_zone="a", tries=1))
@@ -175,15 +177,15 @@
     assert [one.ident for call in picked(facade) for one in call.texts] == ["second"]
 
 
-def test_the_first_tick_is_not_taken_for_a_standstill():
-    """Late by the whole clock, a courier would have let any burst through for as long."""
+def test_the_first_tick_does_not_count_as_late():
+    """If it counted as late by the whole clock value, bursts of that length would be allowed."""
     facade = make_facade(now=1e9)
     facade.hand_in(text("a", until=1e9 + 9000.0))
     facade.tick(1e9)
     assert facade.module.scheduler.late == 0.0 and facade.module.live
 
 
-def test_a_withdrawn_text_is_forgotten_whatever_the_decisions_still_want():
+def test_a_submit_of_a_withdrawn_text_is_not_made():
     facade = make_facade()
     facade.hand_in(first := text("a"))
     facade.tick(0.0)
@@ -197,7 +199,7 @@
     assert facade.module.pool.free == 7  # only the call that is out holds a slot
 
 
-def test_a_full_house_is_known_and_tells_when_to_come_again():
+def test_a_full_courier_gives_advice_when_to_retry():
     facade = make_facade()
     facade.hand_in(text("a"))
     facade.tick(0.0)
@@ -208,8 +210,8 @@
     assert facade.full() and facade.advice(text("b")) == 2000.0 and facade.advice(text("c", dest=9)) == 0.0
 
 
-def test_a_text_whose_time_is_up_is_not_in_a_call_that_comes_up_later():
-    """It had its final answer, and then went out with the others that share the call."""
+def test_an_expired_text_is_not_in_a_call_that_connects_later():
+    """The text had its final answer and was then sent with the others in the call."""
     facade = make_facade(places=[place(kind="many")])
     facade.hand_in(text("a", until=700.0))
     facade.hand_in(text("b"))
@@ -224,8 +226,8 @@
     assert [one.ident for call in picked(facade) for one in call.texts] == ["b"]
 
 
-def test_a_shared_call_ends_with_the_time_of_a_text_that_has_a_key_in_order():
-    """Its key rested from then on, while the call was still out."""
+def test_a_shared_call_ends_with_the_time_out_of_a_text_in_order():
+    """The settling time of its key counted from then, while the call was still in progress."""
     facade = make_facade(places=[place(kind="many")])
     facade.hand_in(text("a", product=2, until=19000.0, key="k"))
     facade.hand_in(text("b", product=2))
@@ -235,9 +237,7 @@
 
 
 def endpoints_to_close(facade, *results):
-    """The endpoints whose idle connections are given back after one call to each of these destinations
-    ended so.
-    """
+    """Makes one call per (destination, result); returns endpoints whose idle connections are to be closed."""
     for now, (dest, answer) in enumerate(results):
         facade.hand_in(text(f"t-{dest}", dest=dest, until=900.0))
         facade.tick(float(now))
@@ -252,15 +252,15 @@
     return endpoints
 
 
-def test_idle_connections_to_a_kind_that_refused_one_are_named_for_closing():
-    """On sockets as on the bench: the decisions say which, the wire closes them."""
+def test_idle_connections_are_closed_for_a_kind_that_refused_a_connection():
+    """The decisions name the endpoints, the connection pool closes their connections."""
     facade = make_facade(places=[place("s-1"), place("s-2", dest=8), place("s-3", dest=9, kind="many")])
     delivered = Answer(Far.ANSWERED, status=200)
     to_close = endpoints_to_close(facade, (7, Answer(Far.UNCONNECTED)), (8, delivered), (9, delivered))
     assert "s-2" in to_close and "s-3" not in to_close
 
 
-def test_no_connection_is_given_back_where_the_settings_say_so():
+def test_no_idle_connection_is_closed_if_the_settings_disable_it():
     ceilings = terms()["ceilings"] | {"giveBack": False}
     facade = make_facade(places=[place("s-1"), place("s-2", dest=8)], ceilings=ceilings)
     assert not endpoints_to_close(facade, (7, Answer(Far.UNCONNECTED)), (8, Answer(Far.ANSWERED, status=200)))
--- a/tests/test_fault_log.py
+++ b/tests/test_fault_log.py
@@ -1,4 +1,4 @@
-"""Faults that no one foresaw: a line and a count for each kind, one traceback in a while."""
+"""Rate-limited logging of exceptions: per kind one line per second with a count, one traceback per minute."""
 
 import pytest
 from helper import Clock, client
@@ -17,7 +17,7 @@
     logger.remove(sink)
 
 
-def test_a_kind_has_one_line_a_second_with_a_count_and_one_traceback_in_a_while(records):
+def test_a_kind_has_one_line_per_second_with_a_count_and_one_traceback_per_minute(records):
     clock = Clock()
     faults = FaultLog(clock)
     for _ in range(100):
@@ -32,7 +32,7 @@
     assert records[2]["exception"] is not None and records[2]["extra"]["left_out"] == 0
 
 
-def test_what_the_system_refuses_has_a_line_a_second_and_no_traceback(records):
+def test_an_expected_system_error_has_one_line_per_second_and_no_traceback(records):
     clock = Clock()
     faults = FaultLog(clock)
     for _ in range(3 * int(TRACEBACK_INTERVAL_MS / LINE_INTERVAL_MS)):
@@ -44,7 +44,7 @@
     assert records[1]["message"] == "3 turns: [Errno 28] full (1 more since the last line)"
 
 
-def test_kinds_are_told_apart_by_event_type_and_errno_and_are_bounded(records):
+def test_kinds_differ_by_event_type_and_errno_and_their_number_is_bounded(records):
     faults = FaultLog(Clock())
     for fault in (ValueError("a"), KeyError("a"), OSError(5, "io"), OSError(28, "full"), OSError(5, "other")):
         faults.tell("turn.fault", "a turn ended", fault)
@@ -55,7 +55,7 @@
     assert len(faults.kinds) <= MAX_KINDS
 
 
-def test_coroutines_that_fail_over_and_over_do_not_fill_the_log(records):
+def test_coroutines_that_fail_repeatedly_do_not_fill_the_log(records):
     loop = Loop(now=Clock())
 
     def failing():
@@ -73,7 +73,7 @@
     assert sum(record["exception"] is not None for record in records) == 2, "one for each kind"
 
 
-def test_requests_that_meet_a_fault_are_answered_each_and_told_once(loop, records):
+def test_requests_that_raise_are_each_answered_with_500_and_logged_once(loop, records):
     server, address = clients(loop)
     server.acceptor.take = lambda text: 1 / 0
     for _ in range(5):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail, tried on a small suite of its own."""
+"""The list of tests that are known to fail, run on a small test suite."""
 
 import os
 import pathlib
@@ -12,7 +12,7 @@
 
 
 def run(folder, listed):
-    """The exit code and what was printed."""
+    """Runs the suite; returns the exit code and the output."""
     (folder / "tests").mkdir(exist_ok=True)
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     (folder / "tests" / "conftest.py").write_text(
@@ -45,12 +45,12 @@
         (LINE + "more\n", 4, "KNOWN-RED.txt:2"),
     ],
 )
-def test_only_what_is_listed_may_fail_and_it_has_to(tmp_path, listed, code, output):
+def test_only_listed_tests_may_fail_and_they_must(tmp_path, listed, code, output):
     status, printed = run(tmp_path, listed)
     assert (status, output in printed) == (code, True), printed
 
 
-def test_a_fourth_line_a_second_for_a_test_and_half_a_line_are_refused():
+def test_a_fourth_line_a_duplicate_and_an_incomplete_line_are_refused():
     rows = [LINE.replace("fails", f"fails_{number}") for number in range(4)]
     assert len(known_red("\n".join(rows[:3]))) == 3
     for listed in (
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -1,6 +1,4 @@
-"""What a start, a reload or a watched file meets for a moment (no descriptor left, an error of the disk) is
-not believed for good.
-"""
+"""Transient errors (no free descriptor, a disk error) are retried by a start, a reload and a watched file."""
 
 import errno
 import os
@@ -31,7 +29,7 @@
 
 
 class PausedSystem(ForcedFaults):
-    """Its clock goes on with each pause alone."""
+    """A system whose clock advances only by its pauses."""
 
     def __init__(self):
         super().__init__()
@@ -45,14 +43,14 @@
 
 
 @pytest.mark.parametrize("error", TRANSIENT)
-def test_a_start_tries_again_what_is_refused_for_a_moment(tmp_path, error):
+def test_a_start_retries_after_transient_errors(tmp_path, error):
     system = PausedSystem()
     system.told["read"].extend([error] * 5)
     (tmp_path / "one").write_bytes(b"told")
     assert patiently(system, system.read, str(tmp_path / "one")) == b"told" and system.clock > 0.0
 
 
-def test_a_start_gives_up_in_the_end_and_at_once_where_waiting_mends_nothing(tmp_path):
+def test_a_start_fails_after_the_retry_limit_and_at_once_for_permanent_errors(tmp_path):
     system = PausedSystem()
     with pytest.raises(FileNotFoundError):
         patiently(system, system.read, str(tmp_path / "none"))
@@ -64,7 +62,7 @@
 
 
 class SteppedWallClock(ForcedFaults):
-    """The machine's run goes on, and its wall clock was set by an hour."""
+    """A system without a reboot, whose wall clock the test steps by an hour."""
 
     step = 0.0
 
@@ -80,8 +78,8 @@
 
 
 @pytest.mark.parametrize("step", [3.6e6, -3.6e6])
-def test_a_start_that_cannot_tell_the_machines_run_for_a_moment_goes_by_no_stepped_clock(tmp_path, step):
-    """Without it times went by the wall clock, and a message ended an hour early."""
+def test_a_start_retries_the_boot_id_and_is_not_misled_by_a_stepped_clock(tmp_path, step):
+    """Without the boot id, deadlines followed the wall clock, and a message ended an hour early."""
     system = SteppedWallClock()
     courier = CourierFixture(tmp_path, system=system)
     assert courier.post("a", left=30.0) == b"202"
@@ -95,7 +93,7 @@
     assert restarted.runtime.journal.texts["a"].until == pytest.approx(until, abs=100.0)
 
 
-def test_a_journal_that_cannot_be_read_for_a_moment_is_not_taken_for_an_empty_one(tmp_path):
+def test_a_journal_with_a_transient_read_error_is_not_taken_as_empty(tmp_path):
     courier = CourierFixture(tmp_path)
     assert courier.post("a", left=60.0) == b"202"
     courier.kill()
@@ -109,8 +107,8 @@
     assert isinstance(restarted.runtime.journal, Journal) and system.met["read"] == 2
 
 
-def test_a_start_without_a_descriptor_for_its_signals_waits_for_one_and_hears_what_came(monkeypatch):
-    """The process ended with a traceback."""
+def test_a_start_without_a_descriptor_for_signals_retries_and_keeps_pending_signals(monkeypatch):
+    """An error of os.pipe2 ended the process with a traceback."""
     pipe, refused = os.pipe2, ["ENFILE", "EMFILE"]
 
     def refuse(flags):
@@ -121,13 +119,13 @@
 
     monkeypatch.setattr(os, "pipe2", refuse)
     reader = SignalReader()
-    poller = select.poll()  # unlike `select`, for a descriptor of any number
+    poller = select.poll()  # unlike `select`, works for any descriptor number
     poller.register(reader.fd, select.POLLIN)
     assert not refused and poller.poll(0) == [(reader.fd, select.POLLIN)]
     assert reader.heard() == {signal.SIGHUP}
 
 
-def test_a_reload_that_the_system_refuses_is_tried_again(tmp_path):
+def test_a_reload_is_retried_after_transient_errors(tmp_path):
     courier = CourierFixture(tmp_path)
     post, refused = replace(courier.posts[0], disk=6_000_000), ["ENFILE", "EIO"]
     read = courier.again
@@ -143,7 +141,7 @@
     assert not refused and courier.runtime.journal.most == 2 * limit
 
 
-def test_a_reload_that_is_refused_for_long_ends_and_the_next_signal_begins_anew(tmp_path):
+def test_a_reload_ends_after_its_retry_limit_and_the_next_signal_starts_another(tmp_path):
     courier = CourierFixture(tmp_path)
     attempts = []
 
@@ -163,7 +161,7 @@
     spin(courier.loop, lambda: len(attempts) > before)
 
 
-def test_a_watched_list_that_cannot_be_read_just_now_is_read_with_the_next_look(tmp_path):
+def test_a_list_file_with_a_transient_error_is_read_at_the_next_check(tmp_path):
     path, lists, faults = tmp_path / "list", [], ["ENFILE"]
     path.write_text("old")
 
@@ -183,7 +181,7 @@
     assert lists == [["newer"]]
 
 
-def test_a_source_of_a_node_that_cannot_be_read_just_now_is_read_with_the_next_look(tmp_path):
+def test_a_source_of_a_node_with_a_transient_error_is_read_at_the_next_check(tmp_path):
     class Refusing(System):
         refusals = 0
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of another customer are read by their meaning or refused by name."""
+"""Settings of a deployment: valid values are applied, invalid ones are refused with their path."""
 
 import json
 
@@ -32,39 +32,37 @@
         (
             "grades.1.idempotency",
             "most_like",
-            "settings.grades[1].idempotency: 'most_like' is none of read_like",
+            "settings.grades[1].idempotency: 'most_like' is not one of read_like",
         ),
         ("grades.1.idempotency", ABSENT, "settings.grades[1].idempotency"),
         ("grades.1.name", "notice", "settings.grades[1].name"),
         ("grades.0.name", "", "settings.grades[0].name"),
-        ("grades.0", 7, "settings.grades[0]: 7 is no table"),
+        ("grades.0", 7, "settings.grades[0]: 7 is not a table"),
         ("grades", [], "settings.grades"),
         ("grades", {}, "settings.grades"),
-        ("grades.0.aim", 0, "settings.grades[0].aim: 0 is no number from"),
+        ("grades.0.aim", 0, "settings.grades[0].aim: 0 is not a number of at least"),
         ("grades.0.aim", ABSENT, "settings.grades[0].aim"),
         ("grades.0.giveUp", -1, "settings.grades[0].giveUp"),
         ("grades.0.points", "dear", "settings.grades[0].points: 'dear'"),
         ("grades.1.keyTtl", -3, "settings.grades[1].keyTtl"),
         ("grades.0.points", True, "settings.grades[0].points"),
         ("familyInfo", ABSENT, "settings.familyInfo"),
-        ("familyInfo.workers", 0, "settings.familyInfo.workers: 0 is no number from 1 up"),
+        ("familyInfo.workers", 0, "settings.familyInfo.workers: 0 is not a number of at least 1"),
         ("ceilings.mostHeld", 0, "settings.ceilings.mostHeld"),
         ("ceilings.tryLimit", ABSENT, "settings.ceilings.tryLimit"),
         ("ceilings.connectTimeout", "1s", "settings.ceilings.connectTimeout"),
         ("rules.cold", ABSENT, "settings.rules.cold"),
         ("rules.fall", float("inf"), "settings.rules.fall"),
         ("rules.tipMultiple", float("nan"), "settings.rules.tipMultiple"),
-        ("rules", None, "settings.rules: None is no table"),
+        ("rules", None, "settings.rules: None is not a table"),
         ("groupSize", 0, "settings.groupSize"),
         ("tick", None, "settings.tick"),
         ("loadInfo", 3, "settings.loadInfo"),
     ],
 )
-def test_what_cannot_be_read_by_its_meaning_is_refused_by_its_place(
-    path, value, message, tmp_path, monkeypatch, capsys
-):
-    """Most of these once ended in a fault in the middle of a day, or kept every message to its end without
-    a call.
+def test_an_invalid_setting_is_refused_with_its_path(path, value, message, tmp_path, monkeypatch, capsys):
+    """Unchecked, such values raised an exception in a running courier, or held each message until it expired
+    without a call.
     """
     settings = changed_settings(path, value)
     with pytest.raises(ValueError) as fault:
@@ -81,7 +79,7 @@
     "settings",
     [{}, [], {"listen": "127.0.0.1:1", "state": "x"}, {"listen": "127.0.0.1:1", "settings": terms()}],
 )
-def test_a_file_that_lacks_what_a_start_needs_is_a_plain_refusal(settings, tmp_path, monkeypatch, capsys):
+def test_a_file_without_required_keys_is_refused_with_one_line(settings, tmp_path, monkeypatch, capsys):
     (tmp_path / "c.json").write_text(json.dumps(settings))
     monkeypatch.setattr("os.environ", {"LB_CONFIG": str(tmp_path / "c.json")})
     assert main(SignalReader()) == 2
@@ -116,9 +114,10 @@
         ("more", {"unknown": 1}),
     ],
 )
-def test_zero_absent_and_enormous_values_are_read_by_their_meaning(path, value):
-    """Each message still ends, through refusals, silence and answers; a cold time or a span of 0 once
-    stopped every turn by a fault.
+def test_zero_absent_and_very_large_values_are_accepted(path, value):
+    """Each message still gets its final answer, through refusals, time-outs and deliveries.
+
+    A cold time or a span of 0 raised an exception in every tick.
     """
     check(settings := changed_settings(path, value))
     facade = Facade(7, settings, 8, 0.0)
@@ -145,6 +144,6 @@
     assert sorted(ends) == [str(number) for number in range(6)]
 
 
-def test_the_platforms_settings_are_checked_where_they_are_read(tmp_path):
+def test_the_settings_from_the_platform_are_checked_when_they_are_read(tmp_path):
     (tmp_path / "c.json").write_text(json.dumps({"listen": "127.0.0.1:1", "state": "x", "settings": terms()}))
     assert posted({"LB_CONFIG": str(tmp_path / "c.json"), "LB_DISCOVERY": "127.0.0.1:2"}).terms == terms()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,6 +1,4 @@
-"""Our own variants of a deployment, `deploy/sites/`: what a courier there would be told is read as any
-other customer's settings.
-"""
+"""The example deployments in `deploy/sites/`: their settings are read like those of any deployment."""
 
 import pathlib
 import tomllib
@@ -21,7 +19,7 @@
 
 
 def settings_of(site):
-    """A site file's terms in the form in which a courier is told them, with the most of each range."""
+    """Converts a site file into the settings of a courier, with the upper bound of each range."""
     family, allow, rules, tier = site["fam"], site["allow"], site["rules"], site["tier"][0]
     grades = [
         dict(
@@ -75,7 +73,7 @@
     return tomllib.loads(request.param.read_text())
 
 
-def test_a_variant_is_read_and_its_messages_end(site):
+def test_the_settings_of_a_site_are_read_and_each_message_gets_a_final_answer(site):
     settings = settings_of(site)
     check(settings)
     facade = Facade(7, settings, 8, 0.0)
@@ -101,7 +99,7 @@
     ]
 
 
-def test_a_courier_starts_on_a_variant(site, tmp_path):
+def test_a_courier_starts_with_the_settings_of_a_site(site, tmp_path):
     loop = Loop(now=Clock())
     post = Post(
         "n0",
@@ -118,7 +116,7 @@
     assert runtime.facade.max_texts == site["fam"]["least_open"] and not runtime.stuck
 
 
-def test_the_variants_have_what_the_users_deployments_have_not():
+def test_the_sites_cover_what_other_deployments_lack():
     settings = {path.stem: settings_of(tomllib.loads(path.read_text())) for path in SITES}
     permits, alerts = settings["tromso-permits"], settings["cusco-alerts"]
     assert [product(grade, "linear").repeat for grade in permits["grades"]] == [Repeat.ONCE_ONLY]
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -1,5 +1,7 @@
-"""Faults of system calls, as Linux documents them: what passes costs a moment and nobody an answer, and what
-is this machine's fault is learnt of no endpoint.
+"""Errors of system calls, as documented for Linux.
+
+A transient error costs a short wait and no answer, and a lack of resources on this machine does not count as
+a failure of the endpoint.
 """
 
 import errno
@@ -12,7 +14,7 @@
 from calicopin.system_errors import PASSING, SINGLE_CONNECTION_ERRORS
 from calicopin.wire.loop import AGAIN
 
-TRANSIENT = ("EINTR", "ENOBUFS", "ENOMEM")  # EINTR: only where the runtime does not try again by itself
+TRANSIENT = ("EINTR", "ENOBUFS", "ENOMEM")  # EINTR: where Python does not retry by itself
 
 
 @pytest.fixture
@@ -30,19 +32,19 @@
 
 
 def endpoint_failures(courier):
-    """What is known of endpoints that a failed call would change."""
+    """The counters of endpoint failures, which a failed call would change."""
     return [
         (each.misses, each.route.slow_start.fails)
         for each in courier.runtime.facade.module.endpoints.values()
     ]
 
 
-# Clients' connections.
+# Connections of clients.
 
 
 @pytest.mark.parametrize("error", TRANSIENT)
 @pytest.mark.parametrize("call", ["client_recv", "client_send", "client_peek"])
-def test_a_request_gets_its_answer_where_the_system_has_no_room_for_a_moment(courier, system, call, error):
+def test_a_request_is_answered_despite_transient_errors(courier, system, call, error):
     system.told[call].extend([error] * 3)
     peer = courier.request(body=b"abc")
     spin(courier.loop, lambda: system.met[call] or b"202" in peer.hear())
@@ -52,7 +54,7 @@
 
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"])
-def test_a_broken_connection_of_a_client_withdraws_what_it_did_not_hear_of(courier, system, error):
+def test_a_broken_client_connection_withdraws_its_unacknowledged_text(courier, system, error):
     system.told["client_send"].append(error)
     peer = courier.request(product="once")
     spin(courier.loop, lambda: courier.runtime.ledger.withdrawn["once"])
@@ -60,7 +62,7 @@
 
 
 @pytest.mark.parametrize("code", sorted(SINGLE_CONNECTION_ERRORS - PASSING))
-def test_a_connection_that_ended_before_its_accept_holds_up_none_behind_it(courier, system, code):
+def test_a_connection_that_ended_before_its_accept_does_not_delay_the_next(courier, system, code):
     system.told["accept"].append(errno.errorcode[code])
     peer = courier.request(body=b"abc")
     spin(courier.loop, lambda: b"202" in peer.hear())
@@ -68,8 +70,8 @@
 
 
 @pytest.mark.parametrize("error", ["ECONNABORTED", "EPROTO", "EPERM"])
-def test_an_accept_that_fails_over_and_over_does_not_spin(courier, system, error):
-    """The fault takes no connection away, and each pass of the loop would meet it again."""
+def test_an_accept_that_always_fails_does_not_spin(courier, system, error):
+    """The error leaves the connection in the queue, so each pass of the loop would fail again at once."""
     system.always["accept"] = error
     peer = courier.request(body=b"abc")
     for _ in range(200):
@@ -81,7 +83,7 @@
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL"])
-def test_an_accept_for_which_there_is_no_room_is_tried_again_a_moment_later(courier, system, error):
+def test_an_accept_without_resources_is_retried_after_a_pause(courier, system, error):
     system.told["accept"].extend([error] * 2)
     peer = courier.request(body=b"abc")
     spin(courier.loop, lambda: system.met["accept"] == 1)
@@ -92,7 +94,7 @@
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
-def test_every_message_of_a_request_and_of_its_call_may_come_and_go_byte_by_byte(courier, system):
+def test_a_request_and_its_call_may_be_read_and_written_byte_by_byte(courier, system):
     system.always.update(client_recv=SHORT, client_send=SHORT, recv=SHORT, send=SHORT, write=SHORT)
     peer = courier.request(body=b"abc")
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
@@ -102,7 +104,7 @@
     spin(courier.loop, lambda: courier.runtime.ledger.succeeded["notice"])
 
 
-def test_the_list_and_a_notice_may_come_and_go_byte_by_byte(tmp_path, system):
+def test_the_list_and_a_notice_may_be_read_and_written_byte_by_byte(tmp_path, system):
     system.always.update(recv=SHORT, send=SHORT, write=SHORT)
     courier = CourierFixture(tmp_path, system=system)
     assert courier.post("a", product="once") == b"202"
@@ -117,7 +119,7 @@
 
 @pytest.mark.parametrize("call", ["socket", "connect"])
 @pytest.mark.parametrize("error", ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL", "EAGAIN"])
-def test_what_this_machine_has_no_room_for_is_no_failure_of_the_endpoint(courier, system, call, error):
+def test_a_lack_of_local_resources_is_not_a_failure_of_the_endpoint(courier, system, call, error):
     system.told[call].extend([error] * 6)
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
@@ -125,10 +127,10 @@
     courier.pass_time(7 * AGAIN)
     assert b"X-Request-ID: a" in courier.endpoint.meet().wait(b"\r\n\r\n")
     assert system.met[call] == 6 and modes(courier) == {"well"} and endpoint_failures(courier) == before
-    assert courier.runtime.journal.texts["a"].tries == 1, "and no attempt"
+    assert courier.runtime.journal.texts["a"].tries == 1, "a connect without resources is not an attempt"
 
 
-def test_a_connection_that_fails_behind_its_begin_for_want_of_room_is_no_failure_either(courier, system):
+def test_a_lack_of_local_resources_during_connect_is_not_a_failure_either(courier, system):
     system.told["so_error"].append("ENOBUFS")
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
@@ -142,7 +144,7 @@
 
 
 @pytest.mark.parametrize("error", ["ENETUNREACH", "EHOSTUNREACH", "ENETDOWN", "ECONNABORTED"])
-def test_no_way_to_an_endpoint_for_a_moment_is_asked_for_again(courier, system, error):
+def test_a_connect_without_a_route_is_retried(courier, system, error):
     system.told["connect"].extend([error] * 3)
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
@@ -154,7 +156,7 @@
     )
 
 
-def test_no_way_to_an_endpoint_for_long_counts_as_a_failure_of_its_call(courier, system):
+def test_a_route_that_stays_missing_counts_as_a_failure_of_the_call(courier, system):
     system.always["connect"] = "ENETUNREACH"
     assert courier.post("a") == b"202"
     spin(courier.loop, lambda: system.met["connect"])
@@ -164,7 +166,7 @@
 
 @pytest.mark.parametrize("call", ["send", "recv", "peek"])
 @pytest.mark.parametrize("error", TRANSIENT)
-def test_a_call_goes_on_where_the_system_has_no_room_for_a_moment(courier, system, call, error):
+def test_a_call_goes_on_despite_transient_errors(courier, system, call, error):
     system.told[call].extend([error] * 2)
     before = endpoint_failures(courier)
     assert courier.post("a", product="once") == b"202"
@@ -182,8 +184,8 @@
 
 
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOSPC"])
-def test_a_descriptor_that_cannot_be_watched_for_a_moment_does_not_spin(courier, system, error):
-    """`max_user_watches` is used up: a coroutine resumed at once asked again for ever in one pass."""
+def test_a_descriptor_that_epoll_refuses_does_not_spin(courier, system, error):
+    """With `max_user_watches` exhausted, a coroutine resumed at once retried for ever in one pass."""
     peer = courier.request(body=b"abc")
     peer.wait(b"\r\n\r\n")
     system.always["epoll_ctl"] = error
@@ -197,8 +199,8 @@
     assert second.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
-def test_a_close_that_reports_a_fault_leaves_the_courier_in_order(courier, system):
-    """Linux frees the descriptor whatever close says."""
+def test_a_close_that_fails_does_not_disturb_the_courier(courier, system):
+    """Linux frees the descriptor even if close returns an error."""
     system.always["close"] = "EIO"
     for ident in "ab":
         peer = courier.request(ident)
@@ -211,20 +213,21 @@
 
 
 def test_a_notice_waits_for_the_202_of_its_message(courier, system):
-    """The system had no room for the 202 of a message with little time left: its notice was out first,
-    counted for nothing since nobody knew the message yet, and the message was lost.
+    """ENOBUFS delayed the 202 of a message close to expiry, so its notice was sent first.
+
+    The platform did not know the message yet and ignored the notice; the message was lost.
     """
     system.told["client_send"].append("ENOBUFS")
     peer = courier.request(left=0.03)
     courier.pass_time(95.0)
     assert system.met["client_send"] and not peer.hear() and not courier.runtime.facade.texts
-    assert not courier.runtime.notices.owed, "it has ended, and waits for its 202"
+    assert not courier.runtime.notices.owed, "the message has ended, and its notice waits for the 202"
     courier.pass_time(2 * AGAIN)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
     assert courier.notice() == [{"ref": "a", "result": "bounced"}]
 
 
-def test_a_message_that_ended_before_its_202_and_whose_client_left_owes_nothing(courier, system):
+def test_no_notice_is_owed_if_the_client_left_before_the_202_of_an_ended_message(courier, system):
     system.told["client_send"].extend(["ENOBUFS", "ECONNRESET"])
     peer = courier.request(left=0.03)
     courier.pass_time(95.0)
--- a/tests/test_time.py
+++ b/tests/test_time.py
@@ -1,4 +1,4 @@
-"""Clocks: who reads one, and that a step of the wall clock moves no time."""
+"""Clocks: which modules read one, and that a step of the wall clock does not move any deadline."""
 
 import ast
 import re
@@ -21,7 +21,7 @@
 
 
 def clocks_read(path):
-    """The clocks that a module reads, as the page names them."""
+    """The clocks that a module reads, under the names used in docs/time.md."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Attribute):
@@ -37,7 +37,7 @@
     return found
 
 
-def test_the_page_names_each_reader_of_a_clock_and_no_other():
+def test_docs_time_lists_exactly_the_modules_that_read_a_clock():
     page, documented = (ROOT / "docs" / "time.md").read_text(encoding="utf-8"), {}
     for line in page.splitlines():
         cells = [cell.strip() for cell in line.strip("|").split("|")]
@@ -50,7 +50,7 @@
 
 
 class SteppedWallClock(System):
-    """One run of the machine, in which the test sets the wall clock."""
+    """A system without reboots, whose wall clock the test steps."""
 
     step = 0.0
 
@@ -65,7 +65,7 @@
 
 
 def courier_in_state(state, folder, system):
-    """A courier that holds the message a in that state."""
+    """A courier that holds the message "a" in the given state."""
     courier = CourierFixture(folder, system=system)
     if state == "waiting":
         courier.runtime.calling = False
@@ -87,7 +87,7 @@
 
 
 def times(courier):
-    """All times that the courier holds of the message, in ms of the clock that goes on."""
+    """All times that the courier holds of the message "a", in ms of the monotonic clock."""
     held_text, journal = courier.runtime.journal.texts.get("a"), courier.runtime.journal
     pauses = {key: state["pause"] for key, state in journal.routes.states.items()}
     return held_text and (held_text.until, held_text.ran_at), journal.past.idents.get("a"), pauses
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize("state", STATES)
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_between_a_kill_and_the_start_moves_no_time_of_a_message(tmp_path, state, step):
+def test_a_step_between_a_kill_and_the_start_moves_no_deadline(tmp_path, state, step):
     system = SteppedWallClock()
     courier = courier_in_state(state, tmp_path, system)
     system.step = step
@@ -121,14 +121,14 @@
 
 @pytest.mark.parametrize("state", STATES)
 @pytest.mark.parametrize("step", STEPS)
-def test_a_step_while_the_process_runs_moves_no_time_of_a_message(tmp_path, state, step):
+def test_a_step_while_the_process_runs_moves_no_deadline(tmp_path, state, step):
     system = SteppedWallClock()
     courier = courier_in_state(state, tmp_path, system)
     system.step = step
     courier.loop.once(courier.loop.now())
     if state != "ended":
         assert courier.runtime.journal.texts["a"].verdict is None and not courier.runtime.given_up
-    assert courier.post("b", left=60.0) == b"202", "journalled behind the step"
+    assert courier.post("b", left=60.0) == b"202", "journalled after the step"
     until = courier.runtime.journal.texts["b"].until
     check_after_start(state, tmp_path, courier, system)
     reloaded = Journal(str(tmp_path), 3_000_000, system.wall() - courier.loop.now(), system, 60_000.0, "b")
@@ -136,17 +136,17 @@
 
 
 @pytest.mark.parametrize("step", [3.6e6, -3.6e6, 40 * 86_400_000.0])
-def test_a_step_within_one_run_makes_no_list_older_or_younger(tmp_path, step):
+def test_a_step_without_a_reboot_does_not_change_the_age_of_the_list(tmp_path, step):
     system = SteppedWallClock()
     written(tmp_path, places(3), system)
     system.step = step
     assert known_list(tmp_path, system).read() == places(3)
 
 
-def test_after_a_reboot_no_message_has_more_time_than_it_had(tmp_path):
+def test_a_reboot_never_extends_the_time_left_of_a_message(tmp_path):
     now, offset = System.now(), System.wall() - System.now()
     journal = Journal(str(tmp_path), 3_000_000, offset, System(), 60_000.0, "b")
     journal.taken(replace(text("a"), until=now + 5000.0))
     journal.flush()
     reloaded = Journal(str(tmp_path), 3_000_000, offset - 3.6e6, System(), 60_000.0, "another")
-    assert 0.0 < reloaded.texts["a"].until - System.now() <= 5000.0, "the wall clock went back by an hour"
+    assert 0.0 < reloaded.texts["a"].until - System.now() <= 5000.0, "the wall clock was set back by an hour"
