--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -220,7 +220,7 @@
         self.events.append(RouteState(self.dests(dest), number, state, continuous))
 
     def interrupted(self, dest):
-        """Reports that a call to the destination was in progress when the previous process ended."""
+        """Notes that a call to the destination was in progress when the previous process ended."""
         self.events.append(Interrupted(self.dests(dest)))
 
     def dropped_destinations(self):
@@ -366,16 +366,15 @@
         return list(self.dests.index)
 
     def report(self, call, answer, elapsed):
-        """Reports the result of a call after `elapsed` ms; texts that have an outcome already are skipped."""
+        """Processes the result of a call after `elapsed` ms; skips texts that already have an outcome."""
         load = {column: answer.load.get(column) for column in self.load_columns}
         for text in call.texts:
             if text.number in call.open:
                 outcome, ended = how(answer, text.ident)
                 self._outcome(call, text, outcome, elapsed, ended, answer.wait, load)
         if answer.wait > call.waited:
-            if (
-                not call.open and call.told
-            ):  # the status line gave the outcome; the wait came later, with the headers
+            # the status line gave the outcome before; the wait came later, with the headers
+            if not call.open and call.told:
                 self.module.halt(call.endpoint, answer.wait)
             call.waited = answer.wait
         call.told = True
@@ -467,8 +466,8 @@
         The earliest time-out among the texts ends the whole call, so that each text gets one final answer. If
         the call went on for the others, a text whose time is up might still run, and an endpoint that sees
         it expired may drop all of them; a resent text would then be a second copy, and a text behind it with
-        the same key would be sent out of order. The cost: a shared call is cut
-        short by the text that is closest to its end.
+        the same key would be sent out of order. The cost: the text closest to expiry shortens the call for
+        all of them.
         """
         text, place = self.texts.get(action.text), self.places[action.endpoint]
         if text is None:  # withdrawn in the meantime
@@ -496,7 +495,10 @@
         return bool(self.module.still(now, call.endpoint, [text.number for text in call.texts]))
 
     def back(self):
-        """Returns the next text that needs another submit, with whether the last may have run; or None."""
+        """Returns the next text whose submit ended without a final answer, or None.
+
+        The result is (text, whether that submit may have run).
+        """
         return self.returned_texts.popleft() if self.returned_texts else None
 
     def ended(self):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -28,11 +28,13 @@
     return rows
 
 
-def unnamed(rows, collected, whole):
+def unknown_tests(rows, collected, full_run):
     """Listed tests that do not exist; in a partial run only those of collected files are checked."""
     files = {name.partition("::")[0] for name in collected}
     return [
-        test for test, _, _ in rows if test not in collected and (whole or test.partition("::")[0] in files)
+        test
+        for test, _, _ in rows
+        if test not in collected and (full_run or test.partition("::")[0] in files)
     ]
 
 
@@ -51,8 +53,8 @@
 
 def pytest_collection_modifyitems(config, items):
     rows, collected = read_list(config), {item.nodeid for item in items}
-    whole = config.args == config.getini("testpaths") and not config.option.keyword
-    if missing := unnamed(rows, collected, whole):
+    full_run = config.args == config.getini("testpaths") and not config.option.keyword
+    if missing := unknown_tests(rows, collected, full_run):
         raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(missing)}")
     red = {test: cause for test, cause, _ in rows}
     for item in items:
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,4 +1,4 @@
-"""The facade over the decisions: how results of calls determine the fate of texts."""
+"""The facade over the decisions: how results of calls become outcomes of texts."""
 
 import pytest
 from courier_helper import endings, picked, place, text
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from known_red import known_red, unnamed
+from known_red import known_red, unknown_tests
 
 LINE = "tests/test_a.py::test_fails | it is broken | issue 7\n"
 
@@ -61,4 +61,4 @@
     ):
         with pytest.raises(ValueError):
             known_red(listed)
-    assert unnamed(known_red(LINE), {"tests/test_c.py::test"}, whole=False) == []
+    assert unknown_tests(known_red(LINE), {"tests/test_c.py::test"}, full_run=False) == []
--- a/tests/test_time.py
+++ b/tests/test_time.py
@@ -61,7 +61,7 @@
         return System.wall() + self.step
 
 
-STATES = ("waiting", "called", "told to wait", "may have run", "ended")
+STATES = ("waiting", "called", "wait advised", "may have run", "ended")
 
 
 def courier_in_state(state, folder, system):
@@ -74,7 +74,7 @@
         return courier
     peer = courier.endpoint.meet()
     peer.wait(b"\xfe\xfe\xfe")
-    if state == "told to wait":
+    if state == "wait advised":
         peer.say(answer(503, X_Retry_In_Ms="9000"))
         spin(courier.loop, lambda: courier.runtime.journal.texts["a"].out_at is None)
     elif state == "may have run":
@@ -107,7 +107,7 @@
     assert {key: after[2][key] for key in before[2]} == {
         key: pytest.approx(pause, abs=100.0) for key, pause in before[2].items()
     }
-    assert before[2] or state != "told to wait"
+    assert before[2] or state != "wait advised"
 
 
 @pytest.mark.parametrize("state", STATES)
