--- a/calicopin/deployment_settings.py
+++ b/calicopin/deployment_settings.py
@@ -72,7 +72,7 @@
                 or not isinstance(value, (int, float))
                 or not least <= value < float("inf")
             ):
-                raise ValueError(f"{prefix}{key}: {value!r:.40} is not a number of at least {least:g}")
+                raise ValueError(f"{prefix}{key}: {value!r:.40} is not a number from {least:g} upwards")
 
     check_numbers(require_table(settings, "settings"), "settings.", "")
     for section in ("familyInfo", "ceilings", "rules"):
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -46,8 +46,8 @@
 def test_a_start_retries_after_transient_errors(tmp_path, error):
     system = PausedSystem()
     system.told["read"].extend([error] * 5)
-    (tmp_path / "one").write_bytes(b"content")
-    assert patiently(system, system.read, str(tmp_path / "one")) == b"content" and system.clock > 0.0
+    (tmp_path / "one").write_bytes(b"told")
+    assert patiently(system, system.read, str(tmp_path / "one")) == b"told" and system.clock > 0.0
 
 
 def test_a_start_fails_after_the_retry_limit_and_at_once_for_permanent_errors(tmp_path):
