--- a/calicopin/deployment_settings.py
+++ b/calicopin/deployment_settings.py
@@ -1,6 +1,6 @@
-"""The terms of a deployment, read at start: the one reader for the adapter and for the courier on sockets.
+"""Reads the settings of a deployment into `CourierSettings`, for the simulator adapter and the courier.
 
-Nothing here decides anything; keys that are not known are passed over.
+Unknown keys are ignored.
 """
 
 from itertools import count
@@ -8,7 +8,7 @@
 from calicopin.decisions import Courier
 from calicopin.interface import CourierSettings, FailBack, Partner, Product, Repeat
 
-REPEATS = {
+REPEAT_BY_IDEMPOTENCY = {
     "read_like": Repeat.RESENDABLE,
     "idempotency_key": Repeat.REFERENCED,
     "non_idempotent": Repeat.ONCE_ONLY,
@@ -16,7 +16,7 @@
 
 
 class Indices:
-    """Gives each outside id a small index, in the order of arrival; none is given twice."""
+    """Maps external ids to small integers, in the order of arrival; no integer is reused."""
 
     def __init__(self, idents=()):
         self.index, self.ident, self.next = {}, {}, count()
@@ -24,98 +24,105 @@
             self(ident)
 
     def __call__(self, ident):
-        """The number of an id; a new one where it has none yet."""
+        """Returns the number of an id, and assigns the next one to an unknown id."""
         if ident not in self.index:
             self.index[ident] = number = next(self.next)
             self.ident[number] = ident
         return self.index[ident]
 
     def forget(self, ident):
-        """Drops an id and its number; KeyError where it is not known."""
+        """Removes an id and its number; raises KeyError for an unknown id."""
         del self.ident[self.index.pop(ident)]
 
 
-LEAST = {  # what has to be there, with the least that can be served
+REQUIRED_MINIMUMS = {  # required keys by section, with the smallest supported value
     "": {"slotNo": 0, "groupSize": 1, "tick": 0.0},
     "familyInfo": {"workers": 1},
     "ceilings": {"mostHeld": 1, "tryLimit": 1},
     "rules": {"coldFrom": 0.0, "cold": 0.0, "tipMultiple": 0.0, "fall": 0.0},
     "grades": {"aim": 1e-3, "giveUp": 1e-3},
 }
-LEFT_OUT = {  # what may be absent or null
+OPTIONAL_MINIMUMS = {  # keys that may be absent or null
     "ceilings": {"connectTimeout": 0.0, "idleClose": 0.0, "maxRetryAfter": 0.0},
     "rules": {"orderSettle": 0.0, "askWithin": 0.0},
     "grades": {"points": 0.0, "lateWorth": 0.0, "keyTtl": 0.0},
 }
 
 
-def check(env):
-    """Raises ValueError with the place of the first setting that cannot be read by its meaning: another
-    customer's settings are refused by name at the start, and not met by chance in the middle of a day.
+def check(settings):
+    """Raises ValueError with the path of the first invalid setting.
+
+    Invalid settings are refused at startup, before they can fail a courier that is running.
     """
 
-    def table(value, place):
+    def require_table(value, place):
         if not isinstance(value, dict):
-            raise ValueError(f"{place}: {value!r:.40} is no table of settings")
+            raise ValueError(f"{place}: {value!r:.40} is not a table of settings")
         return value
 
-    def numbers(values, place, kind):
-        for key, least in LEAST.get(kind, {}).items() | LEFT_OUT.get(kind, {}).items():
-            value, needed = values.get(key), key in LEAST.get(kind, {})
-            if value is None and not needed:
+    def check_numbers(values, prefix, section):
+        for key, least in (
+            REQUIRED_MINIMUMS.get(section, {}).items() | OPTIONAL_MINIMUMS.get(section, {}).items()
+        ):
+            value, required = values.get(key), key in REQUIRED_MINIMUMS.get(section, {})
+            if value is None and not required:
                 continue
             if (
                 isinstance(value, bool)
                 or not isinstance(value, (int, float))
                 or not least <= value < float("inf")
             ):
-                raise ValueError(f"{place}{key}: {value!r:.40} is no number from {least:g} up")
+                raise ValueError(f"{prefix}{key}: {value!r:.40} is not a number from {least:g} upwards")
 
-    numbers(table(env, "settings"), "settings.", "")
-    for kind in ("familyInfo", "ceilings", "rules"):
-        numbers(table(env.get(kind), f"settings.{kind}"), f"settings.{kind}.", kind)
-    grades = env.get("grades")
+    check_numbers(require_table(settings, "settings"), "settings.", "")
+    for section in ("familyInfo", "ceilings", "rules"):
+        check_numbers(
+            require_table(settings.get(section), f"settings.{section}"), f"settings.{section}.", section
+        )
+    grades = settings.get("grades")
     if not isinstance(grades, list) or not grades:
-        raise ValueError("settings.grades: there has to be one at least")
+        raise ValueError("settings.grades: at least one grade is required")
     names = set()
-    for place, grade in enumerate(grades):
-        where = f"settings.grades[{place}]"
-        name, repeat = table(grade, where).get("name"), grade.get("idempotency")
+    for position, grade in enumerate(grades):
+        place = f"settings.grades[{position}]"
+        name, repeat = require_table(grade, place).get("name"), grade.get("idempotency")
         if not isinstance(name, str) or not name or name in names:
-            raise ValueError(f"{where}.name: {name!r:.40} is no name of its own")
-        if repeat not in REPEATS:
-            raise ValueError(f"{where}.idempotency: {repeat!r:.40} is none of {', '.join(REPEATS)}")
+            raise ValueError(f"{place}.name: {name!r:.40} is not a unique name")
+        if repeat not in REPEAT_BY_IDEMPOTENCY:
+            raise ValueError(
+                f"{place}.idempotency: {repeat!r:.40} is not one of {', '.join(REPEAT_BY_IDEMPOTENCY)}"
+            )
         names.add(name)
-        numbers(grade, f"{where}.", "grades")
-    if env.get("loadInfo") is not None:
-        table(env["loadInfo"], "settings.loadInfo")
+        check_numbers(grade, f"{place}.", "grades")
+    if settings.get("loadInfo") is not None:
+        require_table(settings["loadInfo"], "settings.loadInfo")
 
 
-def ms(value):
-    """Seconds as milliseconds; 0 where nothing is told."""
+def milliseconds(value):
+    """Converts seconds to milliseconds; None gives 0."""
     return (value or 0.0) * 1000.0
 
 
 def product(grade, fades):
-    """One entry of `grades` in our words."""
+    """Builds a `Product` from one entry of `grades`."""
     return Product(
-        repeat=REPEATS[grade["idempotency"]],
-        sla=ms(grade["aim"]),
-        validity=ms(grade["giveUp"]),
+        repeat=REPEAT_BY_IDEMPOTENCY[grade["idempotency"]],
+        sla=milliseconds(grade["aim"]),
+        validity=milliseconds(grade["giveUp"]),
         revenue=1.0 if grade.get("points") is None else grade["points"],
         late_revenue=grade.get("lateWorth") or 0.0,
-        memory=ms(grade.get("keyTtl")),
+        memory=milliseconds(grade.get("keyTtl")),
         memory_by_zone=grade.get("group", "all") != "all",
         in_order=bool(grade.get("inOrder", False)),
         late_halves=fades == "halving",
     )
 
 
-def partners(env):
-    """What holds for each kind of destination."""
-    family = env["familyInfo"]
+def partners(settings):
+    """The `Partner` of each kind of destination, in the order of `kinds`."""
+    family = settings["familyInfo"]
     apart, bundles = family.get("ownLimits") or [], family.get("bundleMax") or []
-    kinds = max(len(env.get("kinds") or []), len(apart), len(bundles), 1)
+    kinds = max(len(settings.get("kinds") or []), len(apart), len(bundles), 1)
     return [
         Partner(
             bundle=max(1, int(bundles[i])) if i < len(bundles) else 1,
@@ -125,53 +132,49 @@
     ]
 
 
-def agreed(env):
-    """Whether the list tells the rate that a destination takes."""
-    return env.get("weights") in ("nominal", "rough", "live")
+def lists_agreed_rates(settings):
+    """Whether list entries carry the call rate agreed with the destination."""
+    return settings.get("weights") in ("nominal", "rough", "live")
 
 
-def pushed(env):
-    """Whether an agent beside the courier is sent the list, and answers at once and at no cost with what
-    it has.
-    """
-    return env.get("discovery") != "ask"
+def pushed(settings):
+    """Whether a local agent receives the list, so that asking it is immediate and free."""
+    return settings.get("discovery") != "ask"
 
 
 def gives_back(ceilings):
-    """Whether idle connections are given back: unless it says otherwise, wherever partners keep them at
-    all.
-    """
+    """Whether surplus idle connections are closed; by default, if `idleClose` is set."""
     return bool(ceilings.get("giveBack", ceilings.get("idleClose")))
 
 
-def reports(env):
-    """The columns of the load that endpoints report, in their order; empty where they report none."""
-    return (env.get("loadInfo") or {}).get("columns") or []
+def load_columns(settings):
+    """The names of the load values that endpoints report, in order; empty if they report none."""
+    return (settings.get("loadInfo") or {}).get("columns") or []
 
 
-def courier(seed, env, **other):
-    """A courier from the settings; `other` stands in for what is given differently."""
-    family, ceilings, rules = env["familyInfo"], env["ceilings"], env["rules"]
-    told = dict(
+def courier(seed, settings, **overrides):
+    """Builds a courier from the settings; `overrides` replaces fields of `CourierSettings`."""
+    family, ceilings, rules = settings["familyInfo"], settings["ceilings"], settings["rules"]
+    values = dict(
         seed=seed,
-        number=env["slotNo"],
-        senders=env["groupSize"],
-        tick=ms(env["tick"]),
+        number=settings["slotNo"],
+        senders=settings["groupSize"],
+        tick=milliseconds(settings["tick"]),
         slots=family["workers"],
         room=ceilings["mostHeld"],
         tries=ceilings["tryLimit"],
-        products=[product(grade, family.get("fades")) for grade in env["grades"]],
-        partners=partners(env),
+        products=[product(grade, family.get("fades")) for grade in settings["grades"]],
+        partners=partners(settings),
         fail_back=FailBack(
             cold_from=rules["coldFrom"],
-            cold=max(1.0, ms(rules["cold"])),  # 0: over at once
+            cold=max(1.0, milliseconds(rules["cold"])),  # 0: ends at once
             multiple=rules["tipMultiple"],
-            span=max(1.0, ms(rules["fall"])),
+            span=max(1.0, milliseconds(rules["fall"])),
         ),
-        settle=ms(rules.get("orderSettle")),
+        settle=milliseconds(rules.get("orderSettle")),
         gives_back=gives_back(ceilings),
-        most_advice=ms(ceilings.get("maxRetryAfter")) if ceilings.get("retryAfter") else 0.0,
-        asks=not pushed(env),
-        ask_within=ms(rules.get("askWithin", 10.0)),
+        most_advice=milliseconds(ceilings.get("maxRetryAfter")) if ceilings.get("retryAfter") else 0.0,
+        asks=not pushed(settings),
+        ask_within=milliseconds(rules.get("askWithin", 10.0)),
     )
-    return Courier(CourierSettings(**(told | other)))
+    return Courier(CourierSettings(**(values | overrides)))
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,44 +1,44 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""KNOWN-RED.txt: tests that fail because of a real fault that is not fixed yet.
 
-Each is expected to fail, strictly: one that passes again turns the run red until its line goes. A missing or
-empty file means none.
+Each is a strict xfail: a listed test that passes fails the run until its line is removed. A missing or empty
+file lists no tests.
 """
 
 import pathlib
 
 import pytest
 
-MOST = 3
+MAX_LINES = 3
 
 
-def known_red(words):
-    """(test, cause, issue) of each line; raises ValueError with the line that is none, or is one too many."""
+def known_red(content):
+    """Returns (test, cause, issue) of each line; raises ValueError for an invalid, repeated or extra line."""
     rows = []
-    for number, line in enumerate(words.splitlines(), 1):
+    for number, line in enumerate(content.splitlines(), 1):
         if not line.strip():
             continue
         row = [part.strip() for part in line.split("|")]
         if len(row) != 3 or not all(row) or not row[0].startswith("tests/") or "::" not in row[0]:
             raise ValueError(f"KNOWN-RED.txt:{number}: a line is `tests/FILE.py::TEST | cause | issue`")
         rows.append(tuple(row))
-    if len(rows) > MOST:
-        raise ValueError(f"KNOWN-RED.txt: {len(rows)} lines, {MOST} at most")
+    if len(rows) > MAX_LINES:
+        raise ValueError(f"KNOWN-RED.txt: {len(rows)} lines, {MAX_LINES} at most")
     if len({row[0] for row in rows}) < len(rows):
-        raise ValueError("KNOWN-RED.txt: a test stands there twice")
+        raise ValueError("KNOWN-RED.txt: a test is listed twice")
     return rows
 
 
-def unnamed(rows, collected, whole):
-    """Tests that a line names and that are not there; of a run of some tests only files that were
-    collected tell.
-    """
+def unknown_tests(rows, collected, full_run):
+    """Listed tests that do not exist; in a partial run only those of collected files are checked."""
     files = {name.partition("::")[0] for name in collected}
     return [
-        test for test, _, _ in rows if test not in collected and (whole or test.partition("::")[0] in files)
+        test
+        for test, _, _ in rows
+        if test not in collected and (full_run or test.partition("::")[0] in files)
     ]
 
 
-def told(config):
+def read_list(config):
     path = pathlib.Path(config.rootpath) / "KNOWN-RED.txt"
     try:
         return known_red(path.read_text() if path.exists() else "")
@@ -47,14 +47,14 @@
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    for row in told(config):
+    for row in read_list(config):
         terminalreporter.write_line(f"known red: {' | '.join(row)}")
 
 
 def pytest_collection_modifyitems(config, items):
-    rows, collected = told(config), {item.nodeid for item in items}
-    whole = config.args == config.getini("testpaths") and not config.option.keyword
-    if missing := unnamed(rows, collected, whole):
+    rows, collected = read_list(config), {item.nodeid for item in items}
+    full_run = config.args == config.getini("testpaths") and not config.option.keyword
+    if missing := unknown_tests(rows, collected, full_run):
         raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(missing)}")
     red = {test: cause for test, cause, _ in rows}
     for item in items:
