--- a/calicopin/wire/agent.py
+++ b/calicopin/wire/agent.py
@@ -2,7 +2,7 @@
 change.
 """
 
-from calicopin.wire.http import dial
+from calicopin.wire.http import open_connection
 
 
 class Agent:
@@ -31,5 +31,5 @@
     def connect(self, until):
         """The connection, a new one where there is none; None where it did not come up."""
         if self.line is None:
-            self.line = (yield from dial(self.loop, self.address, until)) or None
+            self.line = (yield from open_connection(self.loop, self.address, until)) or None
         return self.line
--- a/calicopin/wire/asking.py
+++ b/calicopin/wire/asking.py
@@ -9,7 +9,7 @@
 AGAIN = 100.0  # a watch goes on where the next call comes within 200 ms
 TOLD = 6000.0  # all that could be had counts as told so long after, whatever became of the calls for it
 # of the longest time: with what a call may take it is the 6 s after which all counts as told, heard or not
-FIRST = 0.4
+FIRST_CALL_SHARE = 0.4
 
 
 def longest_wait(ask_within):
@@ -51,15 +51,15 @@
         """The next draw, at least 0 and under 1."""
         return zlib.crc32(f"{self.seed}:list:{next(self.draws)}".encode()) / 2**32
 
-    def over(self, times, most):
+    def draw_delay(self, factor, max_delay):
         """A draw from a time, in ms, that grows with the sender count and `times`, and is `most` and
         `pause` at most.
         """
-        return self.chance() * min(most, self.pause, AGAIN * self.senders * times)
+        return self.chance() * min(max_delay, self.pause, AGAIN * self.senders * factor)
 
     def first(self):
         """Until the first call of a start: all may have started together."""
-        return 0.0 if self.pushed else self.over(1.0, FIRST * self.most)
+        return 0.0 if self.pushed else self.draw_delay(1.0, FIRST_CALL_SHARE * self.most)
 
     def answered(self):
         """The list came: the refusals before it no longer count."""
@@ -78,7 +78,7 @@
     def again(self):
         """Until the next call."""
         return (
-            self.over(2.0 ** min(self.refusals, 16), self.most)
+            self.draw_delay(2.0 ** min(self.refusals, 16), self.most)
             if self.refusals and not self.pushed
             else AGAIN
         )
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -14,11 +14,13 @@
 
 # to connect, and beyond the wait that was asked for: the agent is on this machine and answers at once
 GRACE = 250.0
-MOST_GRACE = 2.0 * GRACE  # for the first answer of all, where one call has met silence
-MOST_POWER = 16  # of a patience: beyond them it is as long as the watch in any case
+FIRST_ANSWER_GRACE_MS = 2.0 * GRACE  # for the first answer of all, where one call has met silence
+MAX_BACKOFF_EXPONENT = 16  # of a patience: beyond them it is as long as the watch in any case
 MOST_LIST = 8 << 20
-STATES = ("active", "leaving", "left")
-MOST_WAITS = 5.0  # of an asked wait: the time after which the platform takes a courier that asks for told
+ENDPOINT_STATES = ("active", "leaving", "left")
+ASK_WITHIN_WAITS = (
+    5.0  # of an asked wait: the time after which the platform takes a courier that asks for told
+)
 
 
 def read(data):
@@ -43,7 +45,7 @@
                 for entry in data["servers"]
             ],
         )
-        states = {str(entry["state"]) for entry in data["servers"]}.difference(STATES)
+        states = {str(entry["state"]) for entry in data["servers"]}.difference(ENDPOINT_STATES)
         version = int(data["version"])
     except (KeyError, TypeError, AttributeError, OverflowError) as fault:
         raise ValueError(f"the list lacks or garbles {fault}") from None
@@ -68,11 +70,11 @@
     def __init__(self, loop, address, version, wait, heard, senders=1, seed=0, spread=False, pushed=False):
         self.version, self.wait, self.heard, self.spread = version, wait, heard, spread
         self.tried = self.answered = False
-        self.unread = None  # the fault that was last told: it may come ten times a second
+        self.logged_fault = None  # the fault that was last told: it may come ten times a second
         # calls in a row that met silence: meanwhile short ones only, what it has to tell is told once it is
         # back
-        self.silent = 0
-        self.asking = Asking(senders, MOST_WAITS * wait, seed, pushed, longest_pause(wait, GRACE))
+        self.silent_calls = 0
+        self.asking = Asking(senders, ASK_WITHIN_WAITS * wait, seed, pushed, longest_pause(wait, GRACE))
         super().__init__(loop, address)
 
     def move(self, address):
@@ -92,22 +94,22 @@
                 until = self.loop.now() + GRACE
                 line = yield from self.connect(until)
                 self.refused = not line and self.loop.now() < until
-                told = (yield from self.ask(line)) if line else None
+                update = (yield from self.ask(line)) if line else None
             except (ValueError, RecursionError) as fault:
-                if self.unread != str(fault):
+                if self.logged_fault != str(fault):
                     logger.warning(
                         "discovery's answer cannot be read, the list known serves on: {fault}",
                         event="discovery.unread",
                         fault=fault,
                     )
-                told, self.unread, self.answered = None, str(fault), True
+                update, self.logged_fault, self.answered = None, str(fault), True
             finally:
                 self.tried = True
-            self.answered = self.answered or self.refused or told is not None
-            if told is None or not line.again():
+            self.answered = self.answered or self.refused or update is not None
+            if update is None or not line.again():
                 self.hang_up()
-            self.silent = self.silent + 1 if told is None and not self.refused else 0
-            if told is None:
+            self.silent_calls = self.silent_calls + 1 if update is None and not self.refused else 0
+            if update is None:
                 if self.refused:
                     if not self.asking.refusals:
                         logger.warning("discovery turns calls for the list away", event="discovery.refused")
@@ -119,30 +121,30 @@
             if self.asking.refusals:
                 logger.info("discovery answers again", event="discovery.again")
             self.asking.answered()
-            self.unread = None
-            version, whole, places = told
+            self.logged_fault = None
+            version, whole, places = update
             self.heard(places, whole)
             self.version = version
 
-    def patience(self):
+    def answer_grace(self):
         """For an answer beyond the wait.
 
         Guards against a discovery that answers each call late, since it is asked by many, and was never
         heard: three calls after a watch that fell silent one is as patient as the watch, within the 6 s.
         """
         if self.asking.pushed and not self.answered:  # a start, perhaps of many on a busy machine
-            return MOST_GRACE if self.silent else GRACE
-        if self.asking.pushed or not self.silent:
+            return FIRST_ANSWER_GRACE_MS if self.silent_calls else GRACE
+        if self.asking.pushed or not self.silent_calls:
             return GRACE
-        return min(self.wait + GRACE, GRACE * 4.0 ** min(self.silent - 1, MOST_POWER))
+        return min(self.wait + GRACE, GRACE * 4.0 ** min(self.silent_calls - 1, MAX_BACKOFF_EXPONENT))
 
     def ask(self, line):
         """One call; None where it was not answered in time or broke."""
         wait, target = 0.0, "/api/targets"
         if self.version is not None:
-            wait = 0.0 if self.silent else self.wait
+            wait = 0.0 if self.silent_calls else self.wait
             target = f"{target}?index={self.version}&wait={wait:.0f}"
-        until = self.loop.now() + wait + self.patience()
+        until = self.loop.now() + wait + self.answer_grace()
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
         status, body = (yield from line.ask(request, b"", MOST_LIST, until)) or (0, b"")
         self.refused = status in (429, 503)
--- a/calicopin/wire/http.py
+++ b/calicopin/wire/http.py
@@ -8,23 +8,23 @@
 from calicopin.system_errors import no_room_here, no_route, of_one_connection, passes
 from calicopin.wire.loop import AGAIN, READ, WRITE, Until
 
-CHUNK = 65536
-MOST_GONE = 32  # connections passed over in one accept; more in a row are a fault of the machine's
+READ_SIZE = 65536
+MAX_ABORTED_ACCEPTS = 32  # connections passed over in one accept; more in a row are a fault of the machine's
 UNKNOWN = b"?"  # what may lie unread, where the system had no room to tell
-MOST_LINGER = 16 * CHUNK  # bytes that are read on for the sake of an orderly answer
-MOST_READS = 1024  # for them: some may be short
-AT_ONCE = 16  # tries of one call for which the system has no room, where nothing can wait
+MAX_DISCARDED_BYTES = 16 * READ_SIZE  # bytes that are read on for the sake of an orderly answer
+MAX_DISCARD_READS = 1024  # for them: some may be short
+MAX_IMMEDIATE_TRIES = 16  # tries of one call for which the system has no room, where nothing can wait
 TOO_LONG = object()
 
 
-class NoRoom:
+class NoResources:
     """In place of a connection where no descriptor was left for it: no fault of the other side."""
 
     def __bool__(self):
         return False
 
 
-NO_ROOM = NoRoom()
+NO_RESOURCES = NoResources()
 
 
 class Line:
@@ -48,7 +48,7 @@
         except h11.RemoteProtocolError as fault:
             return h11.ConnectionClosed() if self.ended else fault
 
-    def more(self, until):
+    def read_more(self, until):
         """Reads once; False when the time is up first."""
         data = yield from self._read(until)
         if data is None:
@@ -73,9 +73,9 @@
         """The next h11 event; None when the time is up first."""
         while (event := self.parse()) is h11.NEED_DATA:
             if self.h11.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                yield from self.write(self.h11.send(go_on), until)
-            if not (yield from self.more(until)):
+                interim = h11.InformationalResponse(status_code=100, headers=[])
+                yield from self.write(self.h11.send(interim), until)
+            if not (yield from self.read_more(until)):
                 return None
         return event
 
@@ -83,21 +83,21 @@
         """What lies there, also where it came in the instant in which the time was up; None where nothing
         did.
         """
-        waited = True
+        ready = True
         while True:
             try:
-                return self.sock.recv(CHUNK)
+                return self.sock.recv(READ_SIZE)
             except BlockingIOError:
-                if not waited:
+                if not ready:
                     return None
-                waited = yield Until(until, self.sock.fileno(), READ)
+                ready = yield Until(until, self.sock.fileno(), READ)
             except OSError as fault:
                 if not passes(fault):
                     return b""
                 if not (yield from self._pause(until)):
                     return None
 
-    def write(self, data, until, heed=False):
+    def write(self, data, until, stop_on_answer=False):
         """How many bytes were taken on before the connection broke or the time was up; where the other
         side is to be heeded, before it said something. Guards against waiting for one that has answered
         and reads no more.
@@ -107,9 +107,9 @@
             try:
                 done += self.sock.send(data[done:] if done else data)
             except BlockingIOError:
-                if heed and self.peek() not in (None, UNKNOWN):
+                if stop_on_answer and self.peek() not in (None, UNKNOWN):
                     break
-                if not (yield Until(until, self.sock.fileno(), WRITE | READ if heed else WRITE)):
+                if not (yield Until(until, self.sock.fileno(), WRITE | READ if stop_on_answer else WRITE)):
                     break
             except OSError as fault:
                 if not passes(fault) or not (yield from self._pause(until)):
@@ -131,7 +131,7 @@
         parts.append(self.h11.send(h11.EndOfMessage()))
         return b"".join(parts)
 
-    def body(self, most, until):
+    def body(self, max_size, until):
         """The body of the message whose head was read; None if it does not come whole.
 
         One that is too long is not read on.
@@ -141,7 +141,7 @@
             event = yield from self.event(until)
             if isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > most:
+                if size > max_size:
                     return TOO_LONG
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -149,7 +149,7 @@
             else:
                 return None
 
-    def ask(self, request, body, most, until):
+    def ask(self, request, body, max_size, until):
         """One exchange as a client: status and body, or None where no whole answer came in time."""
         data = self.encode(request, body)
         if (yield from self.write(data, until)) < len(data):
@@ -157,8 +157,8 @@
         head = yield from self.event(until)
         if not isinstance(head, h11.Response):
             return None
-        told = yield from self.body(most, until)
-        return None if told is None else (head.status_code, told)
+        content = yield from self.body(max_size, until)
+        return None if content is None else (head.status_code, content)
 
     def linger(self, until):
         """Ends the sending and reads on a while: closed over unread bytes, a connection is reset, and with it
@@ -167,11 +167,11 @@
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             return
-        left = MOST_LINGER
-        for _ in range(MOST_READS):
+        remaining = MAX_DISCARDED_BYTES
+        for _ in range(MAX_DISCARD_READS):
             data = yield from self._read(until)
-            left -= len(data or b"")
-            if not data or left <= 0:
+            remaining -= len(data or b"")
+            if not data or remaining <= 0:
                 break
 
     def part(self, answer):
@@ -180,28 +180,28 @@
         to hear it, or what the system had no room for.
         """
         try:
-            while answer and (sent := self._at_once(self.sock.send, answer)):
+            while answer and (sent := self._call_without_waiting(self.sock.send, answer)):
                 answer = answer[sent:]
         except OSError:
             return answer
         try:
-            self._at_once(self.sock.shutdown, socket.SHUT_WR)
-            left = MOST_LINGER
-            for _ in range(MOST_READS):
-                data = self._at_once(self.sock.recv, CHUNK)
-                left -= len(data or b"")
-                if not data or left <= 0:
+            self._call_without_waiting(self.sock.shutdown, socket.SHUT_WR)
+            remaining = MAX_DISCARDED_BYTES
+            for _ in range(MAX_DISCARD_READS):
+                data = self._call_without_waiting(self.sock.recv, READ_SIZE)
+                remaining -= len(data or b"")
+                if not data or remaining <= 0:
                     break
         except OSError:  # the answer is out; whether it arrives is up to the system
             pass
         return b""
 
     @staticmethod
-    def _at_once(call, *args):
+    def _call_without_waiting(call, *args):
         """What the call returns; None where it would have to wait, or the connection is broken. Raises
         OSError where the system has no room for it again and again.
         """
-        for tries_left in reversed(range(AT_ONCE)):
+        for tries_left in reversed(range(MAX_IMMEDIATE_TRIES)):
             try:
                 return call(*args)
             except BlockingIOError:
@@ -238,7 +238,7 @@
             return True
         return False
 
-    def spent(self):
+    def has_extra_data(self):
         """Whether more lies on it than was asked for or read, or its end: behind an answer nobody can tell
         whose.
         """
@@ -253,34 +253,34 @@
     """The next connection that waits, or None where none does. Some that ended before they were accepted are
     passed over; OSError where this machine has no room for one, or too many ended in a row.
     """
-    gone = 0
+    aborted = 0
     while True:
         try:
             return listener.accept()[0]
         except BlockingIOError:
             return None
         except OSError as fault:
-            gone += 1
-            if gone > MOST_GONE or not of_one_connection(fault):
+            aborted += 1
+            if aborted > MAX_ABORTED_ACCEPTS or not of_one_connection(fault):
                 raise
 
 
-def dial(loop, address, until):
+def open_connection(loop, address, until):
     """A coroutine that opens a connection as a client: the line, or None if it never came up, or NO_ROOM
     where this machine had nothing to make it with. Where it knows no way there, it asks again until the
     time (ms) is up."""
     while True:
-        code, sock = yield from _connect(loop, address, until)
+        code, sock = yield from _try_connect(loop, address, until)
         if sock:
             return Line(loop, sock, h11.CLIENT)
         if no_room_here(code):
-            return NO_ROOM
+            return NO_RESOURCES
         if not no_route(code) or loop.now() + AGAIN >= until:
             return None
         yield Until(loop.now() + AGAIN)
 
 
-def _connect(loop, address, until):
+def _try_connect(loop, address, until):
     """One try: (0, a socket that is connected), or (the errno that tells why not, None)."""
     host, _, port = address.rpartition(":")
     try:
@@ -289,7 +289,7 @@
         return (fault.errno if no_room_here(fault.errno) else errno.ENOBUFS), None
     code = errno.ECANCELED  # where it is called off in its wait
     try:
-        code = yield from _come_up(sock, (host, int(port)), until)
+        code = yield from _connect_socket(sock, (host, int(port)), until)
     except OSError as fault:
         code = fault.errno or errno.EIO
     except (ValueError, OverflowError):  # an address that is none
@@ -300,7 +300,7 @@
     return code, None if code else sock
 
 
-def _come_up(sock, address, until):
+def _connect_socket(sock, address, until):
     """Connects it: 0 or the errno that tells why not; or OSError."""
     try:
         sock.connect(address)
--- a/calicopin/wire/loop.py
+++ b/calicopin/wire/loop.py
@@ -14,7 +14,7 @@
 WRITE = select.EPOLLOUT
 FOREVER = float("inf")
 AGAIN = 100.0  # after which what failed is tried once more
-NO_ROOM_TO_WATCH = (errno.ENOMEM, errno.ENOSPC)  # of epoll_ctl: the descriptor is as good as before
+OUT_OF_RESOURCES = (errno.ENOMEM, errno.ENOSPC)  # of epoll_ctl: the descriptor is as good as before
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,14 +45,14 @@
 class Task:
     """One coroutine, with the wait it is in."""
 
-    __slots__ = ("gen", "wait", "serial", "over", "ahead")
+    __slots__ = ("gen", "wait", "wait_id", "over", "ahead")
 
     def __init__(self, gen, ahead=False):
-        self.gen, self.wait, self.serial, self.over, self.ahead = gen, None, 0, False, ahead
+        self.gen, self.wait, self.wait_id, self.over, self.ahead = gen, None, 0, False, ahead
 
     def started(self):
         """Whether it took its first step: cancelled before, it runs no part of its own."""
-        return self.wait is not None or self.serial > 0
+        return self.wait is not None or self.wait_id > 0
 
 
 class Loop:
@@ -61,18 +61,18 @@
     def __init__(self, turn=lambda: FOREVER, now=None, system=HERE):
         self.now, self.turn, self.system = now or system.now, turn, system
         self.epoll, self.fds, self.faults = system.poller(), {}, FaultLog(self.now)
-        self.due, self.order, self.ready, self.running = [], count(), deque(), True
+        self.due, self.sequence, self.ready, self.running = [], count(), deque(), True
         self.lateness, self.current = 0.0, None
         self.after = []  # done once behind the next turn, when no coroutine is in the middle of a step
 
     def spawn(self, gen, ahead=False):
         """`ahead`: it is resumed before all others that are ready."""
         task = Task(gen, ahead)
-        self._line_up(task, None)
+        self._enqueue(task, None)
         return task
 
-    def _line_up(self, task, value):
-        (self.ready.appendleft if task.ahead else self.ready.append)((task, task.serial, value))
+    def _enqueue(self, task, value):
+        (self.ready.appendleft if task.ahead else self.ready.append)((task, task.wait_id, value))
 
     def keep(self, begin, ahead=False):
         """A coroutine that must not end: it is begun again after a fault."""
@@ -92,8 +92,8 @@
         """Once only for each wait: what comes later belongs to a wait that is over."""
         if task.wait is not None:
             self._disarm(task)
-            task.serial += 1
-            self._line_up(task, value)
+            task.wait_id += 1
+            self._enqueue(task, value)
 
     def cancel(self, task):
         """Ends a coroutine where it waits."""
@@ -159,21 +159,21 @@
             try:
                 self._arm(wait.fd, wait.mask, task)
             except OSError as fault:
-                if fault.errno not in NO_ROOM_TO_WATCH:  # it counts as ready: the next call on it tells why
+                if fault.errno not in OUT_OF_RESOURCES:  # it counts as ready: the next call on it tells why
                     self.resume(task, True)
                     return
                 # guards against a coroutine that is resumed over and over: it looks again a moment later
-                heapq.heappush(self.due, (self.now() + AGAIN, next(self.order), task, task.serial))
+                heapq.heappush(self.due, (self.now() + AGAIN, next(self.sequence), task, task.wait_id))
         if wait.at < FOREVER:
-            heapq.heappush(self.due, (wait.at, next(self.order), task, task.serial))
+            heapq.heappush(self.due, (wait.at, next(self.sequence), task, task.wait_id))
 
     def once(self, until=FOREVER):
         """One pass: wait, resume what is ready until nothing is, then the turn."""
-        while self.due and (self.due[0][2].over or self.due[0][2].serial != self.due[0][3]):
+        while self.due and (self.due[0][2].over or self.due[0][2].wait_id != self.due[0][3]):
             heapq.heappop(self.due)
         at = min(until, self.due[0][0] if self.due else FOREVER)
-        asked = self.now()
-        wait = 0.0 if self.ready else min(1.0, max(0.0, (at - asked) / 1000.0))
+        polled_at = self.now()
+        wait = 0.0 if self.ready else min(1.0, max(0.0, (at - polled_at) / 1000.0))
         events = self.epoll.poll(wait)
         for fd, _ in events:
             task = self.fds.get(fd)
@@ -183,24 +183,26 @@
         # for them: only what was due by then is over; the rest is due in the next pass, behind what that one
         # brings.
         now = self.now()
-        told = min(now, max(asked, at) if wait and not events else asked)
-        while self.due and self.due[0][0] <= told:
-            at, _, task, serial = heapq.heappop(self.due)
-            if not task.over and task.serial == serial:
+        expired_until = min(now, max(polled_at, at) if wait and not events else polled_at)
+        while self.due and self.due[0][0] <= expired_until:
+            at, _, task, wait_id = heapq.heappop(self.due)
+            if not task.over and task.wait_id == wait_id:
                 self.lateness = max(self.lateness, now - at)
-                self.resume(task, task.wait.at > told)  # before its time: what it waits for may be there
+                self.resume(
+                    task, task.wait.at > expired_until
+                )  # before its time: what it waits for may be there
         self.step()
         until = self.turn()
         after, self.after = self.after, []
-        for act in after:
-            act()
+        for callback in after:
+            callback()
         return until
 
     def step(self):
         """Resumes what is ready until nothing is."""
         while self.ready:
-            task, serial, value = self.ready.popleft()
-            if not task.over and task.serial == serial:
+            task, wait_id, value = self.ready.popleft()
+            if not task.over and task.wait_id == wait_id:
                 self._step(task, value)
 
     def run(self):
--- a/calicopin/wire/notices.py
+++ b/calicopin/wire/notices.py
@@ -9,13 +9,15 @@
 from calicopin.wire.loop import AGAIN, READ, Event, Until
 
 # for an answer, which is owed at once: a notice that waits longer on a silent connection comes too late
-PATIENCE = 200.0
+ANSWER_TIMEOUT_MS = 200.0
 # doubled up to this each time: guards an agent that is slow against the same notices over and over
-MOST_PATIENCE = 2000.0
-REPEAT = 1000.0  # between two lines on notices that were not heard
-AT_HAND = 1000.0  # between two tries to have a connection at hand: guards an agent that closes each at once
-MOST = 500  # lines in one request
-MOST_ANSWER = 65536
+MAX_ANSWER_TIMEOUT_MS = 2000.0
+LOG_INTERVAL_MS = 1000.0  # between two lines on notices that were not heard
+RECONNECT_INTERVAL_MS = (
+    1000.0  # between two tries to have a connection at hand: guards an agent that closes each at once
+)
+MAX_NOTICES_PER_REQUEST = 500  # lines in one request
+MAX_ANSWER_BYTES = 65536
 
 
 def encode(text):
@@ -69,12 +71,12 @@
     """
 
     def __init__(self, loop, address, heard):
-        self.heard, self.owed, self.event, self.patience, self.told = (
+        self.heard, self.owed, self.event, self.answer_timeout, self.logged_at = (
             heard,
             [],
             Event(loop),
-            PATIENCE,
-            -REPEAT,
+            ANSWER_TIMEOUT_MS,
+            -LOG_INTERVAL_MS,
         )
         super().__init__(loop, address)
 
@@ -88,9 +90,9 @@
         self.hang_up()
         while True:
             while not self.owed:
-                yield from self.keep_at_hand()
-            batch = self.owed[:MOST]
-            until = self.loop.now() + self.patience
+                yield from self.maintain_connection()
+            batch = self.owed[:MAX_NOTICES_PER_REQUEST]
+            until = self.loop.now() + self.answer_timeout
             if self.line is not None and not self.line.quiet():
                 self.hang_up()
             line = yield from self.connect(until)
@@ -105,23 +107,27 @@
                         texts=[text.ident for text in batch],
                     )
                 del self.owed[: len(batch)]
-                self.patience = PATIENCE
+                self.answer_timeout = ANSWER_TIMEOUT_MS
                 for text in batch:
                     self.heard(text)
             else:
-                if self.loop.now() >= self.told + REPEAT:
-                    self.told = self.loop.now()
+                if self.loop.now() >= self.logged_at + LOG_INTERVAL_MS:
+                    self.logged_at = self.loop.now()
                     logger.warning(
                         "{texts} notices were not heard: {what}",
                         event="notices.unheard",
                         texts=len(batch),
                         what=f"status {status}" if status else "no connection" if not line else "no answer",
                     )
-                silent = self.loop.now() >= until
-                self.patience = min(MOST_PATIENCE, 2.0 * self.patience) if silent else self.patience
-                yield Until(self.loop.now() + (0.0 if silent else AGAIN))
+                timed_out = self.loop.now() >= until
+                self.answer_timeout = (
+                    min(MAX_ANSWER_TIMEOUT_MS, 2.0 * self.answer_timeout)
+                    if timed_out
+                    else self.answer_timeout
+                )
+                yield Until(self.loop.now() + (0.0 if timed_out else AGAIN))
 
-    def keep_at_hand(self):
+    def maintain_connection(self):
         """Waits for a notice, for as long as there is a connection, or until there is one again. Guards the
         ends of messages against moments in which this machine can make no new connection.
         """
@@ -130,9 +136,9 @@
             if not self.line.quiet():  # the agent has closed it
                 self.hang_up()
             return
-        yield Until(self.loop.now() + AT_HAND, event=self.event)
+        yield Until(self.loop.now() + RECONNECT_INTERVAL_MS, event=self.event)
         if not self.owed:
-            yield from self.connect(self.loop.now() + PATIENCE)
+            yield from self.connect(self.loop.now() + ANSWER_TIMEOUT_MS)
 
     def post(self, line, body, until):
         """Sends the notices; returns the status, or 0 where no whole answer came until `until` (ms)."""
@@ -145,5 +151,5 @@
                 ("Content-Length", str(len(body))),
             ],
         )
-        status, _ = (yield from line.ask(head, body, MOST_ANSWER, until)) or (0, b"")
+        status, _ = (yield from line.ask(head, body, MAX_ANSWER_BYTES, until)) or (0, b"")
         return status
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -35,11 +35,15 @@
 PROMPT = (
     1500.0  # the same for a request that is answered at once: a node may have a lost one's couriers before it
 )
-TRY_FOR = 1900.0  # from the start, after which a list from the folder is gone by without any answer
-EACH = 0.05  # added to both for each destination of the set: a whole answer of 100,000 takes its seconds
+STARTUP_LIMIT_MS = 1900.0  # from the start, after which a list from the folder is gone by without any answer
+PER_DESTINATION_MS = (
+    0.05  # added to both for each destination of the set: a whole answer of 100,000 takes its seconds
+)
 AGAIN = 100.0  # between the beginnings of two requests: guards both sides against answers at once for ever
-GATHER = 60.0  # between two requests with fresh subscriptions, 16 a second: what comes in between shares one
-MOST_ANSWER = 32 << 20  # bytes
+BATCH_INTERVAL_MS = (
+    60.0  # between two requests with fresh subscriptions, 16 a second: what comes in between shares one
+)
+MAX_ANSWER_BYTES = 32 << 20  # bytes
 
 
 class End(Enum):
@@ -96,7 +100,7 @@
         most: int = MOST,
     ):
         self.heard, self.released = heard, released
-        self._answered, self._tried_at = False, loop.now() + TRY_FOR
+        self._answered, self._startup_over_at = False, loop.now() + STARTUP_LIMIT_MS
         self.wait = min(wait_ms, WAIT)
         self.nodes = NodeChoice(courier, nodes, seed, loop.now())
         self.interest = Interest(seed, in_use, idle, most)
@@ -105,7 +109,7 @@
         self._settled: dict[int, list] = {}  # events and lists of events, by the destination they wait for
         self._calls = self._interrupted = self._sent = self._received = 0
         self._gather_until = 0.0
-        self._told: dict[str, str] = {}  # the last fault told of each node, until an answer comes
+        self._logged_faults: dict[str, str] = {}  # the last fault told of each node, until an answer comes
         for destination in restored or ():
             self._note_use(destination, loop.now())
         super().__init__(loop, "")
@@ -135,9 +139,9 @@
 
     def unsettled(self, destination: int, event) -> None:
         """Nobody waits with that event any more: its time was up first."""
-        rest = [other for other in self._settled.pop(destination, ()) if other is not event]
-        if rest:
-            self._settled[destination] = rest
+        remaining = [other for other in self._settled.pop(destination, ()) if other is not event]
+        if remaining:
+            self._settled[destination] = remaining
 
     def subscribed(self) -> dict[int, list[Place]]:
         """The destinations with the endpoints known of them, as a snapshot keeps them."""
@@ -169,7 +173,7 @@
     def tried(self) -> bool:
         """Whether to go by what is known: a node has answered, all were asked in vain, or the time for that
         is over."""
-        return self._answered or self.nodes.exhausted or self.loop.now() >= self._tried_at
+        return self._answered or self.nodes.exhausted or self.loop.now() >= self._startup_over_at
 
     # The exchange.
 
@@ -186,8 +190,8 @@
             if self.session.pressing and self._gather_until > self.loop.now():
                 yield Until(self._gather_until)
             began = self.loop.now()
-            at_once = yield from self._call()
-            if not (at_once or self.session.pressing) and began + AGAIN > self.loop.now():
+            immediately = yield from self._call()
+            if not (immediately or self.session.pressing) and began + AGAIN > self.loop.now():
                 yield Until(began + AGAIN, event=self._wake)
 
     def _call(self):
@@ -199,11 +203,11 @@
         wait = self.session.longest_wait(self.address, self.wait)
         ask = self.session.next(self.address)
         if ask.request.subscribe:
-            self._gather_until = now + GATHER
+            self._gather_until = now + BATCH_INTERVAL_MS
         self._release(ask.released)
         end = yield from self._exchange(ask, wait)
         if isinstance(end, Reply):
-            return self._take(end)
+            return self._handle_reply(end)
         self._fail(end)
         return False
 
@@ -222,20 +226,20 @@
         if not line:
             return End.UNCONNECTED
         self._calls += 1
-        until = self.loop.now() + self._patience(ask, wait)
+        until = self.loop.now() + self._answer_timeout(ask, wait)
         data = line.encode(*self._encode(ask, wait))
         done = yield from line.write(data, until)
         self._sent += done
         if done == len(data):
-            if not ask.prompt and (yield from self._park(line, until)):
+            if not ask.prompt and (yield from self._await_answer(line, until)):
                 return End.INTERRUPTED
             if (reply := (yield from self._read(line, until))) is not None:
                 return reply
         return End.BROKEN if self.loop.now() < until else End.SILENT
 
-    def _patience(self, ask: Ask, wait: float) -> float:
+    def _answer_timeout(self, ask: Ask, wait: float) -> float:
         """How long an answer may take until it counts as none."""
-        return (PROMPT if ask.prompt else wait + SILENCE) + EACH * len(self.interest)
+        return (PROMPT if ask.prompt else wait + SILENCE) + PER_DESTINATION_MS * len(self.interest)
 
     def _encode(self, ask: Ask, wait: float):
         """The head and the body of a request."""
@@ -249,7 +253,7 @@
         ]
         return h11.Request(method="POST", target=target, headers=headers), body
 
-    def _park(self, line, until: float):
+    def _await_answer(self, line, until: float):
         """Waits for the answer to begin; whether a fresh subscription came first."""
         while line.quiet():
             if self.session.pressing:
@@ -263,41 +267,41 @@
         head = yield from line.event(until)
         if not isinstance(head, h11.Response):
             return None
-        body = yield from line.body(MOST_ANSWER, until)
+        body = yield from line.body(MAX_ANSWER_BYTES, until)
         return None if body is None else Reply(head.status_code, body)
 
-    def _take(self, reply: Reply) -> bool:
+    def _handle_reply(self, reply: Reply) -> bool:
         """An answer or a refusal; one that cannot be read leaves all as it was, and another node is asked.
         Whether the next request is to go out at once."""
         self._count()
         if reply.body is TOO_LONG or not self.line.again():
             self.hang_up()
         try:
-            news = self._understand(reply) if reply.status == 200 else _refusal(reply)
+            news = self._decode(reply) if reply.status == 200 else _refusal(reply)
         except ValueError as fault:
             self.session.abandon()
             self.nodes.failed(self.loop.now())
             self.hang_up()
-            self._complain(str(fault))
+            self._log_fault(str(fault))
             return False
         if isinstance(news, Refusal):
-            return self._heed(news)
-        self._hear(news)
+            return self._handle_refusal(news)
+        self._apply(news)
         return False
 
-    def _understand(self, reply: Reply) -> News:
+    def _decode(self, reply: Reply) -> News:
         """Raises ValueError where it cannot be right."""
         if reply.body is TOO_LONG:
             raise MessageError("answer", f"is over {MOST_ANSWER >> 20} MiB")
         answer = decode_answer(reply.body)
-        told = dict(version=answer.version, full=answer.full, servers=answer.servers)
-        _, _, places = read(told)
+        listing = dict(version=answer.version, full=answer.full, servers=answer.servers)
+        _, _, places = read(listing)
         return self.session.answered(answer, places)
 
-    def _hear(self, news: News) -> None:
+    def _apply(self, news: News) -> None:
         self.nodes.answered(self.loop.now())
-        if self._told:
-            self._told.clear()
+        if self._logged_faults:
+            self._logged_faults.clear()
             logger.info("discovery node {node} answers", event="subscription.again", node=self.address)
         try:
             self.heard(news.places, news.whole)
@@ -309,11 +313,11 @@
         for destination in news.confirmed + news.unknown:
             self._notify_settled(destination)
 
-    def _heed(self, refusal: Refusal) -> bool:
+    def _handle_refusal(self, refusal: Refusal) -> bool:
         if self.session.refused(refusal):
             return True
         self.nodes.refused(self.loop.now(), refusal.retry_ms)
-        self._complain(f"{refusal.reason}: {refusal.message}")
+        self._log_fault(f"{refusal.reason}: {refusal.message}")
         return False
 
     def _fail(self, end: End) -> None:
@@ -322,12 +326,12 @@
             self._interrupted += 1
             return
         self.nodes.failed(self.loop.now())
-        self._complain(end.value)
+        self._log_fault(end.value)
 
-    def _complain(self, fault: str) -> None:
+    def _log_fault(self, fault: str) -> None:
         """One line for a fault that comes again and again."""
-        if self._told.get(self.address) != fault:
-            self._told[self.address] = fault
+        if self._logged_faults.get(self.address) != fault:
+            self._logged_faults[self.address] = fault
             logger.warning(
                 "discovery node {node}: {fault}, the list known serves on",
                 event="subscription.fault",
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -18,7 +18,7 @@
 from calicopin.system import HERE
 from calicopin.wire.asking import TOLD
 from calicopin.wire.loop import Event, Loop, Until
-from calicopin.wire.subscriber import AGAIN, PROMPT, TRY_FOR, WAIT, Subscriber
+from calicopin.wire.subscriber import AGAIN, PROMPT, STARTUP_LIMIT_MS, WAIT, Subscriber
 
 FLEET, COURIER, SEED = "lahore", "c-17", 5
 
@@ -380,7 +380,7 @@
         node.sock.close()
     watch, began = subscriber(loop, nodes, heard, {41: [place("old", 41)]}), loop.now()
     while not watch.tried:
-        assert loop.now() < began + TRY_FOR
+        assert loop.now() < began + STARTUP_LIMIT_MS
         go_on(loop, 10.0)
     assert watch.nodes.exhausted and not heard
 
@@ -389,7 +389,7 @@
     nodes, heard, began = ranked(loop, 3), Heard(), loop.now()
     watch = subscriber(loop, nodes, heard, {41: [place("old", 41)]})
     nodes[0].hear()
-    while loop.now() < began + TRY_FOR:
+    while loop.now() < began + STARTUP_LIMIT_MS:
         assert not watch.tried
         go_on(loop, 50.0)
     assert watch.tried and not watch.nodes.exhausted and not heard
@@ -528,7 +528,7 @@
 
 
 def test_an_answer_over_the_bound_is_not_read_on(loop, lines, monkeypatch):
-    monkeypatch.setattr("calicopin.wire.subscriber.MOST_ANSWER", 2048)
+    monkeypatch.setattr("calicopin.wire.subscriber.MAX_ANSWER_BYTES", 2048)
     heard = Heard()
     _, node, asked = started(loop, heard, 41)
     node.tell(asked, 2, [entry("x" * 4096, 41)])
--- a/tests/test_wire_clients.py
+++ b/tests/test_wire_clients.py
@@ -4,7 +4,7 @@
 from helper import client, spin
 from wire_helper import clients, request
 
-from calicopin.wire.clients import NEW, PATIENCE, PAUSE, REST
+from calicopin.wire.clients import NEW, PATIENCE, REFUSAL_DELAY_MS, KEEP_ALIVE_MIN_IDLE_MS
 
 
 def test_a_text_is_accepted_only_once_it_is_kept(loop):
@@ -175,9 +175,9 @@
     peer = client(loop, address)
     spin(loop, lambda: house.idle)
     peer.say(request())
-    house.loop.now.now += REST
+    house.loop.now.now += KEEP_ALIVE_MIN_IDLE_MS
     house.budget.clients = 1
-    house.relieve()
+    house.free_descriptors()
     house.close_between_requests()
     spin(loop, lambda: house.acceptor.events)
 
@@ -228,18 +228,18 @@
     """
     house, address = clients(loop, most=4)
     held = [asked_once(loop, house, address) for _ in range(2)]
-    loop.now.now += REST - NEW
+    loop.now.now += KEEP_ALIVE_MIN_IDLE_MS - NEW
     silent, begun = client(loop, address), client(loop, address)
     begun.say(request()[:40])
     spin(loop, lambda: len(house.idle) == 3 and house.open == 4)
     loop.now.now += NEW - 1.0
-    house.relieve()
+    house.free_descriptors()
     assert house.open == 4
     loop.now.now += 1.0
-    house.relieve()
+    house.free_descriptors()
     assert not silent.wait_end() and house.open == 3 and not any(peer.hear() or peer.ended for peer in held)
     house.budget.clients = 3
-    house.relieve()
+    house.free_descriptors()
     assert not held[0].wait_end() and house.open == 2 and not held[1].ended
     begun.say(request()[40:])
     spin(loop, lambda: house.acceptor.events)
@@ -285,7 +285,7 @@
     for _ in range(20):
         loop.once(loop.now())
     assert not peer.hear().count(b"404")
-    loop.now.now += PAUSE
+    loop.now.now += REFUSAL_DELAY_MS
     peer.wait(b"404")
 
 
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -13,7 +13,7 @@
 from calicopin.wire.asking import Asking
 from calicopin.wire.discovery import Discovery
 from calicopin.wire.loop import Loop
-from calicopin.wire.notices import AT_HAND, Notices
+from calicopin.wire.notices import RECONNECT_INTERVAL_MS, Notices
 
 
 def test_a_fault_in_the_watch_costs_its_connection(loop, monkeypatch):
@@ -132,7 +132,7 @@
 
     def next_due():
         loop.once(loop.now())
-        return min(at for at, _, task, serial in loop.due if not task.over and task.serial == serial)
+        return min(at for at, _, task, wait_id in loop.due if not task.over and task.wait_id == wait_id)
 
     assert 0.0 < next_due() - began <= 4000.0
     for _ in range(3):
@@ -223,12 +223,12 @@
     watch = Discovery(
         loop, door.address, 41, 2000.0, lambda places, whole: heard.append(whole), seed=1, pushed=pushed
     )
-    watch.silent = 5000
+    watch.silent_calls = 5000
     peer = door.meet()
     peer.wait(b"\r\n\r\n")
     peer.say(answer(200, b'{"version":42,"full":true,"servers":[]}'))
     spin(loop, lambda: heard == [True])
-    assert not watch.silent
+    assert not watch.silent_calls
 
 
 def test_notices_gather_and_are_sent_until_heard(loop):
@@ -261,14 +261,14 @@
     for patience in (200.0, 400.0, 800.0, 1600.0, 2000.0, 2000.0):
         peer = door.meet()
         peer.wait(b"dead")
-        assert notices.patience == patience <= 2000.0
+        assert notices.answer_timeout == patience <= 2000.0
         loop.now.now += patience + 0.1
         peer.wait_end()
     peer = door.meet()
     peer.wait(b"dead")
     peer.say(answer(204))
     spin(loop, lambda: heard == ["a"])
-    assert notices.patience == 200.0
+    assert notices.answer_timeout == 200.0
 
 
 def owed_notice(ident="a"):
@@ -285,7 +285,7 @@
     door, heard = Listener(loop), []
     notices = Notices(loop, door.address, lambda text: heard.append(text.ident))
     loop.once(loop.now())
-    loop.now.now += AT_HAND
+    loop.now.now += RECONNECT_INTERVAL_MS
     peer = door.meet()
     spin(loop, lambda: notices.line is not None)
     system.always[call] = error
@@ -301,14 +301,16 @@
     notices = Notices(loop, door.address, lambda text: heard.append(text.ident))
     loop.once(loop.now())
     for _ in range(3):
-        loop.now.now += AT_HAND
+        loop.now.now += RECONNECT_INTERVAL_MS
         peer = door.meet()
         spin(loop, lambda: notices.line is not None)
         peer.sock.close()
         spin(loop, lambda: notices.line is None)
         for _ in range(5):
             loop.once(loop.now())
-        assert notices.line is None and loop.due[0][0] == loop.now() + AT_HAND, "it does not spin"
+        assert notices.line is None and loop.due[0][0] == loop.now() + RECONNECT_INTERVAL_MS, (
+            "it does not spin"
+        )
     notices.owe(owed_notice())  # with nothing open: at once over a new one
     peer = door.meet()
     peer.wait(b"dead")
