--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -359,7 +359,7 @@
     def next_head(self, visit):
         """Waits between requests; only here may the courier close the connection."""
         line = visit.line
-        if not self.closing and not line.spent():
+        if not self.closing and not line.has_extra_data():
             visit.task = self.loop.current
             if not visit.fresh:
                 visit.since, visit.until = self.loop.now(), FOREVER
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -50,7 +50,9 @@
     except (KeyError, TypeError, AttributeError, OverflowError) as fault:
         raise ValueError(f"the list lacks or garbles {fault}") from None
     if states:
-        raise ValueError(f"{min(states)[:40]!r} is no state of an endpoint; there are {', '.join(STATES)}")
+        raise ValueError(
+            f"{min(states)[:40]!r} is no state of an endpoint; there are {', '.join(ENDPOINT_STATES)}"
+        )
     ident, times = max(
         Counter(place.ident for place in places).items(), key=lambda pair: pair[1], default=("", 0)
     )
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -292,7 +292,7 @@
     def _decode(self, reply: Reply) -> News:
         """Raises ValueError where it cannot be right."""
         if reply.body is TOO_LONG:
-            raise MessageError("answer", f"is over {MOST_ANSWER >> 20} MiB")
+            raise MessageError("answer", f"is over {MAX_ANSWER_BYTES >> 20} MiB")
         answer = decode_answer(reply.body)
         listing = dict(version=answer.version, full=answer.full, servers=answer.servers)
         _, _, places = read(listing)
@@ -370,7 +370,7 @@
 def _refusal(reply: Reply) -> Refusal:
     """Raises MessageError where it gives no reason that can be read."""
     if reply.body is TOO_LONG:
-        raise MessageError("answer", f"is over {MOST_ANSWER >> 20} MiB")
+        raise MessageError("answer", f"is over {MAX_ANSWER_BYTES >> 20} MiB")
     try:
         return decode_refusal(reply.body)
     except MessageError as fault:
--- a/tests/test_wire_clients.py
+++ b/tests/test_wire_clients.py
@@ -4,7 +4,7 @@
 from helper import client, spin
 from wire_helper import clients, request
 
-from calicopin.wire.clients import NEW, PATIENCE, REFUSAL_DELAY_MS, KEEP_ALIVE_MIN_IDLE_MS
+from calicopin.wire.clients import KEEP_ALIVE_MIN_IDLE_MS, NEW, PATIENCE, REFUSAL_DELAY_MS
 
 
 def test_a_text_is_accepted_only_once_it_is_kept(loop):
