--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -16,8 +16,8 @@
 LINGER = 300.0  # for a client to read its last answer
 NEW = 500.0  # a new connection is not closed for want of descriptors before: its request may be on its way
 KEEP_ALIVE_MIN_IDLE_MS = 2000.0  # nor one between requests, unless there is no room at all
-RELIEF_INTERVAL_MS = 250.0
-RELIEF_MIN_INTERVAL_MS = (
+CLEANUP_INTERVAL_MS = 250.0
+MIN_CLEANUP_INTERVAL_MS = (
     20.0  # between two looks for room: guards the loop where connections come at full speed
 )
 REFUSAL_DELAY_MS = (
@@ -98,7 +98,7 @@
         "until",
         "fresh",
         "delay",
-        "request_complete",
+        "answer_pending",
         "handed_over",
         "asked",
     )
@@ -107,7 +107,7 @@
         self.line, self.task, self.since, self.until = line, None, now, now + PATIENCE
         self.fresh, self.delay = True, 0.0  # fresh: no request was read yet
         self.asked = ""  # method and target of the request that was read last
-        self.request_complete = self.handed_over = (
+        self.answer_pending = self.handed_over = (
             False  # whole: a request was read and its answer is not out yet
         )
 
@@ -149,7 +149,7 @@
         self.status = None  # where it is told, a function that returns its body
         self.idle, self.lingering, self.open, self.leaving, self.closing = {}, {}, 0, False, False
         self.visits = {}  # all that are served, with their coroutines
-        self.unlogged_refusals, self.refusal_logged_at, self.freed_at = 0, -FOREVER, -FOREVER
+        self.unlogged_refusals, self.refusal_logged_at, self.cleaned_up_at = 0, -FOREVER, -FOREVER
         self.accepting = loop.keep(self.accept)
 
     def accept(self):
@@ -177,7 +177,10 @@
 
     def admit(self, line):
         """A new connection is served; where there is no room at all it is turned away, not left to wait."""
-        if self.open >= self.budget.clients and self.loop.now() >= self.freed_at + RELIEF_MIN_INTERVAL_MS:
+        if (
+            self.open >= self.budget.clients
+            and self.loop.now() >= self.cleaned_up_at + MIN_CLEANUP_INTERVAL_MS
+        ):
             self.free_descriptors()
         limit = self.budget.clients + self.budget.porch
         if (
@@ -204,7 +207,7 @@
         Else None.
         """
         line = visit.line
-        if visit.request_complete or line.ended or line in self.lingering or visit not in self.visits:
+        if visit.answer_pending or line.ended or line in self.lingering or visit not in self.visits:
             return None
         task, visit.handed_over = self.visits.pop(visit), True
         if not task.started():  # it would run no part of its own
@@ -218,7 +221,7 @@
         request begun.
         """
         now, limit = self.loop.now(), self.budget.clients
-        self.freed_at = now
+        self.cleaned_up_at = now
         for task in list(self.lingering.values()):
             if self.open < limit:
                 break
@@ -235,7 +238,7 @@
     def keep_house(self):
         """A coroutine that closes what may be closed where descriptors are short, every `SWEEP` ms."""
         while True:
-            yield Until(self.loop.now() + RELIEF_INTERVAL_MS)
+            yield Until(self.loop.now() + CLEANUP_INTERVAL_MS)
             self.free_descriptors()
 
     def serve(self, visit):
@@ -245,7 +248,7 @@
             keep_alive = True
             while keep_alive:
                 keep_alive = yield from self.request(visit)
-                visit.fresh = visit.request_complete = False
+                visit.fresh = visit.answer_pending = False
                 # one after the other: a client that never pauses does not hold up the rest
                 yield Until(self.loop.now() + visit.delay)
             yield from self.close_gracefully(line)
@@ -273,9 +276,9 @@
 
     def request(self, visit):
         """One request and its answer; False where the connection ends."""
-        line, visit.delay, visit.request_complete = visit.line, 0.0, False
+        line, visit.delay, visit.answer_pending = visit.line, 0.0, False
         head = yield from self.next_head(visit)
-        visit.request_complete = not isinstance(head, h11.Request)
+        visit.answer_pending = not isinstance(head, h11.Request)
         if not isinstance(head, h11.Request):
             if head is None and line.unread():
                 yield from self.refuse_request(line, 408, "a head that does not come")
@@ -288,7 +291,7 @@
         if error is None and head.method not in (b"GET", b"HEAD", b"POST"):
             error = 405, f"no {head.method[:20]!r}"
         body = None if error else (yield from line.body(MAX_BODY_BYTES, until))
-        visit.request_complete = True
+        visit.answer_pending = True
         if body is TOO_LONG:
             error = 413, "a body over 64 KiB"
         elif body is None and not error:
