--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -1,4 +1,8 @@
-"""Requests of clients: each that was read gets its answer, and a 202 only once its text is kept."""
+"""The server side: requests of clients.
+
+Each request that was read is answered; 202 is sent only once the text is in the journal. Times are
+milliseconds unless noted.
+"""
 
 import re
 from urllib.parse import parse_qsl, unquote, urlsplit
@@ -12,32 +16,25 @@
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Until
 
 MAX_BODY_BYTES = 65536
-PATIENCE = 2500.0  # for a whole request: guards descriptors against clients that go silent in it or before it
-LINGER = 300.0  # for a client to read its last answer
-NEW = 500.0  # a new connection is not closed for want of descriptors before: its request may be on its way
-KEEP_ALIVE_MIN_IDLE_MS = 2000.0  # nor one between requests, unless there is no room at all
+PATIENCE = 2500.0  # ms for a whole request, so that silent clients do not hold descriptors
+LINGER = 300.0  # ms for a client to read its last answer
+NEW = 500.0  # ms before a new connection may be closed to free descriptors: its request may be under way
+KEEP_ALIVE_MIN_IDLE_MS = 2000.0  # the same between requests, unless no descriptor is left at all
 CLEANUP_INTERVAL_MS = 250.0
-MIN_CLEANUP_INTERVAL_MS = (
-    20.0  # between two looks for room: guards the loop where connections come at full speed
-)
-REFUSAL_DELAY_MS = (
-    100.0  # after a request that could not be taken: guards the others against one that comes at full speed
-)
-FINAL_ANSWER_TRIES, FINAL_ANSWER_RETRY_MS = (
-    4,
-    20.0,
-)  # at the end, for an answer that the system has no room for; ms between them
-ANSWER_MARGIN_MS = 20.0  # before a text's time is up, for its client to hear that it was not taken on
-MAX_ACCEPTS_PER_PASS = 32  # connections accepted in one pass, for the same reason
-MAX_IDENTIFIER_LENGTH = 256  # of an id, a reference or a key
-MAX_TIMEOUT_S = 86400.0  # seconds; beyond a day no validity period is meant
+MIN_CLEANUP_INTERVAL_MS = 20.0  # bounds the cost where new connections arrive at a high rate
+REFUSAL_DELAY_MS = 100.0  # after a refused request, so that a client that repeats it does not starve others
+FINAL_ANSWER_TRIES, FINAL_ANSWER_RETRY_MS = 4, 20.0  # at exit, where the system lacks resources to send
+ANSWER_MARGIN_MS = 20.0  # left of a text's validity period for the client to receive the refusal
+MAX_ACCEPTS_PER_PASS = 32  # bounds the cost of one pass of the loop
+MAX_IDENTIFIER_LENGTH = 256  # characters of an id, a reference or a key
+MAX_TIMEOUT_S = 86400.0  # validity periods are not longer than a day
 SECONDS_PATTERN = re.compile(r"[0-9]{1,18}(\.[0-9]{0,18})?")
 DESTINATION_PATTERN = re.compile(r"[0-9]{1,9}")
 TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 class RequestRefusedError(Exception):
-    """A request that cannot be taken, with its status and a plain sentence."""
+    """A request that is refused, with its status and the reason."""
 
     def __init__(self, status, why):
         super().__init__(why)
@@ -45,12 +42,12 @@
 
 
 def parse_envelope(header):
-    """The words of an `X-Envelope` header by their names; separated by semicolons, commas or ampersands."""
+    """The fields of an `X-Envelope` header, which semicolons, commas or ampersands separate."""
     return dict(parse_qsl(header.replace(";", "&").replace(",", "&").replace(" ", "")))
 
 
 def read_text(head, body, products, now):
-    """A request as a text; raises RequestRefusedError with a plain sentence."""
+    """Decodes a request as a text, valid from `now` (ms); raises RequestRefusedError."""
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
     parts = [unquote(part) for part in urlsplit(head.target.decode("latin-1")).path.split("/")[1:]]
     if parts[0] not in products:
@@ -69,9 +66,9 @@
 
 
 def framing_error(head):
-    """Why the end of a request with this head cannot be relied on, with a status; or None.
+    """(status, reason) if the length of the body is ambiguous or too large; else None.
 
-    Two lengths may hide a second request in the body of the first.
+    Two length headers allow request smuggling: a second request hidden in the body of the first.
     """
     lengths = {
         name: value for name, value in head.headers if name in (b"content-length", b"transfer-encoding")
@@ -84,12 +81,12 @@
 
 
 def retry_after(wait):
-    """The header that tells when to come again; `wait` in ms, 0 where none is told."""
+    """The `Retry-After` header for a wait in ms; none for 0."""
     return [("Retry-After", f"{wait / 1000.0:.3f}")] if wait > 0.0 else []
 
 
 class Visit:
-    """One connection of a client's."""
+    """A connection of a client and its state."""
 
     __slots__ = (
         "line",
@@ -105,16 +102,15 @@
 
     def __init__(self, line, now):
         self.line, self.task, self.since, self.until = line, None, now, now + PATIENCE
-        self.fresh, self.delay = True, 0.0  # fresh: no request was read yet
-        self.asked = ""  # method and target of the request that was read last
-        self.answer_pending = self.handed_over = (
-            False  # whole: a request was read and its answer is not out yet
-        )
+        self.fresh, self.delay = True, 0.0  # no request read yet; ms until the next one is read
+        self.asked = ""  # method and target of the last request
+        self.answer_pending = self.handed_over = False
 
 
 class Kept(Event):
-    """Rings once a message that was taken on is in the journal. `refused`: it could not be written there, and
-    the message was withdrawn; then `wait` is after how many ms it may come again.
+    """Set once a message that was taken on is in the journal, or could not be written there.
+
+    In the second case `refused` is true, the message was withdrawn, and `wait` (ms) goes into `Retry-After`.
     """
 
     def __init__(self, loop, text):
@@ -122,19 +118,21 @@
         self.text, self.refused, self.wait = text, False, 0.0
 
     def refuse(self, wait):
-        """The message is not taken on after all."""
+        """Notes that the message could not be written, and sets the event."""
         self.refused, self.wait = True, wait
         self.set()
 
 
 class Clients:
-    """Accepts connections as far as descriptors allow and serves what comes on them.
-
-    `acceptor` takes the texts: `acceptor.take(text)` is None where it is taken on, else the status that
-    refuses it and the wait that is advised; a text taken on is kept, or refused after all, once the event
-    that `acceptor.kept(text)` returns is set. `acceptor.answered(text)` hears that its 202 is out, and
-    `acceptor.withdraw(text)` that it never will be. `acceptor.unanswered(request)` hears of a request that
-    was read and left without an answer, which must not be.
+    """Accepts connections within the descriptor budget and serves the requests on them.
+
+    The methods of `acceptor`:
+    - `take(text)`: None if the text is taken on, else (status, advised wait in ms);
+    - `kept(text)`: a `Kept` event, set once the text is in the journal or refused;
+    - `answered(text)` and `withdraw(text)`: its 202 was sent, or could not be sent;
+    - `first_answer(text)`: an event to wait for while its destination is unknown, or None;
+    - `waited(event)`: the wait for such an event has ended;
+    - `unanswered(request)`: a request was read and its connection closed without an answer, an error.
     """
 
     def __init__(self, loop, address, products, budget, acceptor, listener=None):
@@ -146,20 +144,21 @@
             if host == "unix"
             else patiently(system, system.listen, host, int(port))
         )
-        self.status = None  # where it is told, a function that returns its body
+        self.status = None  # returns the body of /-/status; None if it is not served
         self.idle, self.lingering, self.open, self.leaving, self.closing = {}, {}, 0, False, False
-        self.visits = {}  # all that are served, with their coroutines
+        self.visits = {}  # open connections and their tasks
         self.unlogged_refusals, self.refusal_logged_at, self.cleaned_up_at = 0, -FOREVER, -FOREVER
         self.accepting = loop.keep(self.accept)
 
     def accept(self):
-        """A coroutine that accepts connections until listening ends; again after `AGAIN` ms where the
-        system refuses.
+        """A coroutine that accepts connections until listening ends.
+
+        After an error of the system it frees descriptors and retries after `AGAIN` ms.
         """
         while True:
             try:
                 more = self.accept_some()
-            except OSError as fault:  # no descriptor or no memory left
+            except OSError as fault:  # out of descriptors or memory
                 logger.warning("accept failed: {fault}", event="accept.failed", fault=fault)
                 self.free_descriptors()
                 yield Until(self.loop.now() + AGAIN)
@@ -167,7 +166,7 @@
             yield Until(self.loop.now()) if more else Until(FOREVER, self.listener.fileno(), READ)
 
     def accept_some(self):
-        """Whether more may wait to be accepted."""
+        """Accepts up to `MAX_ACCEPTS_PER_PASS` connections; returns whether more may be pending."""
         for _ in range(MAX_ACCEPTS_PER_PASS):
             sock = accept_next(self.listener)
             if sock is None:
@@ -176,16 +175,14 @@
         return True
 
     def admit(self, line):
-        """A new connection is served; where there is no room at all it is turned away, not left to wait."""
+        """Serves a new connection, or answers it with 503 at once if no descriptor is left."""
         if (
             self.open >= self.budget.clients
             and self.loop.now() >= self.cleaned_up_at + MIN_CLEANUP_INTERVAL_MS
         ):
             self.free_descriptors()
         limit = self.budget.clients + self.budget.porch
-        if (
-            self.open >= limit
-        ):  # no room at all: one that was served and stands idle, however short, gives way
+        if self.open >= limit:  # closes one idle between requests, however briefly
             visit = next((visit for visit in self.idle if not visit.fresh and visit.line.quiet()), None)
             if visit:
                 self.loop.cancel(visit.task)
@@ -197,28 +194,29 @@
         line.close()
 
     def receive(self, visit):
-        """Serves a connection by a coroutine of its own."""
+        """Serves a connection in a coroutine of its own."""
         self.open += 1
         self.visits[visit] = self.loop.spawn(self.serve(visit))
 
     def give(self, visit):
-        """The connection, if all that came on it can be read again from its bytes: it is no longer ours.
+        """Releases a connection for the handover to another process, and returns it.
 
-        Else None.
+        None if its state cannot be rebuilt from the bytes received on it: then it stays here.
         """
         line = visit.line
         if visit.answer_pending or line.ended or line in self.lingering or visit not in self.visits:
             return None
         task, visit.handed_over = self.visits.pop(visit), True
-        if not task.started():  # it would run no part of its own
+        if not task.started():  # its `finally` block, which counts down, will not run
             self.open -= 1
         self.loop.cancel(task)
         return line
 
     def free_descriptors(self):
-        """Closes what may be closed until descriptors are no longer short: connections that were shown
-        out, then new ones that said nothing, then those between requests, longest first; never one with a
-        request begun.
+        """Closes connections until fewer than `budget.clients` are open.
+
+        First those in a lingering close, then new ones without any data, then those between requests, the
+        longest idle first; never one in the middle of a request.
         """
         now, limit = self.loop.now(), self.budget.clients
         self.cleaned_up_at = now
@@ -226,9 +224,8 @@
             if self.open < limit:
                 break
             self.loop.cancel(task)
-        for fresh, min_idle in (
-            ((True, NEW), (False, KEEP_ALIVE_MIN_IDLE_MS)) if not self.leaving else ()
-        ):  # then few new ones come
+        # while leaving, few new connections arrive: those in use stay
+        for fresh, min_idle in ((True, NEW), (False, KEEP_ALIVE_MIN_IDLE_MS)) if not self.leaving else ():
             for visit in list(self.idle) if self.open >= limit else ():
                 if self.open < limit or now - visit.since < min_idle:
                     break
@@ -236,27 +233,29 @@
                     self.loop.cancel(visit.task)
 
     def keep_house(self):
-        """A coroutine that closes what may be closed where descriptors are short, every `SWEEP` ms."""
+        """A coroutine that frees descriptors every `CLEANUP_INTERVAL_MS`."""
         while True:
             yield Until(self.loop.now() + CLEANUP_INTERVAL_MS)
             self.free_descriptors()
 
     def serve(self, visit):
-        """One connection from its first request to its close."""
+        """A coroutine that serves one connection until it is closed."""
         line, collected = visit.line, False
         try:
             keep_alive = True
             while keep_alive:
                 keep_alive = yield from self.request(visit)
                 visit.fresh = visit.answer_pending = False
-                # one after the other: a client that never pauses does not hold up the rest
+                # yields between requests, so that pipelined requests of one client do not delay others
                 yield Until(self.loop.now() + visit.delay)
             yield from self.close_gracefully(line)
-        except Exception as fault:  # guards the program, and the client that would wait for nothing
-            self.loop.faults.tell("request.fault", "a client's request ended by a fault", fault)
+        except Exception as fault:  # the process goes on, and the client still gets an answer
+            self.loop.faults.tell(
+                "request.fault", "a client's request failed by an unexpected exception", fault
+            )
             yield from self.refuse_request(line, 500, "a fault of the courier")
             yield from self.close_gracefully(line)
-        except GeneratorExit:  # called off, or collected with its loop
+        except GeneratorExit:  # cancelled, or garbage-collected with its loop
             collected = not self.visits[visit].over if visit in self.visits else False
             raise
         finally:
@@ -270,12 +269,12 @@
             self.open -= 1
 
     def check_all_answered(self, visit):
-        """The connection is about to be closed: no request that was read is left without its answer."""
+        """Reports a request that was read and not answered on a connection about to be closed."""
         if visit.line.h11.our_state is h11.SEND_RESPONSE and not visit.line.left():
             self.acceptor.unanswered(visit.asked)
 
     def request(self, visit):
-        """One request and its answer; False where the connection ends."""
+        """Serves one request; returns whether the connection may serve another."""
         line, visit.delay, visit.answer_pending = visit.line, 0.0, False
         head = yield from self.next_head(visit)
         visit.answer_pending = not isinstance(head, h11.Request)
@@ -317,7 +316,7 @@
             self.log_refusal(fault.status, fault)
             return (yield from self.reply(line, fault.status, str(fault).encode()))
         yield from self.wait_for_destination(line, text)
-        if line.left():  # it waited too long and hands the text in elsewhere; else a refusal does no harm
+        if line.left():  # it may submit the text elsewhere now; if not, refusing does no harm
             return (yield from self.reply(line, 503))
         refusal = self.acceptor.take(text)
         if refusal is not None:
@@ -334,7 +333,7 @@
         return bool((yield from self.confirm_taken_on(line, text)))
 
     def confirm_taken_on(self, line, text):
-        """Answers 202; as `reply`. Where the client did not hear it, it hands the text in again."""
+        """Answers 202 and returns the result of `reply`; withdraws the text if the answer cannot be sent."""
         keep_alive = None
         try:
             keep_alive = yield from self.reply(line, 202)
@@ -345,22 +344,25 @@
         return keep_alive
 
     def wait_for_destination(self, line, text):
-        """Where the text's destination is not known yet, until its first answer is there, the text's time is
-        up, or its client has left. Nothing is kept of the text meanwhile."""
+        """Waits while the text's destination is unknown.
+
+        Ends with the first answer on the destination, shortly before the end of the text's validity period,
+        or when the client closes the connection. Nothing is stored of the text meanwhile.
+        """
         event = self.acceptor.first_answer(text)
         if event is None:
             return
         until, fd = text.until - ANSWER_MARGIN_MS, line.sock.fileno()
         try:
             while not event.came and self.loop.now() < until and not line.left():
-                if not line.quiet():  # its next request: that waits its turn, and hides whether it leaves
+                if not line.quiet():  # a pipelined request, which has to wait and hides a close
                     fd = -1
                 yield Until(until, fd, READ if fd >= 0 else 0, event)
         finally:
             self.acceptor.waited(event)
 
     def next_head(self, visit):
-        """Waits between requests; only here may the courier close the connection."""
+        """Waits for the head of the next request; only in this wait may the courier close the connection."""
         line = visit.line
         if not self.closing and not line.has_extra_data():
             visit.task = self.loop.current
@@ -371,22 +373,20 @@
             self.idle.pop(visit, None)
         if not visit.fresh:
             visit.until = self.loop.now() + PATIENCE
-        elif self.closing:  # one that says nothing must not be held
+        elif self.closing:  # a silent connection must not delay the stop
             visit.until = min(visit.until, self.loop.now() + NEW)
         return (yield from line.event(visit.until))
 
     def refuse_request(self, line, status, why):
-        """Answers a request that cannot be taken with a status and the reason; the connection is closed
-        after it.
-        """
+        """Answers a request with an error status and the reason, then the connection is closed."""
         self.log_refusal(status, why)
         yield from self.reply(line, status, why.encode("latin-1", "replace"), [("Connection", "close")])
 
     def close_gracefully(self, line):
-        """The last answer on a connection is out: the client is given time to read it and to close.
+        """Gives the client `LINGER` ms to read the last answer and to close the connection.
 
-        Where descriptors are short only one that has sent more, since over unread bytes the connection would
-        be reset and take the answer with it.
+        If descriptors are short, only where unread data would make the close reset the connection, by which
+        the answer could be lost.
         """
         if line.ended or line.h11.our_state is h11.IDLE:
             return
@@ -395,7 +395,7 @@
             yield from line.linger(self.loop.now() + LINGER)
 
     def log_refusal(self, status, why):
-        """One line a second at the most: those that come at full speed are counted."""
+        """Logs refused requests, one line a second at most; the others are counted in it."""
         self.unlogged_refusals += 1
         now = self.loop.now()
         if now >= self.refusal_logged_at + 1000.0:
@@ -409,21 +409,22 @@
             self.unlogged_refusals, self.refusal_logged_at = 0, now
 
     def reply(self, line, status, body=b"", extra=()):
-        """Whether the connection may serve another request; None if the answer could not be written."""
-        if self.closing or self.open >= self.budget.clients:  # short of descriptors: each gives its own back
+        """Sends an answer: whether the connection may serve another request; None if it was not sent."""
+        if self.closing or self.open >= self.budget.clients:  # short of descriptors
             extra = [*extra, ("Connection", "close")]
         try:
             data = line.encode(
                 h11.Response(status_code=status, headers=[*extra, ("Content-Length", str(len(body)))]), body
             )
-        except h11.LocalProtocolError:  # the answer is out or the peer is gone
+        except h11.LocalProtocolError:  # already answered, or the peer is gone
             return None
         done = yield from line.write(data, self.loop.now() + PATIENCE)
         return None if done < len(data) else line.again()
 
     def stop_listening(self):
-        """Who has connected by then is still served. Once more does no harm: where there was no room to
-        accept all, it goes on then.
+        """Closes the listener after accepting all pending connections, which are still served.
+
+        May be called again: if not all could be accepted for lack of resources, the listener stays open.
         """
         if self.listener.fileno() < 0:
             return
@@ -437,8 +438,9 @@
         self.loop.close(self.listener)
 
     def end(self):
-        """No turn follows that would keep a message: what was asked and has no answer is refused, which
-        does no harm.
+        """Refuses all outstanding requests before the process exits.
+
+        No turn follows, so their messages are not in the journal and refusing them is safe.
         """
         unsent = {}
         for visit in self.visits:
@@ -456,7 +458,7 @@
         )
 
     def close_between_requests(self):
-        """Idle connections go now, the others with their next answer."""
+        """Closes idle connections now, the others with their next answer."""
         self.closing = True
         for visit in [visit for visit in self.idle if visit.line.quiet()]:
             self.loop.cancel(visit.task)
--- a/calicopin/wire/http.py
+++ b/calicopin/wire/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on one non-blocking connection, read and written by h11."""
+"""HTTP/1.1 on non-blocking connections, parsed and written by h11. Times are milliseconds."""
 
 import errno
 import socket
@@ -9,16 +9,16 @@
 from calicopin.wire.loop import AGAIN, READ, WRITE, Until
 
 READ_SIZE = 65536
-MAX_ABORTED_ACCEPTS = 32  # connections passed over in one accept; more in a row are a fault of the machine's
-UNKNOWN = b"?"  # what may lie unread, where the system had no room to tell
-MAX_DISCARDED_BYTES = 16 * READ_SIZE  # bytes that are read on for the sake of an orderly answer
-MAX_DISCARD_READS = 1024  # for them: some may be short
-MAX_IMMEDIATE_TRIES = 16  # tries of one call for which the system has no room, where nothing can wait
+MAX_ABORTED_ACCEPTS = 32  # skipped in one accept; more in a row point to a fault of this machine
+UNKNOWN = b"?"  # result of `peek` where the system lacked the resources to read
+MAX_DISCARDED_BYTES = 16 * READ_SIZE  # read and discarded in a lingering close
+MAX_DISCARD_READS = 1024  # in a lingering close; each may return few bytes
+MAX_IMMEDIATE_TRIES = 16  # of one system call that lacks resources, where the caller cannot wait
 TOO_LONG = object()
 
 
 class NoResources:
-    """In place of a connection where no descriptor was left for it: no fault of the other side."""
+    """Result of connecting when this machine had no resources for it: the peer is not at fault."""
 
     def __bool__(self):
         return False
@@ -28,28 +28,31 @@
 
 
 class Line:
-    """One connection. Faults of the connection come back as values, never as exceptions."""
+    """One connection. Its errors are returned as values, never raised."""
 
     def __init__(self, loop, sock, role):
         self.loop, self.sock, self.h11 = loop, sock, h11.Connection(role)
-        self.ended, self.stood = False, None  # stood: how long it was idle before it was taken again
-        self.heard = bytearray()  # since the last message ended: with it another process can read on
+        self.ended, self.stood = False, None  # end of stream read; ms it was idle before its last reuse
+        self.heard = bytearray()  # received since the last message ended; handed over with the connection
         sock.setblocking(False)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:  # already gone: the first read tells
+        except OSError:  # already closed: the first read reports it
             pass
 
     def parse(self):
-        """The next h11 event of what was read; NEED_DATA where more is needed. A peer that is gone is
-        ConnectionClosed, also in the middle of its message; what cannot be read is the fault, as a value."""
+        """The next h11 event in the received data, or NEED_DATA.
+
+        A peer that closed the connection gives ConnectionClosed, also in the middle of a message; malformed
+        data gives the RemoteProtocolError as a value.
+        """
         try:
             return self.h11.next_event()
         except h11.RemoteProtocolError as fault:
             return h11.ConnectionClosed() if self.ended else fault
 
     def read_more(self, until):
-        """Reads once; False when the time is up first."""
+        """Reads once; False when the time `until` comes first."""
         data = yield from self._read(until)
         if data is None:
             return False
@@ -58,19 +61,19 @@
         return True
 
     def hear(self, data):
-        """As if it had just been read."""
+        """Adds received data, as if just read from the socket."""
         self.heard += data
         try:
             self.h11.receive_data(data)
-        except h11.RemoteProtocolError:  # bytes behind the end: parse tells
+        except h11.RemoteProtocolError:  # data after the end of stream: `parse` reports it
             pass
 
     def unread(self):
-        """What was read and not parsed yet."""
+        """The data that was received but not parsed yet."""
         return self.h11.trailing_data[0]
 
     def event(self, until):
-        """The next h11 event; None when the time is up first."""
+        """The next h11 event; None when the time `until` comes first."""
         while (event := self.parse()) is h11.NEED_DATA:
             if self.h11.they_are_waiting_for_100_continue:
                 interim = h11.InformationalResponse(status_code=100, headers=[])
@@ -80,8 +83,9 @@
         return event
 
     def _read(self, until):
-        """What lies there, also where it came in the instant in which the time was up; None where nothing
-        did.
+        """Reads once: the data, b"" at the end of stream or on an error, None on a time-out.
+
+        Reads once more after a time-out, since data may have arrived at that moment.
         """
         ready = True
         while True:
@@ -98,9 +102,10 @@
                     return None
 
     def write(self, data, until, stop_on_answer=False):
-        """How many bytes were taken on before the connection broke or the time was up; where the other
-        side is to be heeded, before it said something. Guards against waiting for one that has answered
-        and reads no more.
+        """Writes the data; returns how many bytes were written before an error or the time `until`.
+
+        With `stop_on_answer` it also stops when the peer sends something: a peer that has answered already
+        may not read the rest, and the write would wait for it in vain.
         """
         done = 0
         while done < len(data):
@@ -117,14 +122,14 @@
         return done
 
     def _pause(self, until):
-        """Waits behind a call for which the system had no room; False where the time is up."""
+        """Waits `AGAIN` ms after a system call that lacked resources; False if the time is up."""
         if self.loop.now() >= until:
             return False
         yield Until(min(until, self.loop.now() + AGAIN))
         return True
 
     def encode(self, head, body=b""):
-        """One message as bytes."""
+        """Encodes one message."""
         parts = [self.h11.send(head)]
         if body:
             parts.append(self.h11.send(h11.Data(data=body)))
@@ -132,9 +137,9 @@
         return b"".join(parts)
 
     def body(self, max_size, until):
-        """The body of the message whose head was read; None if it does not come whole.
+        """The body of the message whose head was read; None if it is incomplete.
 
-        One that is too long is not read on.
+        TOO_LONG as soon as it exceeds `max_size` bytes; the rest is not read.
         """
         parts, size = [], 0
         while True:
@@ -150,7 +155,7 @@
                 return None
 
     def ask(self, request, body, max_size, until):
-        """One exchange as a client: status and body, or None where no whole answer came in time."""
+        """One exchange as a client: (status, body), or None without a complete answer in time."""
         data = self.encode(request, body)
         if (yield from self.write(data, until)) < len(data):
             return None
@@ -161,8 +166,11 @@
         return None if content is None else (head.status_code, content)
 
     def linger(self, until):
-        """Ends the sending and reads on a while: closed over unread bytes, a connection is reset, and with it
-        goes the answer that the other side has not read yet."""
+        """Lingering close: shuts down the sending side and discards what still arrives, until `until`.
+
+        Closing a socket with unread data resets the connection, and the peer may lose an answer that it has
+        not read yet.
+        """
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -175,9 +183,10 @@
                 break
 
     def part(self, answer):
-        """The last on a connection where nothing can wait: says `answer`, ends the sending and reads what
-        lies there, as `linger` does. Returns what is left of the answer: nothing, also where nobody is there
-        to hear it, or what the system had no room for.
+        """Sends a last answer without waiting, then shuts down and discards unread data as `linger` does.
+
+        Returns the part that could not be sent for lack of system resources; b"" otherwise, also when the
+        peer is gone.
         """
         try:
             while answer and (sent := self._call_without_waiting(self.sock.send, answer)):
@@ -192,14 +201,15 @@
                 remaining -= len(data or b"")
                 if not data or remaining <= 0:
                     break
-        except OSError:  # the answer is out; whether it arrives is up to the system
+        except OSError:  # the answer was sent; nothing more can be done for its delivery
             pass
         return b""
 
     @staticmethod
     def _call_without_waiting(call, *args):
-        """What the call returns; None where it would have to wait, or the connection is broken. Raises
-        OSError where the system has no room for it again and again.
+        """The result of the call; None where it would block or the connection is broken.
+
+        Raises OSError if the system lacked resources on every try.
         """
         for tries_left in reversed(range(MAX_IMMEDIATE_TRIES)):
             try:
@@ -214,7 +224,7 @@
         return None
 
     def peek(self):
-        """What lies unread: a byte, nothing yet (None), the end (empty), or UNKNOWN."""
+        """The next unread byte; None if there is none yet, b"" at the end of stream, or UNKNOWN."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -223,15 +233,15 @@
             return UNKNOWN if passes(fault) else b""
 
     def quiet(self):
-        """Whether an idle connection is still open and silent."""
+        """Whether an idle connection is open with nothing to read."""
         return self.peek() is None
 
     def left(self):
-        """Whether the other side has ended its sending."""
+        """Whether the peer has closed its sending side."""
         return self.ended or self.peek() == b""
 
     def again(self):
-        """Ready for the next message on it; False where this connection has served its last."""
+        """Prepares for the next message; False if this connection cannot be reused."""
         if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
             self.h11.start_next_cycle()
             self.heard[:] = self.unread()
@@ -239,19 +249,22 @@
         return False
 
     def has_extra_data(self):
-        """Whether more lies on it than was asked for or read, or its end: behind an answer nobody can tell
-        whose.
+        """Whether unexpected data or the end of stream follows the last message.
+
+        Such data cannot be attributed to any request, so the connection must not be reused.
         """
         return bool(self.unread()) or not self.quiet()
 
     def close(self):
-        """Closes the socket; whoever waits for it is not resumed for it any more."""
+        """Closes the socket; coroutines that wait for it are not resumed by it."""
         self.loop.close(self.sock)
 
 
 def accept_next(listener):
-    """The next connection that waits, or None where none does. Some that ended before they were accepted are
-    passed over; OSError where this machine has no room for one, or too many ended in a row.
+    """The next pending connection, or None.
+
+    Connections that were aborted before the accept are skipped. Raises OSError if this machine lacks the
+    resources, or after more than `MAX_ABORTED_ACCEPTS` aborted ones in a row.
     """
     aborted = 0
     while True:
@@ -266,9 +279,11 @@
 
 
 def open_connection(loop, address, until):
-    """A coroutine that opens a connection as a client: the line, or None if it never came up, or NO_ROOM
-    where this machine had nothing to make it with. Where it knows no way there, it asks again until the
-    time (ms) is up."""
+    """A coroutine that opens a connection as a client until `until` (ms).
+
+    Returns the `Line`, None if it could not be established, or NO_RESOURCES if this machine lacked the
+    resources. Retries while there is no route to the address.
+    """
     while True:
         code, sock = yield from _try_connect(loop, address, until)
         if sock:
@@ -281,18 +296,18 @@
 
 
 def _try_connect(loop, address, until):
-    """One try: (0, a socket that is connected), or (the errno that tells why not, None)."""
+    """One try: (0, the connected socket), or (errno, None)."""
     host, _, port = address.rpartition(":")
     try:
         sock = loop.system.stream()
-    except OSError as fault:  # whatever it is, the other side was not asked
+    except OSError as fault:  # a local error in any case: the peer was not contacted
         return (fault.errno if no_room_here(fault.errno) else errno.ENOBUFS), None
-    code = errno.ECANCELED  # where it is called off in its wait
+    code = errno.ECANCELED  # remains if the coroutine is cancelled while it waits
     try:
         code = yield from _connect_socket(sock, (host, int(port)), until)
     except OSError as fault:
         code = fault.errno or errno.EIO
-    except (ValueError, OverflowError):  # an address that is none
+    except (ValueError, OverflowError):  # malformed address
         code = errno.EINVAL
     finally:
         if code:
@@ -301,11 +316,11 @@
 
 
 def _connect_socket(sock, address, until):
-    """Connects it: 0 or the errno that tells why not; or OSError."""
+    """Connects the socket: 0 or an errno. Raises OSError as well."""
     try:
         sock.connect(address)
     except BlockingIOError as fault:
-        if fault.errno != errno.EINPROGRESS:  # EAGAIN: no port of this machine's is free
+        if fault.errno != errno.EINPROGRESS:  # EAGAIN: no free local port
             return fault.errno
         if not (yield Until(until, sock.fileno(), WRITE)):
             return errno.ETIMEDOUT
--- a/calicopin/wire/loop.py
+++ b/calicopin/wire/loop.py
@@ -1,4 +1,4 @@
-"""The one loop: select.epoll, with generators as coroutines. Times are float milliseconds."""
+"""The event loop: `select.epoll` with generators as coroutines. Times are float milliseconds."""
 
 import errno
 import heapq
@@ -13,14 +13,16 @@
 READ = select.EPOLLIN | select.EPOLLRDHUP
 WRITE = select.EPOLLOUT
 FOREVER = float("inf")
-AGAIN = 100.0  # after which what failed is tried once more
-OUT_OF_RESOURCES = (errno.ENOMEM, errno.ENOSPC)  # of epoll_ctl: the descriptor is as good as before
+AGAIN = 100.0  # ms until a failed operation is retried
+OUT_OF_RESOURCES = (errno.ENOMEM, errno.ENOSPC)  # errors of epoll_ctl that leave the descriptor usable
 
 
 @dataclass(slots=True, frozen=True)
 class Until:
-    """What a coroutine yields to wait: for a descriptor, for a event, or for a time alone.
-    It is resumed with True, or with False once the time has come first."""
+    """What a coroutine yields to wait for a descriptor, an event or a point in time (ms).
+
+    The coroutine is resumed with True, or with False when the time `at` comes first.
+    """
 
     at: float = FOREVER
     fd: int = -1
@@ -29,13 +31,13 @@
 
 
 class Event:
-    """Wakes the coroutine that waits for it; rung before that, it is not forgotten."""
+    """Wakes the one coroutine that waits for it; stays set if none is waiting yet."""
 
     def __init__(self, loop):
         self.loop, self.task, self.is_set = loop, None, False
 
     def set(self):
-        """Resumes the coroutine that waits; where none does, the next to wait goes on at once."""
+        """Resumes the waiting coroutine; if there is none, the next one to wait continues at once."""
         if self.task is None:
             self.is_set = True
         else:
@@ -43,7 +45,7 @@
 
 
 class Task:
-    """One coroutine, with the wait it is in."""
+    """A coroutine and what it is waiting for."""
 
     __slots__ = ("gen", "wait", "wait_id", "over", "ahead")
 
@@ -51,22 +53,25 @@
         self.gen, self.wait, self.wait_id, self.over, self.ahead = gen, None, 0, False, ahead
 
     def started(self):
-        """Whether it took its first step: cancelled before, it runs no part of its own."""
+        """Whether it has run at all. If cancelled before that, not even its `finally` blocks run."""
         return self.wait is not None or self.wait_id > 0
 
 
 class Loop:
-    """Resumes coroutines; after each pass `turn` handles what it brought and tells when it is due again."""
+    """Resumes coroutines that are ready.
+
+    After each pass `turn` is called; it returns the time (ms) at which it has to be called again.
+    """
 
     def __init__(self, turn=lambda: FOREVER, now=None, system=HERE):
         self.now, self.turn, self.system = now or system.now, turn, system
         self.epoll, self.fds, self.faults = system.poller(), {}, FaultLog(self.now)
         self.due, self.sequence, self.ready, self.running = [], count(), deque(), True
         self.lateness, self.current = 0.0, None
-        self.after = []  # done once behind the next turn, when no coroutine is in the middle of a step
+        self.after = []  # called once after the next turn, while no coroutine is running
 
     def spawn(self, gen, ahead=False):
-        """`ahead`: it is resumed before all others that are ready."""
+        """Starts a coroutine; with `ahead` it is resumed before all others that are ready."""
         task = Task(gen, ahead)
         self._enqueue(task, None)
         return task
@@ -75,7 +80,7 @@
         (self.ready.appendleft if task.ahead else self.ready.append)((task, task.wait_id, value))
 
     def keep(self, begin, ahead=False):
-        """A coroutine that must not end: it is begun again after a fault."""
+        """Starts a coroutine that is restarted `AGAIN` ms after it ended by an exception."""
 
         def run():
             while True:
@@ -83,20 +88,22 @@
                     yield from begin()
                     return
                 except Exception as fault:
-                    self.faults.tell("coroutine.again", "a coroutine that must not end is begun again", fault)
+                    self.faults.tell(
+                        "coroutine.again", "restarting a coroutine after an unexpected exception", fault
+                    )
                     yield Until(self.now() + AGAIN)
 
         return self.spawn(run(), ahead)
 
     def resume(self, task, value):
-        """Once only for each wait: what comes later belongs to a wait that is over."""
+        """Resumes a coroutine once per wait; later wake-ups for the same wait are ignored."""
         if task.wait is not None:
             self._disarm(task)
             task.wait_id += 1
             self._enqueue(task, value)
 
     def cancel(self, task):
-        """Ends a coroutine where it waits."""
+        """Closes a coroutine at the point where it waits."""
         if not task.over:
             if task.wait is not None:
                 self._disarm(task)
@@ -104,7 +111,7 @@
             task.gen.close()
 
     def _disarm(self, task):
-        """What a coroutine waited for no longer wakes it."""
+        """Removes the coroutine from the event and the descriptor it waits for."""
         wait, task.wait = task.wait, None
         if wait.event is not None:
             wait.event.task = None
@@ -112,28 +119,28 @@
             self.fds[wait.fd] = None
 
     def close(self, sock):
-        """Closes a socket and forgets its descriptor before the number is used again."""
+        """Closes a socket, after removing its descriptor, whose number may be reused at once."""
         self.forget(sock)
         try:
             sock.close()
-        except OSError:  # the descriptor is free whatever close says
+        except OSError:  # the descriptor is released even if close reports an error
             pass
 
     def forget(self, sock):
-        """The loop no longer watches it; it stays open."""
+        """Stops watching a socket, which stays open."""
         fd = sock.fileno()
         if fd in self.fds:
             del self.fds[fd]
             try:
                 self.epoll.unregister(fd)
-            except OSError:  # it is not watched any more
+            except OSError:  # already removed from epoll
                 pass
 
     def _arm(self, fd, mask, task):
         mask |= select.EPOLLONESHOT
         try:
             (self.epoll.modify if fd in self.fds else self.epoll.register)(fd, mask)
-        except FileNotFoundError:  # the number belonged to a socket that was closed without a word
+        except FileNotFoundError:  # the number's former socket was closed without calling `close`
             self.epoll.register(fd, mask)
         self.fds[fd] = task
 
@@ -144,9 +151,9 @@
         except StopIteration:
             task.over = True
             return
-        except Exception as fault:  # guards the others: a fault ends one coroutine, never the program
+        except Exception as fault:  # an exception ends this coroutine only, not the process
             task.over = True
-            self.faults.tell("coroutine.fault", "a coroutine ended by a fault", fault)
+            self.faults.tell("coroutine.fault", "a coroutine ended by an unexpected exception", fault)
             return
         task.wait = wait
         if wait.event is not None:
@@ -159,16 +166,19 @@
             try:
                 self._arm(wait.fd, wait.mask, task)
             except OSError as fault:
-                if fault.errno not in OUT_OF_RESOURCES:  # it counts as ready: the next call on it tells why
+                if fault.errno not in OUT_OF_RESOURCES:  # as if ready: its next system call reports the error
                     self.resume(task, True)
                     return
-                # guards against a coroutine that is resumed over and over: it looks again a moment later
+                # retried after a delay: resuming it at once would make it spin
                 heapq.heappush(self.due, (self.now() + AGAIN, next(self.sequence), task, task.wait_id))
         if wait.at < FOREVER:
             heapq.heappush(self.due, (wait.at, next(self.sequence), task, task.wait_id))
 
     def once(self, until=FOREVER):
-        """One pass: wait, resume what is ready until nothing is, then the turn."""
+        """One pass: waits for events, resumes coroutines until none is ready, then calls `turn`.
+
+        Waits until `until` (ms) at most. Returns the time at which `turn` is due again.
+        """
         while self.due and (self.due[0][2].over or self.due[0][2].wait_id != self.due[0][3]):
             heapq.heappop(self.due)
         at = min(until, self.due[0][0] if self.due else FOREVER)
@@ -179,18 +189,16 @@
             task = self.fds.get(fd)
             if task is not None:
                 self.resume(task, True)
-        # Guards answers that lie there unread against a time-out when the process stood still since it asked
-        # for them: only what was due by then is over; the rest is due in the next pass, behind what that one
-        # brings.
+        # If the process was suspended around the poll, data may have arrived that the poll has not reported.
+        # Only timers that were due at the poll, or that it waited for, expire now; later ones wait for the
+        # next pass, which reads that data first. Else answers already received would count as time-outs.
         now = self.now()
         expired_until = min(now, max(polled_at, at) if wait and not events else polled_at)
         while self.due and self.due[0][0] <= expired_until:
             at, _, task, wait_id = heapq.heappop(self.due)
             if not task.over and task.wait_id == wait_id:
                 self.lateness = max(self.lateness, now - at)
-                self.resume(
-                    task, task.wait.at > expired_until
-                )  # before its time: what it waits for may be there
+                self.resume(task, task.wait.at > expired_until)  # True for a retry of epoll_ctl
         self.step()
         until = self.turn()
         after, self.after = self.after, []
@@ -199,16 +207,14 @@
         return until
 
     def step(self):
-        """Resumes what is ready until nothing is."""
+        """Resumes coroutines until none is ready."""
         while self.ready:
             task, wait_id, value = self.ready.popleft()
             if not task.over and task.wait_id == wait_id:
                 self._step(task, value)
 
     def run(self):
-        """Passes until `running` is false; each waits for events until the turn of the last has something
-        due.
-        """
+        """Makes passes until `running` is false, each waiting until the last `turn` is due again at most."""
         until = FOREVER
         while self.running:
             until = self.once(until)
