--- a/calicopin/wire/__init__.py
+++ b/calicopin/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken: the loop, HTTP, clients, endpoints, discovery and notices."""
+"""Network code: event loop, HTTP, clients, endpoints, discovery and notices."""
--- a/calicopin/wire/agent.py
+++ b/calicopin/wire/agent.py
@@ -1,24 +1,25 @@
-"""What the watch and the notices share: one lasting connection to the platform's agent, whose address may
-change.
-"""
+"""Base class of clients that keep one connection to an agent, whose address may change."""
 
 from calicopin.wire.http import open_connection
 
 
 class Agent:
-    """`talk` is the coroutine that must not end; it begins on a new connection, also after a fault."""
+    """A persistent connection, driven by the coroutine `talk`, which is restarted after an exception.
+
+    `talk` has to begin with `hang_up`, so that it continues on a new connection.
+    """
 
     def __init__(self, loop, address):
         self.loop, self.address, self.line = loop, address, None
         self.task = loop.keep(self.talk)
 
     def move(self, address):
-        """Goes on at another address, from a new connection."""
+        """Continues at another address on a new connection."""
         self.retire()
         self.address, self.task = address, self.loop.keep(self.talk)
 
     def retire(self):
-        """It talks no more: another process has taken its place, or a new address is to."""
+        """Stops the coroutine and closes the connection."""
         self.loop.cancel(self.task)
         self.hang_up()
 
@@ -29,7 +30,7 @@
             line.close()
 
     def connect(self, until):
-        """The connection, a new one where there is none; None where it did not come up."""
+        """The open connection or a new one; None if it could not be opened by `until` (ms)."""
         if self.line is None:
             self.line = (yield from open_connection(self.loop, self.address, until)) or None
         return self.line
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of endpoints: goes on at once, and is begun again when it is silent or broken."""
+"""Long polling of the list of endpoints at the discovery agent. Times are milliseconds."""
 
 import json
 from collections import Counter
@@ -12,21 +12,19 @@
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import Until
 
-# to connect, and beyond the wait that was asked for: the agent is on this machine and answers at once
+# to connect, and for an answer beyond the wait of a long poll: the agent is on this machine
 GRACE = 250.0
-FIRST_ANSWER_GRACE_MS = 2.0 * GRACE  # for the first answer of all, where one call has met silence
-MAX_BACKOFF_EXPONENT = 16  # of a patience: beyond them it is as long as the watch in any case
+FIRST_ANSWER_GRACE_MS = 2.0 * GRACE  # for the first answer after a start, once a call was not answered
+MAX_BACKOFF_EXPONENT = 16  # beyond it `answer_grace` has reached its maximum
 MOST_LIST = 8 << 20
 ENDPOINT_STATES = ("active", "leaving", "left")
-ASK_WITHIN_WAITS = (
-    5.0  # of an asked wait: the time after which the platform takes a courier that asks for told
-)
+ASK_WITHIN_WAITS = 5.0  # after which the platform regards a polling courier as informed, in waits of a poll
 
 
 def read(data):
-    """(version, whole, places) from the list's own form; raises ValueError where it cannot be read.
+    """Decodes a list: (version, whether it is complete, places); raises ValueError if it is malformed.
 
-    Of changes the same endpoint may have several: the last one holds.
+    A list of changes may hold an endpoint several times; the last entry counts.
     """
     try:
         whole, places = (
@@ -48,44 +46,44 @@
         states = {str(entry["state"]) for entry in data["servers"]}.difference(ENDPOINT_STATES)
         version = int(data["version"])
     except (KeyError, TypeError, AttributeError, OverflowError) as fault:
-        raise ValueError(f"the list lacks or garbles {fault}") from None
+        raise ValueError(f"missing or malformed entry in the list: {fault}") from None
     if states:
         raise ValueError(
-            f"{min(states)[:40]!r} is no state of an endpoint; there are {', '.join(ENDPOINT_STATES)}"
+            f"{min(states)[:40]!r} is not an endpoint state; expected one of {', '.join(ENDPOINT_STATES)}"
         )
     ident, times = max(
         Counter(place.ident for place in places).items(), key=lambda pair: pair[1], default=("", 0)
     )
     if whole and times > 1:
-        raise ValueError(f"endpoint {ident[:40]!r} stands in the list {times} times")
+        raise ValueError(f"endpoint {ident[:40]!r} is in the list {times} times")
     return version, whole, places
 
 
 class Discovery(Agent):
-    """`version` is that of the list as it is known; None asks for the whole of it.
+    """Polls the list of endpoints and passes each update to `heard(places, whole)`.
 
-    `senders` and `seed` are the asking's; where `spread`, the first call waits for its turn too. `pushed`: an
-    agent beside this courier has the list. `tried` once the first call has ended, heard or not; `answered`
-    once any call was answered or turned away.
+    `version` is that of the list known here; with None the complete list is requested. `senders`, `seed` and
+    `pushed` are those of `Asking`; with `spread` the first call is delayed as well. `tried` is true once the
+    first call has ended in any way, `answered` once any call was answered or refused.
     """
 
     def __init__(self, loop, address, version, wait, heard, senders=1, seed=0, spread=False, pushed=False):
         self.version, self.wait, self.heard, self.spread = version, wait, heard, spread
         self.tried = self.answered = False
-        self.logged_fault = None  # the fault that was last told: it may come ten times a second
-        # calls in a row that met silence: meanwhile short ones only, what it has to tell is told once it is
-        # back
+        self.logged_fault = None  # last one logged: it may recur ten times a second
+        # consecutive calls without an answer; meanwhile calls do not wait for changes, so that an agent that
+        # is back is noticed at once
         self.silent_calls = 0
         self.asking = Asking(senders, ASK_WITHIN_WAITS * wait, seed, pushed, longest_pause(wait, GRACE))
         super().__init__(loop, address)
 
     def move(self, address):
-        """A new watch, from the whole list on: each address counts its versions for itself."""
+        """Continues at another address with the complete list: versions of two agents are not comparable."""
         self.version = None
         super().move(address)
 
     def talk(self):
-        """For ever: one call after the other on one connection, a new one after a fault."""
+        """A coroutine that polls for ever on one connection, and on a new one after an error."""
         self.hang_up()
         if self.spread:
             self.spread = False
@@ -100,7 +98,7 @@
             except (ValueError, RecursionError) as fault:
                 if self.logged_fault != str(fault):
                     logger.warning(
-                        "discovery's answer cannot be read, the list known serves on: {fault}",
+                        "malformed answer of discovery, the known list stays in use: {fault}",
                         event="discovery.unread",
                         fault=fault,
                     )
@@ -114,7 +112,7 @@
             if update is None:
                 if self.refused:
                     if not self.asking.refusals:
-                        logger.warning("discovery turns calls for the list away", event="discovery.refused")
+                        logger.warning("discovery refuses calls for the list", event="discovery.refused")
                     self.asking.refused()
                 else:
                     self.asking.silent()
@@ -129,19 +127,20 @@
             self.version = version
 
     def answer_grace(self):
-        """For an answer beyond the wait.
+        """Time allowed for an answer beyond the wait of the call, in ms.
 
-        Guards against a discovery that answers each call late, since it is asked by many, and was never
-        heard: three calls after a watch that fell silent one is as patient as the watch, within the 6 s.
+        Grows with consecutive calls without an answer: an overloaded discovery that answers every call late
+        would never be heard otherwise. The third such call allows as much as a whole poll, which still fits
+        into the 6 s of `asking.TOLD`.
         """
-        if self.asking.pushed and not self.answered:  # a start, perhaps of many on a busy machine
+        if self.asking.pushed and not self.answered:  # at a start, where many may start on a busy machine
             return FIRST_ANSWER_GRACE_MS if self.silent_calls else GRACE
         if self.asking.pushed or not self.silent_calls:
             return GRACE
         return min(self.wait + GRACE, GRACE * 4.0 ** min(self.silent_calls - 1, MAX_BACKOFF_EXPONENT))
 
     def ask(self, line):
-        """One call; None where it was not answered in time or broke."""
+        """One call: the decoded list, or None if it was not answered with one in time."""
         wait, target = 0.0, "/api/targets"
         if self.version is not None:
             wait = 0.0 if self.silent_calls else self.wait
@@ -151,5 +150,5 @@
         status, body = (yield from line.ask(request, b"", MOST_LIST, until)) or (0, b"")
         self.refused = status in (429, 503)
         if body is TOO_LONG:
-            raise ValueError(f"it is over {MOST_LIST >> 20} MiB")
+            raise ValueError(f"the list is over {MOST_LIST >> 20} MiB")
         return read(json.loads(body)) if status == 200 else None
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints: one at a time on a connection, and none is ever sent twice by itself."""
+"""Calls to endpoints: one at a time per connection, and never repeated here. Times are milliseconds."""
 
 import base64
 import json
@@ -11,19 +11,15 @@
 from calicopin.wire.loop import AGAIN, Until
 
 MAX_ANSWER_BYTES = 65536
-MAX_STATUS_LINE_BYTES = 1024  # of a first line
-NOT_EXECUTED_STATUSES = (429, 503, 504, 410)  # statuses that say so
-MAX_INTERIM_ANSWERS = 16  # 1xx answers before the one that counts
-ANSWER_REMAINDER_MS = (
-    1000.0  # for the rest of an answer once it has begun: guards slots against answers that never end
-)
-STATUS_LINE = re.compile(
-    rb"HTTP/1\.[01] ([0-9]{3})(?: [^\r\n]*)?\r?\n"
-)  # a whole line: one that stops short tells nothing
+MAX_STATUS_LINE_BYTES = 1024
+NOT_EXECUTED_STATUSES = (429, 503, 504, 410)  # by which an endpoint says that it did not execute a call
+MAX_INTERIM_ANSWERS = 16  # 1xx answers before the final one
+ANSWER_REMAINDER_MS = 1000.0  # for the rest of an answer, so that one that never ends does not hold a slot
+STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([0-9]{3})(?: [^\r\n]*)?\r?\n")  # complete: a cut one proves nothing
 
 
 def parse_number(header, least=0.0):
-    """A finite number from a header, or None."""
+    """A finite number of at least `least` from a header, or None."""
     try:
         value = float(header)
     except (TypeError, ValueError):
@@ -32,7 +28,7 @@
 
 
 def parse_load(header):
-    """The report of an answer; anything but numbers is passed over."""
+    """The load report in an answer; entries that are not numbers are ignored."""
     try:
         value = json.loads(header) if header else {}
         return {
@@ -71,7 +67,7 @@
 
 
 def ends(body):
-    """What a bulk answer says of each text; None where it cannot be read."""
+    """The state of each text by its id in a bulk answer; None if it cannot be decoded."""
     try:
         return {line["id"]: line["state"] for line in json.loads(body)}
     except (ValueError, TypeError, KeyError, RecursionError):
@@ -79,7 +75,7 @@
 
 
 def answer(head):
-    """What the head of an answer tells."""
+    """Decodes the head of an answer."""
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
     return Answer(
         Far.ANSWERED,
@@ -91,9 +87,7 @@
 
 
 def parse_status(data):
-    """The status that the beginning of an answer tells; None where it is not there yet, 0 where it never
-    will.
-    """
+    """The status at the beginning of an answer; None if more data is needed, 0 if it is malformed."""
     match = STATUS_LINE.match(data)
     if match:
         return int(match[1])
@@ -105,21 +99,21 @@
 
 
 class Flight:
-    """One call under way: how far it has come, so that it can be called off, or go on in another process."""
+    """A call under way and its progress, with which it can be cancelled or continued in another process."""
 
     __slots__ = ("call", "line", "until", "began", "task", "far", "given")
 
     def __init__(self, call, until):
         self.call, self.until, self.line, self.began, self.task = call, until, None, 0.0, None
-        self.far, self.given = Far.CALLED_OFF, False  # far: what is certain if it were called off now
+        self.far, self.given = Far.CALLED_OFF, False  # far: the outcome if it were cancelled now
 
 
 def submit(loop, pool, flight, connect_timeout, still_wanted, on_written, report):
-    """One call from its start to its outcome, as a value that says how far it came.
+    """A coroutine that makes one call; returns its outcome as an `Answer`.
 
-    Guards drains, waits and memories of references against a connection that came up late: `still(call, now)`
-    is asked again then. `written` is called once the last byte is out; `tell` hears what is certain before
-    the answer has come to its end.
+    `still_wanted(call, now)` is asked again once a new connection is open: meanwhile the endpoint may have
+    begun to drain, told a wait, or forgotten a reference. `on_written` is called once the last byte is
+    written; `report` receives an outcome that is certain before the answer is complete.
     """
     call, until, place = flight.call, flight.until, flight.call.place
     line, keep = pool.take(place, loop.now()), False
@@ -147,14 +141,14 @@
 
 
 def go_on(loop, pool, flight, line, heard, report):
-    """A call whose last byte another process wrote: from there to its outcome.
+    """Continues a call that another process sent completely, and returns its outcome.
 
-    `heard` is what came of the answer.
+    `heard` holds the bytes of the answer that were received so far.
     """
     pool.used, keep = pool.used + 1, False
     try:
-        line.encode(*encode(flight.call, 1.0))  # h11 is to know that a whole request is out
-        if heard:  # nothing at all would be its end
+        line.encode(*encode(flight.call, 1.0))  # puts h11 into the state after a complete request
+        if heard:  # to h11, b"" would mean the end of stream
             line.hear(heard)
         flight.line = line
         outcome, keep = yield from receive_outcome(loop, pool, flight, report)
@@ -164,7 +158,7 @@
 
 
 def release_connection(loop, pool, flight, line, keep):
-    """The end of a flight: its connection serves again, is closed, or goes on in another process."""
+    """Returns the connection of a call to the pool, or closes it unless another process has taken it over."""
     if keep:
         pool.keep(flight.call.place, line, loop.now())
     else:
@@ -172,11 +166,11 @@
 
 
 def receive_outcome(loop, pool, flight, report):
-    """The outcome, and whether its connection may serve again.
+    """(outcome, whether the connection may be reused) of a call that was sent completely.
 
-    Guards the one final answer against a process that stood still while a delivery was told: an endpoint lets
-    go of a call once the time of its first text is up, and still says delivered. What is heard only then may
-    have run or not, and is no fault of the endpoint's.
+    An endpoint drops a call once the validity period of its first text is over, and answers it as delivered
+    all the same. If this process was suspended and reads such an answer only after that time, the call may or
+    may not have been executed: it counts as sent, and not as a failure of the endpoint.
     """
     line, flight.far, call = flight.line, Far.SENT, flight.call
 
@@ -195,7 +189,7 @@
 
 
 def read_outcome(line, call, until, report):
-    """The outcome, and whether the answer came whole."""
+    """(outcome, whether the answer was read completely)."""
     for _ in range(MAX_INTERIM_ANSWERS):
         while (status := parse_status(line.unread())) is None and not line.ended:
             if not (yield from line.read_more(until)):
@@ -210,7 +204,7 @@
 
 
 def read_delivered(line, until, report):
-    """Once the first line says so, a text alone is delivered, whatever becomes of the rest."""
+    """As `read_outcome` after status 200 to a single text: delivered, whatever follows the status line."""
     outcome, deadline = Answer(Far.ANSWERED, status=200), min(until, line.loop.now() + ANSWER_REMAINDER_MS)
     event = line.parse()
     if event is h11.NEED_DATA:
@@ -225,9 +219,9 @@
 
 
 def read_unsent_outcome(line, call, until):
-    """The outcome of a call whose last byte never went out.
+    """The outcome of a call that was not sent completely.
 
-    It has not run, but an answer may lie there, and a wait in it binds.
+    It has not been executed, but the endpoint may have answered, and a wait in its answer is heeded.
     """
     if not line.peek():
         return Answer(Far.UNSENT)
@@ -238,9 +232,9 @@
 
 
 def read_whole_answer(line, call, until):
-    """Any other answer counts only as a whole: a spoilt one may stand for a call that has run.
+    """As `read_outcome` for other answers, which count only if complete and well-formed.
 
-    A wait in its head binds all the same.
+    After any other the call may have been executed; a wait in its head is heeded all the same.
     """
     deadline = min(until, line.loop.now() + ANSWER_REMAINDER_MS)
     event = yield from line.event(deadline)
@@ -251,6 +245,6 @@
         return Answer(Far.SENT, late=line.loop.now() >= until, wait=outcome.wait), False
     if len(call.texts) > 1 and outcome.status == 200:
         outcome.ends = ends(body)
-        if outcome.ends is None:  # nothing is known of any text: each may have run
+        if outcome.ends is None:  # any of the texts may have been executed
             return Answer(Far.SENT, wait=outcome.wait), False
     return outcome, True
--- a/calicopin/wire/listfile.py
+++ b/calicopin/wire/listfile.py
@@ -1,16 +1,17 @@
-"""A list of partners in a watched file: the whole list or nothing, checked before use."""
+"""A list of partners in a watched file, validated as a whole before use."""
 
 from loguru import logger
 
 from calicopin.wire.loop import Until
 
-LOOK = 500.0  # between two looks at the file
+LOOK = 500.0  # ms between two checks of the file
 
 
 class ListFile:
-    """`load` returns the places of a sound list or raises ValueError with one line for each thing that is
-    wrong, or OSError where it cannot be read just now; `heard` takes a whole list. A file that is damaged,
-    cut or gone changes nothing.
+    """Watches the file and passes each new valid list to `heard(places, True)`.
+
+    `load` returns the places, or raises ValueError with one line for each error in the list, or OSError if
+    the file cannot be read at the moment. A damaged, truncated or missing file changes nothing.
     """
 
     def __init__(self, loop, path, load, heard):
@@ -19,11 +20,11 @@
         self.task = loop.keep(self.watch)
 
     def retire(self):
-        """Another process watches it now."""
+        """Stops watching: another process does so now."""
         self.loop.cancel(self.task)
 
     def watch(self):
-        """A coroutine that looks at the file every `LOOK` ms and reads it once it has changed."""
+        """A coroutine that checks the file every `LOOK` ms and reads it when it has changed."""
         while True:
             yield Until(self.loop.now() + LOOK)
             stamp = self.loop.system.stamp(self.path)
@@ -31,16 +32,22 @@
                 self.stamp = stamp
 
     def take(self):
-        """Reads it now; False where it could not be read just now and is to be read again."""
+        """Reads the file now; False if that failed and has to be repeated."""
         try:
             places = self.load(self.path)
         except (ValueError, OSError) as fault:
-            logger.error("the list of partners stays as it was: {fault}", event="list.refused", fault=fault)
+            logger.error(
+                "the list of partners was refused, the previous one stays in use: {fault}",
+                event="list.refused",
+                fault=fault,
+            )
             return not isinstance(fault, OSError)
         if places != self.places:
             self.places = places
             logger.info(
-                "a new list of partners: {endpoints} endpoints", event="list.taken", endpoints=len(places)
+                "loaded a new list of partners: {endpoints} endpoints",
+                event="list.taken",
+                endpoints=len(places),
             )
             self.heard([*places], True)
         return True
--- a/calicopin/wire/notices.py
+++ b/calicopin/wire/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: a text taken on and not delivered ends with one, sent until it is heard."""
+"""Notices to the platform: each text taken on and not delivered ends with one, sent until acknowledged."""
 
 import json
 
@@ -8,20 +8,18 @@
 from calicopin.wire.agent import Agent
 from calicopin.wire.loop import AGAIN, READ, Event, Until
 
-# for an answer, which is owed at once: a notice that waits longer on a silent connection comes too late
+# the platform answers at once; a longer wait on a dead connection would make the notice too late
 ANSWER_TIMEOUT_MS = 200.0
-# doubled up to this each time: guards an agent that is slow against the same notices over and over
+# upper bound of the doubled time-out, which spares a slow agent the same notices again and again
 MAX_ANSWER_TIMEOUT_MS = 2000.0
-LOG_INTERVAL_MS = 1000.0  # between two lines on notices that were not heard
-RECONNECT_INTERVAL_MS = (
-    1000.0  # between two tries to have a connection at hand: guards an agent that closes each at once
-)
-MAX_NOTICES_PER_REQUEST = 500  # lines in one request
+LOG_INTERVAL_MS = 1000.0  # between two log lines on notices that were not acknowledged
+RECONNECT_INTERVAL_MS = 1000.0  # without a notice to send, as the agent may close each connection at once
+MAX_NOTICES_PER_REQUEST = 500
 MAX_ANSWER_BYTES = 65536
 
 
 def encode(text):
-    """The notice of a text that was given up, as one line of JSON."""
+    """The notice of a text that ended undelivered, as one line of JSON."""
     notice = {"ref": text.ident, "result": text.verdict}
     if text.wait > 0.0:
         notice["wait_ms"] = round(text.wait)
@@ -29,7 +27,7 @@
 
 
 class Lines:
-    """Where nobody is told by the network: each end is a line in the log, and heard with that."""
+    """Replaces `Notices` where no platform is configured: each notice is a log line and counts as sent."""
 
     line, address = None, ""
 
@@ -38,23 +36,23 @@
         loop.keep(self.talk)
 
     def owe(self, text):
-        """A text has ended; its line is written in the next pass."""
+        """Adds a text whose line is written in the next pass of the loop."""
         self.owed.append(text)
         self.event.set()
 
     def move(self, address):
-        """There is no address."""
+        """Does nothing: there is no address."""
 
     def retire(self):
-        """Nothing is owed any more."""
+        """Does nothing: there is no connection."""
 
     def talk(self):
-        """A coroutine that writes a line for each text that has ended; it must not end."""
+        """A coroutine that writes a line for each text, for ever."""
         while True:
             while self.owed:
                 text = self.owed.pop(0)
                 logger.warning(
-                    "text {text} for {destination} ends {end}",
+                    "text {text} for destination {destination} ended: {end}",
                     event="text.ended",
                     text=text.ident,
                     destination=text.dest,
@@ -65,9 +63,10 @@
 
 
 class Notices(Agent):
-    """What has gathered while one request was out goes with the next.
+    """Sends notices in batches, one request at a time, and repeats them until acknowledged.
 
-    All that was not heard at an address is told at the next one, at once.
+    `heard(text)` is called for each acknowledged notice. After a change of address, all notices that were not
+    acknowledged are sent to the new one at once.
     """
 
     def __init__(self, loop, address, heard):
@@ -81,12 +80,12 @@
         super().__init__(loop, address)
 
     def owe(self, text):
-        """A text was given up; its notice goes out with the next request."""
+        """Adds a text whose notice is sent with the next request."""
         self.owed.append(text)
         self.event.set()
 
     def talk(self):
-        """For ever, on a new connection after a fault."""
+        """A coroutine that sends notices for ever, on a new connection after an error."""
         self.hang_up()
         while True:
             while not self.owed:
@@ -102,7 +101,7 @@
             if status in (200, 204, 400):
                 if status == 400:
                     logger.error(
-                        "notices could not be read: {texts}",
+                        "the platform could not read notices: {texts}",
                         event="notices.unread",
                         texts=[text.ident for text in batch],
                     )
@@ -114,7 +113,7 @@
                 if self.loop.now() >= self.logged_at + LOG_INTERVAL_MS:
                     self.logged_at = self.loop.now()
                     logger.warning(
-                        "{texts} notices were not heard: {what}",
+                        "{texts} notices were not acknowledged: {what}",
                         event="notices.unheard",
                         texts=len(batch),
                         what=f"status {status}" if status else "no connection" if not line else "no answer",
@@ -128,12 +127,13 @@
                 yield Until(self.loop.now() + (0.0 if timed_out else AGAIN))
 
     def maintain_connection(self):
-        """Waits for a notice, for as long as there is a connection, or until there is one again. Guards the
-        ends of messages against moments in which this machine can make no new connection.
+        """Waits for a notice and meanwhile keeps a connection open.
+
+        Without it, a notice would fail whenever this machine cannot open a connection just then.
         """
         if self.line is not None:
             yield Until(fd=self.line.sock.fileno(), mask=READ, event=self.event)
-            if not self.line.quiet():  # the agent has closed it
+            if not self.line.quiet():  # closed by the agent
                 self.hang_up()
             return
         yield Until(self.loop.now() + RECONNECT_INTERVAL_MS, event=self.event)
@@ -141,7 +141,7 @@
             yield from self.connect(self.loop.now() + ANSWER_TIMEOUT_MS)
 
     def post(self, line, body, until):
-        """Sends the notices; returns the status, or 0 where no whole answer came until `until` (ms)."""
+        """Sends notices: the status, or 0 without a complete answer by `until` (ms)."""
         head = h11.Request(
             method="POST",
             target="/v1/outcomes",
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -1,9 +1,9 @@
-"""The subscription to the destinations that a courier uses: one long poll after the other at one node.
+"""The subscription to the destinations that a courier uses: long polls at one discovery node.
 
-The decisions stand in `calicopin/subscription/`; here requests are sent and answers read. Times are
-milliseconds. A fresh subscription does not wait for the poll that is parked at the node: that connection is
-closed and the change goes out on a new one. So one request is out at a time, and an answer that was lost with
-the connection is told again; a second connection beside it would bring answers of one lease in any order.
+This module sends requests and reads answers; the decisions are in `calicopin/subscription/`. Times are
+milliseconds. A new subscription does not wait for the poll that is parked at the node: its connection is
+closed and the change is sent on a new one. So there is one request at a time, and an answer lost with its
+connection is sent again; with a second connection, answers of one lease could arrive out of order.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -29,35 +29,29 @@
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import READ, Event, Until
 
-WAIT = 2000.0  # that a request may be parked at the node, at most: what comes after its silence fits into 6 s
-CONNECT = 250.0  # to connect
-SILENCE = 1000.0  # beyond the wait that was asked for, after which a parked request counts as not answered
-PROMPT = (
-    1500.0  # the same for a request that is answered at once: a node may have a lost one's couriers before it
-)
-STARTUP_LIMIT_MS = 1900.0  # from the start, after which a list from the folder is gone by without any answer
-PER_DESTINATION_MS = (
-    0.05  # added to both for each destination of the set: a whole answer of 100,000 takes its seconds
-)
-AGAIN = 100.0  # between the beginnings of two requests: guards both sides against answers at once for ever
-BATCH_INTERVAL_MS = (
-    60.0  # between two requests with fresh subscriptions, 16 a second: what comes in between shares one
-)
-MAX_ANSWER_BYTES = 32 << 20  # bytes
+WAIT = 2000.0  # longest wait of a parked request; recovery after a silent node fits into `asking.TOLD`
+CONNECT = 250.0  # time-out for connecting
+SILENCE = 1000.0  # time-out of a parked request, beyond its wait
+PROMPT = 1500.0  # time-out of a request answered at once; couriers of a failed node may be queued before it
+STARTUP_LIMIT_MS = 1900.0  # after which the stored list is used without an answer of a node
+PER_DESTINATION_MS = 0.05  # added to both time-outs: a complete answer for 100,000 destinations takes seconds
+AGAIN = 100.0  # between the beginnings of two requests, as every answer may come at once
+BATCH_INTERVAL_MS = 60.0  # between requests with new subscriptions (16 a second), which are batched
+MAX_ANSWER_BYTES = 32 << 20
 
 
 class End(Enum):
-    """How a request ended without an answer."""
+    """How a request ended without an answer, as logged."""
 
     UNCONNECTED = "cannot be connected to"
     SILENT = "does not answer"
-    BROKEN = "broke off"
-    INTERRUPTED = "was given up for a fresh subscription"
+    BROKEN = "closed the connection without a complete answer"
+    INTERRUPTED = "was interrupted for a new subscription"
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer as it came."""
+    """An answer as received."""
 
     status: int
     body: bytes
@@ -65,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """Counts since the start; bytes are those of HTTP with its heads."""
+    """Counters since the start; bytes are those of HTTP messages with their heads."""
 
     calls: int
     interrupted: int
@@ -76,12 +70,11 @@
 
 
 class Subscriber(Agent):
-    """Keeps the subscription and tells `heard` what its answers hold, as `wire.discovery.Discovery` does.
+    """Keeps the subscription and passes its answers to `heard(places, whole)`, as `Discovery` does.
 
     `nodes` are addresses, `restored` the destinations of a snapshot with their endpoints: they are subscribed
-    to from the start and count as known. `in_use` tells whether something is held for a destination,
-    `released` hears of each one given up: its endpoints are no longer told of. `tried` once a node has
-    answered or none was to be heard.
+    to from the start and count as known. `in_use` tells whether the courier holds messages for a destination.
+    `released` is called for each destination unsubscribed from, which gets no more updates.
     """
 
     def __init__(
@@ -106,18 +99,18 @@
         self.interest = Interest(seed, in_use, idle, most)
         self.session = Session(fleet, courier, restored)
         self._wake = Event(loop)
-        self._settled: dict[int, list] = {}  # events and lists of events, by the destination they wait for
+        self._settled: dict[int, list] = {}  # waiting events and lists, by destination
         self._calls = self._interrupted = self._sent = self._received = 0
         self._gather_until = 0.0
-        self._logged_faults: dict[str, str] = {}  # the last fault told of each node, until an answer comes
+        self._logged_faults: dict[str, str] = {}  # the last one by node, until an answer comes
         for destination in restored or ():
             self._note_use(destination, loop.now())
         super().__init__(loop, "")
 
-    # What the rest of the courier asks for.
+    # Interface for the rest of the courier.
 
     def use(self, destination: int) -> Standing:
-        """Notes a use and subscribes where it isn't. Raises InterestFullError where no further one can be."""
+        """Notes a use and subscribes if needed; raises InterestFullError at the limit of destinations."""
         self._note_use(destination, self.loop.now())
         return self.session.standing(destination)
 
@@ -130,30 +123,30 @@
             self._wake.set()
 
     def settled(self, destination: int, event) -> None:
-        """Sets the event, or appends True to a list, once the first answer for the destination has come or it
-        was given up."""
+        """Sets the event, or appends True to the list, once the first answer for the destination has come
+        or it was unsubscribed from."""
         if self.session.wants(destination) and not self.session.confirmed(destination):
             self._settled.setdefault(destination, []).append(event)
         else:
             _notify(event)
 
     def unsettled(self, destination: int, event) -> None:
-        """Nobody waits with that event any more: its time was up first."""
+        """Drops an event of `settled` whose wait has ended."""
         remaining = [other for other in self._settled.pop(destination, ()) if other is not event]
         if remaining:
             self._settled[destination] = remaining
 
     def subscribed(self) -> dict[int, list[Place]]:
-        """The destinations with the endpoints known of them, as a snapshot keeps them."""
+        """The destinations and their known endpoints, for a snapshot."""
         return self.session.known()
 
     @property
     def version(self) -> int | None:
-        """The node's count of the state that is known; None without a lease."""
+        """The node's version of the state known here; None without a lease."""
         return self.session.version
 
     def figures(self) -> Figures:
-        """What was sent and received since the start."""
+        """The counters since the start."""
         return Figures(
             self._calls,
             self._interrupted,
@@ -164,21 +157,21 @@
         )
 
     def move(self, nodes: list[str]) -> None:
-        """Another list of nodes: the one that is kept to stays so as long as it is in it."""
+        """Changes the list of nodes; the current node is kept if it is in the new list."""
         self.nodes.move(nodes, self.loop.now())
         if self.nodes.current is None or self.address not in nodes:
             super().move("")
 
     @property
     def tried(self) -> bool:
-        """Whether to go by what is known: a node has answered, all were asked in vain, or the time for that
-        is over."""
+        """Whether the courier may act on the known list: a node has answered, all nodes have failed, or
+        `STARTUP_LIMIT_MS` is over."""
         return self._answered or self.nodes.exhausted or self.loop.now() >= self._startup_over_at
 
-    # The exchange.
+    # Requests and answers.
 
     def talk(self):
-        """For ever: one request after the other, on one connection as long as it lasts."""
+        """A coroutine that sends one request after another for ever, on one connection while it lasts."""
         self.hang_up()
         while True:
             turn = self.nodes.turn(self.loop.now())
@@ -195,11 +188,11 @@
                 yield Until(began + AGAIN, event=self._wake)
 
     def _call(self):
-        """One request and what follows from its end; whether the next one is to go out at once."""
+        """Makes one request and handles its result; returns whether the next one is due at once."""
         now = self.loop.now()
         for destination in self.interest.sweep(now):
             self.session.unsubscribe(destination)
-        self._wake.is_set = False  # what it stood for goes with this request
+        self._wake.is_set = False  # this request includes the change it was set for
         wait = self.session.longest_wait(self.address, self.wait)
         ask = self.session.next(self.address)
         if ask.request.subscribe:
@@ -212,8 +205,8 @@
         return False
 
     def _exchange(self, ask: Ask, wait: float):
-        """The reply or the `End` of one request. A connection that served before may have been closed
-        meanwhile: then the request goes once more, on a new one."""
+        """The `Reply` or the `End` of one request. A reused connection may have been closed by the node
+        meanwhile: then the request is sent once more on a new one."""
         served = self.line is not None
         end = yield from self._attempt(ask, wait)
         if served and end is End.BROKEN:
@@ -238,7 +231,7 @@
         return End.BROKEN if self.loop.now() < until else End.SILENT
 
     def _answer_timeout(self, ask: Ask, wait: float) -> float:
-        """How long an answer may take until it counts as none."""
+        """The time-out for an answer in ms."""
         return (PROMPT if ask.prompt else wait + SILENCE) + PER_DESTINATION_MS * len(self.interest)
 
     def _encode(self, ask: Ask, wait: float):
@@ -254,7 +247,7 @@
         return h11.Request(method="POST", target=target, headers=headers), body
 
     def _await_answer(self, line, until: float):
-        """Waits for the answer to begin; whether a fresh subscription came first."""
+        """Waits for the answer to begin; returns whether a new subscription came first."""
         while line.quiet():
             if self.session.pressing:
                 return True
@@ -263,7 +256,7 @@
         return False
 
     def _read(self, line, until: float):
-        """The reply, or None where none came whole."""
+        """The reply, or None if it is incomplete."""
         head = yield from line.event(until)
         if not isinstance(head, h11.Response):
             return None
@@ -271,8 +264,10 @@
         return None if body is None else Reply(head.status_code, body)
 
     def _handle_reply(self, reply: Reply) -> bool:
-        """An answer or a refusal; one that cannot be read leaves all as it was, and another node is asked.
-        Whether the next request is to go out at once."""
+        """Handles an answer or a refusal; returns whether the next request is due at once.
+
+        After a malformed one the known state stays in use and another node is asked.
+        """
         self._count()
         if reply.body is TOO_LONG or not self.line.again():
             self.hang_up()
@@ -290,7 +285,7 @@
         return False
 
     def _decode(self, reply: Reply) -> News:
-        """Raises ValueError where it cannot be right."""
+        """Decodes and applies an answer; raises ValueError if it is invalid."""
         if reply.body is TOO_LONG:
             raise MessageError("answer", f"is over {MAX_ANSWER_BYTES >> 20} MiB")
         answer = decode_answer(reply.body)
@@ -302,11 +297,11 @@
         self.nodes.answered(self.loop.now())
         if self._logged_faults:
             self._logged_faults.clear()
-            logger.info("discovery node {node} answers", event="subscription.again", node=self.address)
+            logger.info("discovery node {node} answers again", event="subscription.again", node=self.address)
         try:
             self.heard(news.places, news.whole)
             self._answered = True
-        except Exception:  # a fault of our own: the set is told as a whole once more
+        except Exception:  # an error in the courier: requests the complete state once more
             self.session.abandon()
             raise
         self._release(news.released)
@@ -329,11 +324,11 @@
         self._log_fault(end.value)
 
     def _log_fault(self, fault: str) -> None:
-        """One line for a fault that comes again and again."""
+        """Logs a fault of the current node, unless it was the last one logged for it."""
         if self._logged_faults.get(self.address) != fault:
             self._logged_faults[self.address] = fault
             logger.warning(
-                "discovery node {node}: {fault}, the list known serves on",
+                "discovery node {node}: {fault}; the known list stays in use",
                 event="subscription.fault",
                 node=self.address,
                 fault=fault,
@@ -349,7 +344,7 @@
             _notify(event)
 
     def _count(self) -> None:
-        """The bytes that came on the connection since they were counted last."""
+        """Adds up the bytes received on the connection since the last count."""
         self._received += len(self.line.heard)
         self.line.heard.clear()
 
@@ -368,7 +363,7 @@
 
 
 def _refusal(reply: Reply) -> Refusal:
-    """Raises MessageError where it gives no reason that can be read."""
+    """Decodes a refusal; raises MessageError if its reason cannot be read."""
     if reply.body is TOO_LONG:
         raise MessageError("answer", f"is over {MAX_ANSWER_BYTES >> 20} MiB")
     try:
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -290,7 +290,7 @@
             lambda body: body.replace(b'"lease_ms"', b'"colour":1,"lease_ms"'),
         ),
         ("answer: is no JSON", lambda body: body[:-9]),
-        ("'resting' is no state", lambda body: body.replace(b"active", b"resting")),
+        ("'resting' is not an endpoint state", lambda body: body.replace(b"active", b"resting")),
         ("version: 0 is before 1", lambda body: body.replace(b'"version":2', b'"version":0')),
     ],
 )
@@ -306,10 +306,10 @@
         _, asked = _until_heard(loop, node)
         assert asked["lease"] is None and asked["subscribe"] == [41]
     assert len(heard) == 1 and watch.use(41) is Standing.KNOWN
-    assert sum(fault in line for line in lines) == 1 and "the list known serves on" in lines[0]
+    assert sum(fault in line for line in lines) == 1 and "the known list stays in use" in lines[0]
     node.tell(asked, 1, [entry("f-41", 41)], full=True)
     spin(loop, lambda: len(heard) == 2)
-    assert heard[1] == ([("f-41", True, False)], True) and "answers" in lines[-1]
+    assert heard[1] == ([("f-41", True, False)], True) and "answers again" in lines[-1]
 
 
 def test_status_without_a_reason_is_told_by_its_number(loop, lines):
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -180,11 +180,11 @@
     [
         (
             [LIST["servers"][0] | {"state": "resting"}],
-            "'resting' is no state of an endpoint; there are active, leaving, left",
+            "'resting' is not an endpoint state; expected one of active, leaving, left",
         ),
-        ([LIST["servers"][0]] * 2, "endpoint 's-5' stands in the list 2 times"),
-        ([{"id": "s-5"}], "lacks or garbles"),
-        ("none", "lacks or garbles"),
+        ([LIST["servers"][0]] * 2, "endpoint 's-5' is in the list 2 times"),
+        ([{"id": "s-5"}], "missing or malformed entry in the list"),
+        ("none", "missing or malformed entry in the list"),
         ([LIST["servers"][0] | {"id": "x" * (9 << 20)}], "over 8 MiB"),
     ],
 )
@@ -206,7 +206,7 @@
         spin(loop, lambda: loop.due and loop.due[0][0] == loop.now() + 100.0)
         loop.now.now += 100.0
     logger.remove(sink)
-    assert not heard and len(lines) == 1 and told in lines[0] and "the list known serves on" in lines[0]
+    assert not heard and len(lines) == 1 and told in lines[0] and "the known list stays in use" in lines[0]
     peer = door.meet()
     peer.wait(b"\r\n\r\n")
     peer.say(answer(200, json.dumps(LIST, indent=4).encode()))
