--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -29,10 +29,10 @@
 
 
 @pytest.fixture
-def lines():
-    told = []
-    sink = logger.add(told.append, format="{message}", level="INFO")
-    yield told
+def log_lines():
+    messages = []
+    sink = logger.add(messages.append, format="{message}", level="INFO")
+    yield messages
     logger.remove(sink)
 
 
@@ -51,7 +51,7 @@
         super().__init__(loop)
         self.name, self.lease, self.peer = name, lease, None
 
-    def hear(self):
+    def next_request(self):
         """The next request, on the open connection or on a new one: its target and its subscription."""
         while True:
             if self.peer is None:
@@ -72,17 +72,17 @@
             body, self.peer.heard = body + self.peer.heard, b""
         return head.split(b" ")[1].decode(), json.loads(body)["subscription"]
 
-    def body(self, asked, version, servers=(), full=False, complete=None, unknown=(), **other):
+    def body(self, request, version, servers=(), full=False, complete=None, unknown=(), **other):
         if complete is None:
-            complete = sorted({told["cell"] for told in servers})
-        told = dict(
-            fleet=FLEET, node=self.name, lease=self.lease, sequence=asked["sequence"], lease_ms=30000.0
+            complete = sorted({each["cell"] for each in servers})
+        grant = dict(
+            fleet=FLEET, node=self.name, lease=self.lease, sequence=request["sequence"], lease_ms=30000.0
         )
-        told |= dict(complete=tuple(complete), unknown=tuple(unknown)) | other
-        return encode_answer(full, version, [json.dumps(one).encode() for one in servers], Grant(**told))
+        grant |= dict(complete=tuple(complete), unknown=tuple(unknown)) | other
+        return encode_answer(full, version, [json.dumps(one).encode() for one in servers], Grant(**grant))
 
-    def tell(self, asked, version, servers=(), **other):
-        self.peer.say(answer(200, self.body(asked, version, servers, **other)))
+    def respond(self, request, version, servers=(), **other):
+        self.peer.say(answer(200, self.body(request, version, servers, **other)))
 
     def refuse(self, reason, retry_ms=0.0):
         refusal = Refusal(reason, "for the test", retry_ms)
@@ -93,38 +93,38 @@
         self.peer = None
 
 
-class Heard(list):
+class Updates(list):
     """What the subscriber told, and what was released and is held."""
 
     def __init__(self):
         super().__init__()
-        self.released, self.held = [], set()
+        self.released, self.in_use = [], set()
 
     def __call__(self, places, whole):
-        self.append((sorted((told.ident, told.ready, told.left) for told in places), whole))
+        self.append((sorted((each.ident, each.ready, each.left) for each in places), whole))
 
 
-def subscriber(loop, nodes, heard, restored=None, **other):
+def make_subscriber(loop, nodes, updates, restored=None, **other):
     addresses = [getattr(node, "address", node) for node in nodes]
-    watch = Subscriber(
+    subscriber = Subscriber(
         loop,
         addresses,
         FLEET,
         COURIER,
         WAIT,
-        heard,
+        updates,
         SEED,
         restored,
-        heard.held.__contains__,
-        heard.released.append,
+        updates.in_use.__contains__,
+        updates.released.append,
         **other,
     )
     loop.once(loop.now())
     loop.now.now += 100.0  # its first request is spread by chance
-    return watch
+    return subscriber
 
 
-def go_on(loop, milliseconds=AGAIN):
+def advance(loop, milliseconds=AGAIN):
     """The clock moves, once all that lies there has been read."""
     for _ in range(3):
         loop.once(loop.now())
@@ -137,99 +137,103 @@
     return [nodes[address] for address in ranking(COURIER, list(nodes))]
 
 
-def started(loop, heard, *destinations, **other):
+def started(loop, updates, *destinations, **other):
     """A subscriber with a lease at one node, its second request parked there."""
     node = Node(loop)
-    watch = subscriber(loop, [node], heard, **other)
+    subscriber = make_subscriber(loop, [node], updates, **other)
     for destination in destinations:
-        watch.use(destination)
-    target, asked = node.hear()
-    assert target == "/api/targets" and asked["lease"] is None and asked["subscribe"] == [*destinations]
+        subscriber.use(destination)
+    target, request = node.next_request()
+    assert target == "/api/targets" and request["lease"] is None and request["subscribe"] == [*destinations]
     servers = [entry(f"e-{destination}", destination) for destination in destinations]
-    node.tell(asked, 1, servers, full=True)
-    spin(loop, lambda: heard)
-    go_on(loop)
-    target, asked = node.hear()
-    assert target == "/api/targets?index=1&wait=2000" and asked["lease"] == node.lease
-    return watch, node, asked
+    node.respond(request, 1, servers, full=True)
+    spin(loop, lambda: updates)
+    advance(loop)
+    target, request = node.next_request()
+    assert target == "/api/targets?index=1&wait=2000" and request["lease"] == node.lease
+    return subscriber, node, request
 
 
 def test_first_answer_then_increments(loop):
-    heard = Heard()
-    watch, node, asked = started(loop, heard, 41, 7)
-    assert heard == [([("e-41", True, False), ("e-7", True, False)], True)] and watch.tried
-    assert watch.use(41) is Standing.KNOWN and watch.version == 1
-    node.tell(asked, 2, [entry("e-41", 41, "leaving"), entry("f-41", 41)])
-    spin(loop, lambda: len(heard) == 2)
-    assert heard[1] == ([("e-41", False, False), ("f-41", True, False)], False)
-    go_on(loop)
-    target, asked = node.hear()
+    updates = Updates()
+    subscriber, node, request = started(loop, updates, 41, 7)
+    assert updates == [([("e-41", True, False), ("e-7", True, False)], True)] and subscriber.tried
+    assert subscriber.use(41) is Standing.KNOWN and subscriber.version == 1
+    node.respond(request, 2, [entry("e-41", 41, "leaving"), entry("f-41", 41)])
+    spin(loop, lambda: len(updates) == 2)
+    assert updates[1] == ([("e-41", False, False), ("f-41", True, False)], False)
+    advance(loop)
+    target, request = node.next_request()
     assert target == "/api/targets?index=2&wait=2000"
-    node.tell(asked, 3, [entry("f-41", 41)], complete=[41], unknown=[7])
-    spin(loop, lambda: len(heard) == 3)
-    assert heard[2] == ([("e-41", False, True), ("e-7", False, True), ("f-41", True, False)], False)
-    assert watch.use(7) is Standing.UNKNOWN
-    assert {key: [told.ident for told in value] for key, value in watch.subscribed().items()} == {
+    node.respond(request, 3, [entry("f-41", 41)], complete=[41], unknown=[7])
+    spin(loop, lambda: len(updates) == 3)
+    assert updates[2] == ([("e-41", False, True), ("e-7", False, True), ("f-41", True, False)], False)
+    assert subscriber.use(7) is Standing.UNKNOWN
+    assert {key: [each.ident for each in value] for key, value in subscriber.subscribed().items()} == {
         41: ["f-41"]
     }
 
 
 def test_fresh_subscription_does_not_wait_for_the_parked_poll(loop):
-    heard, event, ended = Heard(), Event(loop), []
-    watch, node, _ = started(loop, heard, 41)
-    assert watch.use(9) is Standing.WAITING
+    updates, event, ended = Updates(), Event(loop), []
+    subscriber, node, _ = started(loop, updates, 41)
+    assert subscriber.use(9) is Standing.WAITING
 
     def client():
         ended.append((yield Until(event=event)))
 
-    watch.settled(9, event)
+    subscriber.settled(9, event)
     loop.spawn(client())
-    target, asked = node.hear()
-    assert target == "/api/targets?index=1&wait=0" and asked["subscribe"] == [9] and asked["sequence"] == 1
-    watch.use(10)
-    watch.use(11)
-    node.tell(asked, 2, [entry("e-9", 9)])
+    target, request = node.next_request()
+    assert (
+        target == "/api/targets?index=1&wait=0" and request["subscribe"] == [9] and request["sequence"] == 1
+    )
+    subscriber.use(10)
+    subscriber.use(11)
+    node.respond(request, 2, [entry("e-9", 9)])
     spin(loop, lambda: ended)
-    assert heard[1] == ([("e-9", True, False)], False) and watch.use(9) is Standing.KNOWN
-    go_on(loop)
-    target, asked = node.hear()
-    assert target == "/api/targets?index=2&wait=0" and asked["subscribe"] == [10, 11], "those share a request"
-    assert watch.figures().interrupted == 1
-    told = []
-    watch.settled(9, told)
-    watch.settled(99, told)
-    assert told == [True, True], "what is answered, or not subscribed at all, is waited for by nobody"
+    assert updates[1] == ([("e-9", True, False)], False) and subscriber.use(9) is Standing.KNOWN
+    advance(loop)
+    target, request = node.next_request()
+    assert target == "/api/targets?index=2&wait=0" and request["subscribe"] == [10, 11], (
+        "those share a request"
+    )
+    assert subscriber.figures().interrupted == 1
+    each = []
+    subscriber.settled(9, each)
+    subscriber.settled(99, each)
+    assert each == [True, True], "what is answered, or not subscribed at all, is waited for by nobody"
     late = Event(loop)
-    watch.settled(10, late)
-    watch.unsettled(10, late)
-    node.tell(asked, 3, [entry("e-10", 10)], unknown=[11])
-    spin(loop, lambda: watch.use(10) is Standing.KNOWN)
+    subscriber.settled(10, late)
+    subscriber.unsettled(10, late)
+    node.respond(request, 3, [entry("e-10", 10)], unknown=[11])
+    spin(loop, lambda: subscriber.use(10) is Standing.KNOWN)
     assert not late.is_set, "its time was up first"
 
 
 def test_an_answer_lost_with_its_connection_is_asked_for_by_the_same_request(loop):
-    heard = Heard()
-    watch, node, _ = started(loop, heard, 41)
-    watch.use(9)
-    _, asked = node.hear()
+    updates = Updates()
+    subscriber, node, _ = started(loop, updates, 41)
+    subscriber.use(9)
+    _, request = node.next_request()
     node.hang_up()
-    _, again = _until_heard(loop, node)
-    assert again == asked and again["sequence"] == 1 and again["subscribe"] == [9]
-    node.tell(again, 2, [entry("e-9", 9)])
-    spin(loop, lambda: len(heard) == 2)
-    assert watch.use(9) is Standing.KNOWN
+    _, again = _advance_until_request(loop, node)
+    assert again == request and again["sequence"] == 1 and again["subscribe"] == [9]
+    node.respond(again, 2, [entry("e-9", 9)])
+    spin(loop, lambda: len(updates) == 2)
+    assert subscriber.use(9) is Standing.KNOWN
 
 
-def _until_heard(loop, node, milliseconds=AGAIN, most=200):
+def _advance_until_request(loop, node, milliseconds=AGAIN, most=200):
     """The next request at that node, in the course of the clock."""
     for _ in range(most):
-        if _called(loop, node):
-            return node.hear()
-        go_on(loop, milliseconds)
+        if _has_request(loop, node):
+            return node.next_request()
+        advance(loop, milliseconds)
     raise AssertionError("it was never asked")
 
 
-def _called(loop, node):
+def _has_request(loop, node):
     """Whether something lies at that node that was not heard yet."""
     for _ in range(3):
         loop.once(loop.now())
@@ -243,45 +247,45 @@
     return True
 
 
-def test_an_answer_cut_short_leaves_the_last_state_and_is_asked_for_again(loop, lines):
-    heard = Heard()
-    watch, node, asked = started(loop, heard, 41)
-    whole = answer(200, node.body(asked, 2, [entry("f-41", 41)]))
+def test_an_answer_cut_short_leaves_the_last_state_and_is_asked_for_again(loop, log_lines):
+    updates = Updates()
+    subscriber, node, request = started(loop, updates, 41)
+    whole = answer(200, node.body(request, 2, [entry("f-41", 41)]))
     node.peer.say(whole[:-20])
     node.hang_up()
-    target, again = _until_heard(loop, node)
-    assert target.startswith("/api/targets?index=1&") and again == asked and len(heard) == 1
-    node.tell(again, 2, [entry("f-41", 41)])
-    spin(loop, lambda: len(heard) == 2)
-    assert heard[1] == ([("e-41", False, True), ("f-41", True, False)], False)
+    target, again = _advance_until_request(loop, node)
+    assert target.startswith("/api/targets?index=1&") and again == request and len(updates) == 1
+    node.respond(again, 2, [entry("f-41", 41)])
+    spin(loop, lambda: len(updates) == 2)
+    assert updates[1] == ([("e-41", False, True), ("f-41", True, False)], False)
 
 
 def test_lease_over_is_followed_by_the_whole_set_at_the_same_node_at_once(loop):
-    heard = Heard()
-    watch, node, _ = started(loop, heard, 41, 7)
+    updates = Updates()
+    subscriber, node, _ = started(loop, updates, 41, 7)
     node.refuse(Reason.LEASE_OVER)
-    target, asked = node.hear()
-    assert target == "/api/targets" and asked["lease"] is None and asked["subscribe"] == [41, 7]
+    target, request = node.next_request()
+    assert target == "/api/targets" and request["lease"] is None and request["subscribe"] == [41, 7]
     node.lease = "n1-2"
-    node.tell(asked, 9, [entry("f-41", 41)], full=True, unknown=[7])
-    spin(loop, lambda: len(heard) == 2)
-    assert heard[1] == ([("f-41", True, False)], True) and watch.figures().node_changes == 0
+    node.respond(request, 9, [entry("f-41", 41)], full=True, unknown=[7])
+    spin(loop, lambda: len(updates) == 2)
+    assert updates[1] == ([("f-41", True, False)], True) and subscriber.figures().node_changes == 0
 
 
-def test_a_told_time_is_heeded(loop, lines):
-    heard = Heard()
-    watch, node, asked = started(loop, heard, 41)
+def test_a_told_time_is_heeded(loop, log_lines):
+    updates = Updates()
+    subscriber, node, request = started(loop, updates, 41)
     node.refuse(Reason.TOO_MANY, 800.0)
-    spin(loop, lambda: lines)
+    spin(loop, lambda: log_lines)
     told_at = loop.now()
-    target, again = _until_heard(loop, node, 20.0)
+    target, again = _advance_until_request(loop, node, 20.0)
     assert told_at + 800.0 <= loop.now() <= told_at + 800.0 + TRY_JITTER + 40.0
-    assert again == asked and target == "/api/targets?index=1&wait=2000", "under the same lease"
-    assert len(lines) == 1 and "too_many: for the test" in lines[0]
+    assert again == request and target == "/api/targets?index=1&wait=2000", "under the same lease"
+    assert len(log_lines) == 1 and "too_many: for the test" in log_lines[0]
 
 
 @pytest.mark.parametrize(
-    "fault, spoil",
+    "fault, damage",
     [
         ("subscription.fleet: 'karachi' is another fleet", lambda body: body.replace(b"lahore", b"karachi")),
         ("subscription.form: 2 is not form 1", lambda body: body.replace(b'"form":1', b'"form":2')),
@@ -295,270 +299,276 @@
     ],
 )
 def test_an_answer_that_cannot_be_right_is_told_in_one_line_and_the_last_state_serves_on(
-    loop, lines, fault, spoil
+    loop, log_lines, fault, damage
 ):
-    heard = Heard()
-    watch, node, asked = started(loop, heard, 41)
-    body = spoil(node.body(asked, 2, [entry("f-41", 41)]))
+    updates = Updates()
+    subscriber, node, request = started(loop, updates, 41)
+    body = damage(node.body(request, 2, [entry("f-41", 41)]))
     for _ in range(3):
         node.peer.say(answer(200, body))
-        go_on(loop)
-        _, asked = _until_heard(loop, node)
-        assert asked["lease"] is None and asked["subscribe"] == [41]
-    assert len(heard) == 1 and watch.use(41) is Standing.KNOWN
-    assert sum(fault in line for line in lines) == 1 and "the known list stays in use" in lines[0]
-    node.tell(asked, 1, [entry("f-41", 41)], full=True)
-    spin(loop, lambda: len(heard) == 2)
-    assert heard[1] == ([("f-41", True, False)], True) and "answers again" in lines[-1]
-
-
-def test_status_without_a_reason_is_told_by_its_number(loop, lines):
-    heard = Heard()
-    _, node, _ = started(loop, heard, 41)
+        advance(loop)
+        _, request = _advance_until_request(loop, node)
+        assert request["lease"] is None and request["subscribe"] == [41]
+    assert len(updates) == 1 and subscriber.use(41) is Standing.KNOWN
+    assert sum(fault in line for line in log_lines) == 1 and "the known list stays in use" in log_lines[0]
+    node.respond(request, 1, [entry("f-41", 41)], full=True)
+    spin(loop, lambda: len(updates) == 2)
+    assert updates[1] == ([("f-41", True, False)], True) and "answers again" in log_lines[-1]
+
+
+def test_status_without_a_reason_is_told_by_its_number(loop, log_lines):
+    updates = Updates()
+    _, node, _ = started(loop, updates, 41)
     node.peer.say(answer(500, b"oops"))
-    _until_heard(loop, node)
-    assert len(lines) == 1 and "(status 500)" in lines[0] and len(heard) == 1
+    _advance_until_request(loop, node)
+    assert len(log_lines) == 1 and "(status 500)" in log_lines[0] and len(updates) == 1
 
 
 def test_half_open_node_is_left_and_the_next_one_heard_within_6_s(loop):
     """It takes connections and never answers, also the one that would be next."""
-    nodes, heard = ranked(loop, 3), Heard()
-    watch = subscriber(loop, nodes, heard)
-    watch.use(41)
+    nodes, updates = ranked(loop, 3), Updates()
+    subscriber = make_subscriber(loop, nodes, updates)
+    subscriber.use(41)
     first, second, third = nodes
-    _, asked = first.hear()
-    first.tell(asked, 1, [entry("e-41", 41)], full=True)
-    spin(loop, lambda: heard)
-    go_on(loop)
-    first.hear()
+    _, request = first.next_request()
+    first.respond(request, 1, [entry("e-41", 41)], full=True)
+    spin(loop, lambda: updates)
+    advance(loop)
+    first.next_request()
     fell_silent = loop.now()
     for _ in range(600):
-        go_on(loop, 10.0)
-        if _called(loop, third):
+        advance(loop, 10.0)
+        if _has_request(loop, third):
             break
-    target, asked = third.hear()
-    assert target == "/api/targets" and asked["subscribe"] == [41]
-    third.tell(asked, 1, [entry("f-41", 41)], full=True)
-    spin(loop, lambda: len(heard) == 2)
-    assert loop.now() - fell_silent < TOLD and watch.figures().node_changes == 1
-    assert _called(loop, second), "it was asked in between"
+    target, request = third.next_request()
+    assert target == "/api/targets" and request["subscribe"] == [41]
+    third.respond(request, 1, [entry("f-41", 41)], full=True)
+    spin(loop, lambda: len(updates) == 2)
+    assert loop.now() - fell_silent < TOLD and subscriber.figures().node_changes == 1
+    assert _has_request(loop, second), "it was asked in between"
 
 
 def test_fresh_subscription_at_a_half_open_node_is_answered_by_the_next_one(loop):
-    nodes, heard = ranked(loop, 2), Heard()
-    watch = subscriber(loop, nodes, heard)
-    _, asked = nodes[0].hear()
-    nodes[0].tell(asked, 1, full=True)
-    spin(loop, lambda: heard)
-    go_on(loop)
-    nodes[0].hear()
-    watch.use(9)
+    nodes, updates = ranked(loop, 2), Updates()
+    subscriber = make_subscriber(loop, nodes, updates)
+    _, request = nodes[0].next_request()
+    nodes[0].respond(request, 1, full=True)
+    spin(loop, lambda: updates)
+    advance(loop)
+    nodes[0].next_request()
+    subscriber.use(9)
     began = loop.now()
-    nodes[0].hear()
-    _, asked = _until_heard(loop, nodes[1], 10.0)
-    assert asked["subscribe"] == [9] and loop.now() - began <= PROMPT + TRY_JITTER + 30.0
-    nodes[1].tell(asked, 1, [entry("e-9", 9)], full=True)
-    spin(loop, lambda: watch.use(9) is Standing.KNOWN)
+    nodes[0].next_request()
+    _, request = _advance_until_request(loop, nodes[1], 10.0)
+    assert request["subscribe"] == [9] and loop.now() - began <= PROMPT + TRY_JITTER + 30.0
+    nodes[1].respond(request, 1, [entry("e-9", 9)], full=True)
+    spin(loop, lambda: subscriber.use(9) is Standing.KNOWN)
 
 
 def test_refused_connection_leads_to_the_next_node(loop):
-    nodes, heard = ranked(loop, 2), Heard()
+    nodes, updates = ranked(loop, 2), Updates()
     nodes[0].sock.close()
-    watch = subscriber(loop, nodes, heard)
+    subscriber = make_subscriber(loop, nodes, updates)
     began = loop.now()
-    _, asked = _until_heard(loop, nodes[1], 10.0)
+    _, request = _advance_until_request(loop, nodes[1], 10.0)
     assert loop.now() - began <= TRY_JITTER + 30.0
-    assert not watch.tried, "another node may know of leaves that were announced meanwhile"
-    nodes[1].tell(asked, 1, full=True)
-    spin(loop, lambda: heard)
-    assert watch.tried
+    assert not subscriber.tried, "another node may know of leaves that were announced meanwhile"
+    nodes[1].respond(request, 1, full=True)
+    spin(loop, lambda: updates)
+    assert subscriber.tried
 
 
 def test_decisions_begin_once_all_nodes_were_asked_in_vain(loop):
-    nodes, heard = ranked(loop, 3), Heard()
+    nodes, updates = ranked(loop, 3), Updates()
     for node in nodes:
         node.sock.close()
-    watch, began = subscriber(loop, nodes, heard, {41: [place("old", 41)]}), loop.now()
-    while not watch.tried:
+    subscriber, began = make_subscriber(loop, nodes, updates, {41: [place("old", 41)]}), loop.now()
+    while not subscriber.tried:
         assert loop.now() < began + STARTUP_LIMIT_MS
-        go_on(loop, 10.0)
-    assert watch.nodes.exhausted and not heard
+        advance(loop, 10.0)
+    assert subscriber.nodes.exhausted and not updates
 
 
 def test_decisions_begin_without_an_answer_once_the_time_for_it_is_over(loop):
-    nodes, heard, began = ranked(loop, 3), Heard(), loop.now()
-    watch = subscriber(loop, nodes, heard, {41: [place("old", 41)]})
-    nodes[0].hear()
+    nodes, updates, began = ranked(loop, 3), Updates(), loop.now()
+    subscriber = make_subscriber(loop, nodes, updates, {41: [place("old", 41)]})
+    nodes[0].next_request()
     while loop.now() < began + STARTUP_LIMIT_MS:
-        assert not watch.tried
-        go_on(loop, 50.0)
-    assert watch.tried and not watch.nodes.exhausted and not heard
+        assert not subscriber.tried
+        advance(loop, 50.0)
+    assert subscriber.tried and not subscriber.nodes.exhausted and not updates
 
 
-def test_all_nodes_down_then_back(loop, lines):
+def test_all_nodes_down_then_back(loop, log_lines):
     """What is known serves on; the node that is back is heard within 6 s."""
-    heard = Heard()
-    watch, node, _ = started(loop, heard, 41)
+    updates = Updates()
+    subscriber, node, _ = started(loop, updates, 41)
     address, name = node.address, node.name
     node.sock.close()
     node.hang_up()
     for _ in range(200):
-        go_on(loop)
-    assert watch.use(41) is Standing.KNOWN and len(heard) == 1
-    assert watch.use(9) is Standing.WAITING
+        advance(loop)
+    assert subscriber.use(41) is Standing.KNOWN and len(updates) == 1
+    assert subscriber.use(9) is Standing.WAITING
     back, began = Node.__new__(Node), loop.now()
     back.loop, back.address, back.name, back.lease, back.peer = loop, address, name, "n1-9", None
     host, port = address.split(":")
     back.sock = socket.create_server((host, int(port)))
     back.sock.setblocking(False)
-    target, asked = _until_heard(loop, back, 20.0, 400)
-    assert asked["lease"] == "n1-1", "it may be the same run, reached again"
+    target, request = _advance_until_request(loop, back, 20.0, 400)
+    assert request["lease"] == "n1-1", "it may be the same run, reached again"
     back.refuse(Reason.LEASE_OVER)
-    _, asked = _until_heard(loop, back, 20.0)
-    back.tell(asked, 1, [entry("f-41", 41), entry("e-9", 9)], full=True)
-    spin(loop, lambda: len(heard) == 2)
-    assert loop.now() - began < TOLD and watch.use(9) is Standing.KNOWN
-    assert 2 <= len(lines) <= 4, "a line for each kind of fault, not for each try"
+    _, request = _advance_until_request(loop, back, 20.0)
+    back.respond(request, 1, [entry("f-41", 41), entry("e-9", 9)], full=True)
+    spin(loop, lambda: len(updates) == 2)
+    assert loop.now() - began < TOLD and subscriber.use(9) is Standing.KNOWN
+    assert 2 <= len(log_lines) <= 4, "a line for each kind of fault, not for each try"
 
 
 def test_another_list_of_nodes(loop):
-    heard = Heard()
-    watch, node, asked = started(loop, heard, 41)
+    updates = Updates()
+    subscriber, node, request = started(loop, updates, 41)
     other = Node(loop, "n2", "n2-1")
-    watch.move([other.address, node.address])
-    node.tell(asked, 2, [entry("f-41", 41)])
-    spin(loop, lambda: len(heard) == 2)
-    assert heard[1][1] is False, "the node that stays in the list is kept to"
-    go_on(loop)
-    node.hear()
-    watch.move([other.address])
+    subscriber.move([other.address, node.address])
+    node.respond(request, 2, [entry("f-41", 41)])
+    spin(loop, lambda: len(updates) == 2)
+    assert updates[1][1] is False, "the node that stays in the list is kept to"
+    advance(loop)
+    node.next_request()
+    subscriber.move([other.address])
     node.peer.wait_end()
-    _, asked = _until_heard(loop, other)
-    assert asked["lease"] is None and asked["subscribe"] == [41]
-    other.tell(asked, 1, [entry("f-41", 41)], full=True)
-    spin(loop, lambda: len(heard) == 3)
-    assert heard[2] == ([("f-41", True, False)], True) and watch.figures().node_changes == 1
+    _, request = _advance_until_request(loop, other)
+    assert request["lease"] is None and request["subscribe"] == [41]
+    other.respond(request, 1, [entry("f-41", 41)], full=True)
+    spin(loop, lambda: len(updates) == 3)
+    assert updates[2] == ([("f-41", True, False)], True) and subscriber.figures().node_changes == 1
 
 
 def test_restored_destinations_are_asked_for_with_the_first_request(loop):
-    heard, told = Heard(), []
+    updates, notified = Updates(), []
     node = Node(loop)
-    watch = subscriber(loop, [node], heard, {41: [place("old", 41)], 7: []})
-    assert watch.use(41) is Standing.KNOWN and watch.use(7) is Standing.WAITING and not watch.tried
-    assert list(watch.subscribed()) == [41]
-    watch.settled(41, told)
-    _, asked = node.hear()
-    assert asked["subscribe"] == [41, 7] and told == []
-    node.tell(asked, 1, [entry("new", 41)], full=True, unknown=[7])
-    spin(loop, lambda: heard)
-    assert heard == [([("new", True, False)], True)] and told == [True]
-    assert watch.use(7) is Standing.UNKNOWN
+    subscriber = make_subscriber(loop, [node], updates, {41: [place("old", 41)], 7: []})
+    assert (
+        subscriber.use(41) is Standing.KNOWN
+        and subscriber.use(7) is Standing.WAITING
+        and not subscriber.tried
+    )
+    assert list(subscriber.subscribed()) == [41]
+    subscriber.settled(41, notified)
+    _, request = node.next_request()
+    assert request["subscribe"] == [41, 7] and notified == []
+    node.respond(request, 1, [entry("new", 41)], full=True, unknown=[7])
+    spin(loop, lambda: updates)
+    assert updates == [([("new", True, False)], True)] and notified == [True]
+    assert subscriber.use(7) is Standing.UNKNOWN
 
 
 def test_idle_destination_is_given_up_with_the_next_request_and_used_again_it_is_new(loop):
-    heard = Heard()
-    watch, node, asked = started(loop, heard, 41, 7, idle=5000.0)
-    heard.held.add(7)
+    updates = Updates()
+    subscriber, node, request = started(loop, updates, 41, 7, idle=5000.0)
+    updates.in_use.add(7)
     loop.now.now += 7501.0
-    node.tell(asked, 1)
-    spin(loop, lambda: len(heard) == 2)
-    _, asked = node.hear()
-    assert (asked["sequence"], asked["unsubscribe"]) == (1, [41]) and heard.released == [41]
-    assert watch.use(41) is Standing.WAITING
-    node.tell(asked, 1)
-    spin(loop, lambda: len(heard) == 3)
-    go_on(loop)
-    _, asked = node.hear()
-    assert (asked["sequence"], asked["subscribe"]) == (2, [41])
+    node.respond(request, 1)
+    spin(loop, lambda: len(updates) == 2)
+    _, request = node.next_request()
+    assert (request["sequence"], request["unsubscribe"]) == (1, [41]) and updates.released == [41]
+    assert subscriber.use(41) is Standing.WAITING
+    node.respond(request, 1)
+    spin(loop, lambda: len(updates) == 3)
+    advance(loop)
+    _, request = node.next_request()
+    assert (request["sequence"], request["subscribe"]) == (2, [41])
 
 
 def test_no_room_for_a_further_destination_is_said_so(loop):
-    heard = Heard()
-    heard.held.update((41, 7))
-    watch, node, _ = started(loop, heard, 41, 7, most=2)
+    updates = Updates()
+    updates.in_use.update((41, 7))
+    subscriber, node, _ = started(loop, updates, 41, 7, most=2)
     with pytest.raises(InterestFullError):
-        watch.use(9)
-    heard.held.clear()
+        subscriber.use(9)
+    updates.in_use.clear()
     loop.now.now += 1000.0
-    assert watch.use(9) is Standing.WAITING
-    _, asked = node.hear()
-    assert (asked["subscribe"], asked["unsubscribe"]) == ([9], [41]) and heard.released == [41]
+    assert subscriber.use(9) is Standing.WAITING
+    _, request = node.next_request()
+    assert (request["subscribe"], request["unsubscribe"]) == ([9], [41]) and updates.released == [41]
 
 
 def test_a_wake_that_comes_with_the_answer_is_not_lost(loop):
     """Forced race: the answer of the parked poll lies there when a fresh subscription is made."""
-    heard = Heard()
-    watch, node, asked = started(loop, heard, 41)
-    node.tell(asked, 2, [entry("f-41", 41)])
-    watch.use(9)
-    target, asked = node.hear()
-    assert asked["subscribe"] == [9] and asked["sequence"] == 1 and target == "/api/targets?index=2&wait=0"
-    assert len(heard) == 2 and watch.figures().interrupted == 0
-    node.tell(asked, 3, [entry("f-41", 41), entry("e-9", 9)])
-    spin(loop, lambda: watch.use(9) is Standing.KNOWN)
-    assert [one.ident for one in watch.subscribed()[41]] == ["f-41"]
+    updates = Updates()
+    subscriber, node, request = started(loop, updates, 41)
+    node.respond(request, 2, [entry("f-41", 41)])
+    subscriber.use(9)
+    target, request = node.next_request()
+    assert (
+        request["subscribe"] == [9] and request["sequence"] == 1 and target == "/api/targets?index=2&wait=0"
+    )
+    assert len(updates) == 2 and subscriber.figures().interrupted == 0
+    node.respond(request, 3, [entry("f-41", 41), entry("e-9", 9)])
+    spin(loop, lambda: subscriber.use(9) is Standing.KNOWN)
+    assert [one.ident for one in subscriber.subscribed()[41]] == ["f-41"]
 
 
 def test_a_fault_in_the_courier_brings_the_whole_set_again(loop):
-    heard, faults = Heard(), [True]
+    updates, faults = Updates(), [True]
     node = Node(loop)
-    watch = subscriber(loop, [node], heard)
-    watch.use(41)
-    watch.heard = lambda places, whole: heard(places, whole) if not faults.pop() else 1 / 0
+    subscriber = make_subscriber(loop, [node], updates)
+    subscriber.use(41)
+    subscriber.heard = lambda places, whole: updates(places, whole) if not faults.pop() else 1 / 0
     faults[:] = [False, True]
-    _, asked = node.hear()
-    node.tell(asked, 1, [entry("e-41", 41)], full=True)
-    _, asked = _until_heard(loop, node)
-    assert asked["lease"] is None
-    node.tell(asked, 2, [entry("e-41", 41)], full=True)
-    spin(loop, lambda: heard)
-    assert heard == [([("e-41", True, False)], True)]
+    _, request = node.next_request()
+    node.respond(request, 1, [entry("e-41", 41)], full=True)
+    _, request = _advance_until_request(loop, node)
+    assert request["lease"] is None
+    node.respond(request, 2, [entry("e-41", 41)], full=True)
+    spin(loop, lambda: updates)
+    assert updates == [([("e-41", True, False)], True)]
 
 
 def test_retired_it_asks_no_more_and_bytes_are_counted(loop):
-    heard = Heard()
-    watch, node, _ = started(loop, heard, 41)
-    figures = watch.figures()
+    updates = Updates()
+    subscriber, node, _ = started(loop, updates, 41)
+    figures = subscriber.figures()
     assert figures.calls == 2 and 400 < figures.bytes_sent < 1000 and 200 < figures.bytes_received < 800
-    watch.retire()
+    subscriber.retire()
     node.peer.wait_end()
-    watch.use(9)
-    go_on(loop, 10000.0)
-    assert watch.figures().calls == 2
+    subscriber.use(9)
+    advance(loop, 10000.0)
+    assert subscriber.figures().calls == 2
 
 
-def test_an_answer_over_the_bound_is_not_read_on(loop, lines, monkeypatch):
+def test_an_answer_over_the_bound_is_not_read_on(loop, log_lines, monkeypatch):
     monkeypatch.setattr("calicopin.wire.subscriber.MAX_ANSWER_BYTES", 2048)
-    heard = Heard()
-    _, node, asked = started(loop, heard, 41)
-    node.tell(asked, 2, [entry("x" * 4096, 41)])
-    spin(loop, lambda: lines)
-    assert "answer: is over" in lines[0] and len(heard) == 1
+    updates = Updates()
+    _, node, request = started(loop, updates, 41)
+    node.respond(request, 2, [entry("x" * 4096, 41)])
+    spin(loop, lambda: log_lines)
+    assert "answer: is over" in log_lines[0] and len(updates) == 1
 
 
-def test_two_nodes_that_fail_in_different_ways_are_told_once_each(loop, lines):
-    nodes, heard = ranked(loop, 2), Heard()
+def test_two_nodes_that_fail_in_different_ways_are_told_once_each(loop, log_lines):
+    nodes, updates = ranked(loop, 2), Updates()
     nodes[0].sock.close()
-    subscriber(loop, nodes, heard)
+    make_subscriber(loop, nodes, updates)
     for _ in range(400):
-        go_on(loop)
-    assert len(lines) == 2
-    assert sum("cannot be connected to" in line for line in lines) == 1
-    assert sum("does not answer" in line for line in lines) == 1
+        advance(loop)
+    assert len(log_lines) == 2
+    assert sum("cannot be connected to" in line for line in log_lines) == 1
+    assert sum("does not answer" in line for line in log_lines) == 1
 
 
 def test_a_large_set_has_more_time_for_its_answer(loop):
-    nodes, heard = ranked(loop, 2), Heard()
-    watch = subscriber(loop, nodes, heard)
+    nodes, updates = ranked(loop, 2), Updates()
+    subscriber = make_subscriber(loop, nodes, updates)
     for destination in range(20000):
-        watch.use(destination)
-    _, asked = nodes[0].hear()
-    assert len(asked["subscribe"]) == 20000
-    go_on(loop, PROMPT + 900.0)
-    assert not _called(loop, nodes[1])
-    nodes[0].tell(asked, 1, full=True, unknown=range(20000))
-    spin(loop, lambda: heard)
-    assert watch.use(7) is Standing.UNKNOWN
+        subscriber.use(destination)
+    _, request = nodes[0].next_request()
+    assert len(request["subscribe"]) == 20000
+    advance(loop, PROMPT + 900.0)
+    assert not _has_request(loop, nodes[1])
+    nodes[0].respond(request, 1, full=True, unknown=range(20000))
+    spin(loop, lambda: updates)
+    assert subscriber.use(7) is Standing.UNKNOWN
 
 
 class RealNode:
@@ -577,7 +587,7 @@
     def write(self, *entries):
         """Appends to the source; it is read with the node's next look."""
         with open(self.log, "a", encoding="ascii") as file:
-            file.writelines(json.dumps(told) + "\n" for told in entries)
+            file.writelines(json.dumps(each) + "\n" for each in entries)
         self.loop.now.now += LOOK
 
     def kill(self):
@@ -593,7 +603,7 @@
 def log(tmp_path):
     path = tmp_path / "list.log"
     first = [{"form": 1, "fleet": FLEET}, entry("e-41", 41), entry("e-7", 7)]
-    path.write_text("".join(json.dumps(told) + "\n" for told in first), encoding="ascii")
+    path.write_text("".join(json.dumps(each) + "\n" for each in first), encoding="ascii")
     return path
 
 
@@ -608,69 +618,69 @@
     raise AssertionError("it never came about")
 
 
-def listed(watch):
+def listed(subscriber):
     return {
-        destination: sorted((told.ident, told.ready) for told in places)
-        for destination, places in watch.subscribed().items()
+        destination: sorted((each.ident, each.ready) for each in places)
+        for destination, places in subscriber.subscribed().items()
     }
 
 
 def test_subscriber_and_discovery_node_agree(loop, log):
     """Both as they are: a first answer, an announced leave, a leave, a fresh subscription, one given up."""
-    node, heard = RealNode(loop, log), Heard()
-    watch = subscriber(loop, [node], heard, idle=60000.0)
-    watch.use(41)
-    watch.use(99)
-    run_until(loop, lambda: watch.use(99) is Standing.UNKNOWN)
-    assert listed(watch) == {41: [("e-41", True)]}
+    node, updates = RealNode(loop, log), Updates()
+    subscriber = make_subscriber(loop, [node], updates, idle=60000.0)
+    subscriber.use(41)
+    subscriber.use(99)
+    run_until(loop, lambda: subscriber.use(99) is Standing.UNKNOWN)
+    assert listed(subscriber) == {41: [("e-41", True)]}
     node.write(entry("e-41", 41, "leaving"), entry("f-41", 41), entry("e-99", 99))
-    run_until(loop, lambda: watch.use(99) is Standing.KNOWN)
-    assert listed(watch) == {41: [("e-41", False), ("f-41", True)], 99: [("e-99", True)]}
+    run_until(loop, lambda: subscriber.use(99) is Standing.KNOWN)
+    assert listed(subscriber) == {41: [("e-41", False), ("f-41", True)], 99: [("e-99", True)]}
     node.write(entry("e-41", 41, "left"))
-    run_until(loop, lambda: listed(watch)[41] == [("f-41", True)])
-    assert ("e-41", False, True) in heard[-1][0]
-    run_until(loop, lambda: watch.session.longest_wait(watch.address, WAIT) and node.server.parked)
-    told = []
-    assert watch.use(7) is Standing.WAITING
-    watch.settled(7, told)
+    run_until(loop, lambda: listed(subscriber)[41] == [("f-41", True)])
+    assert ("e-41", False, True) in updates[-1][0]
+    run_until(loop, lambda: subscriber.session.longest_wait(subscriber.address, WAIT) and node.server.parked)
+    notified = []
+    assert subscriber.use(7) is Standing.WAITING
+    subscriber.settled(7, notified)
     began = loop.now()
-    run_until(loop, lambda: told, step=0.0)
-    assert loop.now() == began and watch.figures().interrupted == 1, "no poll held it up"
+    run_until(loop, lambda: notified, step=0.0)
+    assert loop.now() == began and subscriber.figures().interrupted == 1, "no poll held it up"
     assert set(node.table.subscribed()) == {41, 99, 7}
     until = loop.now() + 60000.0 * 2.0
     while loop.now() < until:
-        watch.use(41)
+        subscriber.use(41)
         run_until(loop, lambda: True)
         loop.now.now += 500.0
-    assert set(node.table.subscribed()) == {41} and sorted(heard.released) == [7, 99]
-    assert watch.figures().resyncs == 0 and not node.server.refused
+    assert set(node.table.subscribed()) == {41} and sorted(updates.released) == [7, 99]
+    assert subscriber.figures().resyncs == 0 and not node.server.refused
 
 
 def test_discovery_node_that_begins_anew_is_subscribed_to_anew(loop, log):
-    node, heard = RealNode(loop, log), Heard()
-    watch = subscriber(loop, [node], heard)
-    watch.use(41)
-    run_until(loop, lambda: watch.use(41) is Standing.KNOWN)
+    node, updates = RealNode(loop, log), Updates()
+    subscriber = make_subscriber(loop, [node], updates)
+    subscriber.use(41)
+    run_until(loop, lambda: subscriber.use(41) is Standing.KNOWN)
     node.kill()
     loop.now.now += LOOK
     with open(log, "a", encoding="ascii") as file:
         file.write(json.dumps(entry("e-41", 41, "left")) + "\n" + json.dumps(entry("g-41", 41)) + "\n")
-    run_until(loop, lambda: watch.nodes.current is None)
-    assert watch.use(41) is Standing.KNOWN and watch.use(7) is Standing.WAITING
+    run_until(loop, lambda: subscriber.nodes.current is None)
+    assert subscriber.use(41) is Standing.KNOWN and subscriber.use(7) is Standing.WAITING
     began = loop.now()
     back = RealNode(loop, log, "2", node.address)
-    run_until(loop, lambda: watch.use(7) is Standing.KNOWN)
-    assert listed(watch) == {41: [("g-41", True)], 7: [("e-7", True)]}
+    run_until(loop, lambda: subscriber.use(7) is Standing.KNOWN)
+    assert listed(subscriber) == {41: [("g-41", True)], 7: [("e-7", True)]}
     assert loop.now() - began <= TOLD and back.server.refused[Reason.LEASE_OVER] == 1
 
 
 def test_lease_that_ended_unseen_is_begun_anew(loop, log):
     """The process stood still for longer than its lease."""
-    node, heard = RealNode(loop, log), Heard()
-    watch = subscriber(loop, [node], heard)
-    watch.use(41)
-    run_until(loop, lambda: watch.use(41) is Standing.KNOWN and node.server.parked)
+    node, updates = RealNode(loop, log), Updates()
+    subscriber = make_subscriber(loop, [node], updates)
+    subscriber.use(41)
+    run_until(loop, lambda: subscriber.use(41) is Standing.KNOWN and node.server.parked)
     node.table.expire(loop.now() + 31000.0)
     node.write(entry("e-41", 41, "left"), entry("g-41", 41))
-    run_until(loop, lambda: listed(watch) == {41: [("g-41", True)]})
-    assert node.server.refused[Reason.LEASE_OVER] >= 1 and watch.figures().node_changes == 0
+    run_until(loop, lambda: listed(subscriber) == {41: [("g-41", True)]})
+    assert node.server.refused[Reason.LEASE_OVER] >= 1 and subscriber.figures().node_changes == 0
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -22,14 +22,14 @@
 
 
 def partner_list(count, first=6101):
-    out = []
+    entries = []
     for number in range(count):
-        out.append(
+        entries.append(
             f'[[partner]]\nname = "p{number}"\ndestination = {number}\nkind = "gateway"\n\n'
             "[[partner.endpoint]]\n"
             f'address = "127.0.0.1:{first + number}"\n'
         )
-    return partners.seal("\n".join(out).encode())
+    return partners.seal("\n".join(entries).encode())
 
 
 def watched(tmp_path):
@@ -59,10 +59,10 @@
         lister(sheet),
         lambda places, whole: lists.append(sorted(one.address for one in places)),
     )
-    sound, taken = [partner_list(number, 7000 + 10 * number) for number in range(1, 6)], 0
+    valid, accepted = [partner_list(number, 7000 + 10 * number) for number in range(1, 6)], 0
     addresses = [sorted(f"127.0.0.1:{7000 + 10 * n + i}" for i in range(n)) for n in range(1, 6)]
     for number in range(1000):
-        data = bytearray(rng.choice(sound))
+        data = bytearray(rng.choice(valid))
         damage = rng.choice(["none", "cut", "flip", "doubled", "swap"]) if number % 10 else "none"
         if damage == "cut":
             del data[rng.randrange(len(data)) :]
@@ -77,9 +77,9 @@
         rewrite(path, data)
         before = len(lists)
         file.take()
-        taken += len(lists) > before
+        accepted += len(lists) > before
         assert not lists or lists[-1] in addresses, damage
-    assert taken > 50
+    assert accepted > 50
 
 
 def test_every_text_is_answered_while_its_list_is_rewritten_with_damage(tmp_path):
@@ -89,7 +89,7 @@
     sheet, rng, listen = watched(tmp_path), random.Random(9), free_address()
     (tmp_path / "c.toml").write_text((tmp_path / "c.toml").read_text().replace("127.0.0.1:5000", listen))
     runtime, loop, signal_reader = start(tmp_path / "c.toml")
-    peer, path, taken, refused = client(loop, listen), tmp_path / "list.toml", 0, 0
+    peer, path, accepted, refused = client(loop, listen), tmp_path / "list.toml", 0, 0
     whole = [partner_list(number) for number in range(1, 6)]
     for number in range(300):
         data = bytearray(rng.choice(whole))
@@ -101,10 +101,10 @@
             f"X-Envelope: dest={rng.randrange(5)}\r\n"
             "Content-Length: 0\r\n\r\n".encode()
         )
-        heard = peer.wait(b"\r\n\r\n")
-        taken, refused = (
-            taken + heard.startswith(b"HTTP/1.1 202"),
-            refused + heard.startswith(b"HTTP/1.1 503"),
+        received = peer.wait(b"\r\n\r\n")
+        accepted, refused = (
+            accepted + received.startswith(b"HTTP/1.1 202"),
+            refused + received.startswith(b"HTTP/1.1 503"),
         )
         loop.now.now += 50.0
         loop.once(loop.now())
@@ -115,9 +115,9 @@
         loop.now.now += 20.0
         loop.once(loop.now())
     assert (
-        taken + refused == 300
-        and taken > 100
-        and runtime.ledger.noticed == taken
+        accepted + refused == 300
+        and accepted > 100
+        and runtime.ledger.noticed == accepted
         and not runtime.journal.texts
         and sheet
     )
--- a/tests/test_wire_calls.py
+++ b/tests/test_wire_calls.py
@@ -12,20 +12,20 @@
 
 
 def test_a_call_passes_id_and_body_on_and_its_connection_serves_the_next(loop):
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
-    peer = door.meet()
-    heard = peer.wait(b"\x00\xff")
-    assert heard.startswith(b"POST /inbox HTTP/1.1\r\n") and b"X-Request-ID: id0" in heard
-    assert b"X-Timeout: 0.500" in heard and b"Idempotency-Key" not in heard
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
+    peer = listener.meet()
+    received = peer.wait(b"\x00\xff")
+    assert received.startswith(b"POST /inbox HTTP/1.1\r\n") and b"X-Request-ID: id0" in received
+    assert b"X-Timeout: 0.500" in received and b"Idempotency-Key" not in received
     peer.say(answer(200, b"fine", X_Server_Load='{"x0":0.4,"x1":25}'))
-    told = out.end()
-    assert (told.far, told.status, told.load) == (Far.ANSWERED, 200, {"x0": 0.4, "x1": 25.0})
-    again = Out(loop, call(door.address), out.lines)
+    result = out.end()
+    assert (result.far, result.status, result.load) == (Far.ANSWERED, 200, {"x0": 0.4, "x1": 25.0})
+    again = Out(loop, call(listener.address), out.lines)
     assert peer.wait(b"\x00\xff")
     peer.say(answer(429, X_Retry_In_Ms="640", X_Server_Load="broken"))
-    told = again.end()
-    assert (told.status, told.wait, told.load) == (429, 640.0, {})
+    result = again.end()
+    assert (result.status, result.wait, result.load) == (429, 640.0, {})
 
 
 def test_a_refused_connection_never_ran(loop):
@@ -33,26 +33,26 @@
 
 
 def test_a_call_that_is_no_longer_wanted_when_its_connection_is_up_is_not_begun(loop):
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
     out.wanted = False
-    assert out.end().far == Far.CALLED_OFF and not door.meet().wait_end() and out.lines.used == 0
+    assert out.end().far == Far.CALLED_OFF and not listener.meet().wait_end() and out.lines.used == 0
 
 
 def test_a_connection_that_breaks_after_the_call_may_have_run_and_is_not_sent_again(loop):
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
-    peer = door.meet()
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
+    peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.sock.close()
     assert out.end().far == Far.SENT and not out.answer.late and out.lines.count == 0
     with pytest.raises(AssertionError):
-        spin(loop, lambda: bool(peer_waiting(door)), passes=20)
+        spin(loop, lambda: bool(peer_waiting(listener)), passes=20)
 
 
-def peer_waiting(door):
+def peer_waiting(listener):
     try:
-        return door.sock.accept()
+        return listener.sock.accept()
     except BlockingIOError:
         return None
 
@@ -61,13 +61,13 @@
     """Kept connections were reset under the next call, 25 to 40 in 100 on one day, and each counted
     against it.
     """
-    door, lines = Listener(loop), Lines(4, 8000.0)
+    listener, lines = Listener(loop), Lines(4, 8000.0)
     peer = None
-    for took, gone in ((50.0, None), (0.0, True), (50.0, None), (60.0, False)):
-        out = Out(loop, call(door.address), lines)
-        peer = door.meet() if gone is None else peer
+    for duration, gone in ((50.0, None), (0.0, True), (50.0, None), (60.0, False)):
+        out = Out(loop, call(listener.address), lines)
+        peer = listener.meet() if gone is None else peer
         peer.wait(b"\x00\xff")
-        loop.now.now += took
+        loop.now.now += duration
         if gone is None:
             peer.say(answer(200))
             assert out.end().status == 200
@@ -75,13 +75,13 @@
         else:
             peer.sock.close()
             assert (out.end().far, out.answer.gone) == (Far.SENT, gone) and lines.trust == 350.0
-    assert not lines.take(call(door.address).place, loop.now())
+    assert not lines.take(call(listener.address).place, loop.now())
 
 
 def test_a_time_out_closes_the_connection(loop):
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
-    peer = door.meet()
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
+    peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.say(b"HTTP/1.1 500 X\r\n")
     loop.now.now += 501.0
@@ -106,9 +106,9 @@
     ],
 )
 def test_an_answer_that_cannot_be_read_may_have_run(loop, garbage):
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
-    peer = door.meet()
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
+    peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.say(garbage)
     for _ in range(20):
@@ -134,26 +134,26 @@
     """Whatever becomes of the rest, the call has run; it once counted as failed, or waited for its
     time-out.
     """
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
-    peer = door.meet()
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
+    peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.say(b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK" + rest)
     spin(loop, lambda: out.told or out.answer)
-    assert all((told.far, told.status) == (Far.ANSWERED, 200) for told in out.told)
+    assert all((result.far, result.status) == (Far.ANSWERED, 200) for result in out.told)
     loop.now.now += 501.0
     assert (out.end().far, out.answer.status, out.lines.count, out.lines.used) == (Far.ANSWERED, 200, 0, 0)
     peer.wait_end()
 
 
-@pytest.mark.parametrize("behind", [answer(200), b"\x00noise", b"\r\n"])
-def test_a_connection_with_more_than_the_answer_on_it_is_never_lent_again(loop, behind):
+@pytest.mark.parametrize("extra", [answer(200), b"\x00noise", b"\r\n"])
+def test_a_connection_with_more_than_the_answer_on_it_is_never_lent_again(loop, extra):
     """What lay behind an answer was once read as the answer to the next call."""
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
-    peer = door.meet()
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
+    peer = listener.meet()
     peer.wait(b"\x00\xff")
-    peer.say(answer(503, b"full") + behind)
+    peer.say(answer(503, b"full") + extra)
     assert (out.end().status, out.lines.count) == (503, 0)
     peer.wait_end()
 
@@ -162,47 +162,49 @@
     "report", ["[" * 9000, "1" + "0" * 400, '{"x0":1' + "0" * 400 + "}", "[1]", '"', "{"]
 )
 def test_a_report_that_cannot_be_read_is_passed_over(loop, report):
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
-    peer = door.meet()
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
+    peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.say(answer(503, X_Server_Load=report, X_Retry_In_Ms="90"))
     assert (out.end().status, out.answer.wait, out.answer.load, out.lines.count) == (503, 90.0, {}, 1)
 
 
 def test_without_a_descriptor_a_call_waits_and_no_endpoint_is_blamed(loop, monkeypatch):
-    door, sock = Listener(loop), socket.socket
+    listener, sock = Listener(loop), socket.socket
 
     def none_left(*_):
         raise OSError(24, "too many open files")
 
     monkeypatch.setattr(socket, "socket", none_left)
-    out, late = Out(loop, call(door.address)), Out(loop, call(door.address, timeout=150.0))
+    out, late = Out(loop, call(listener.address)), Out(loop, call(listener.address, timeout=150.0))
     spin(loop, lambda: len(loop.due) == 2)
     loop.now.now += 100.0
     assert late.end().far == Far.CALLED_OFF and not out.answer
     monkeypatch.setattr(socket, "socket", sock)
     loop.now.now += 100.0
-    door.meet().say(answer(200))
+    listener.meet().say(answer(200))
     assert out.end().status == 200
 
 
 def test_a_connection_closed_behind_the_answer_is_not_kept(loop):
-    door = Listener(loop)
-    out = Out(loop, call(door.address))
-    peer = door.meet()
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address))
+    peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.say(answer(503, Connection="close", X_No_Slot="1"))
     assert out.end().no_slot and out.lines.count == 0
 
 
 def test_a_bulk_answer_tells_of_each_text(loop):
-    door = Listener(loop)
-    out = Out(loop, call(door.address, texts=3))
-    peer = door.meet()
-    heard = peer.wait(b"]")
-    sent = json.loads(heard[heard.index(b"\r\n\r\n") :])
-    assert heard.startswith(b"POST /inbox/bulk") and [(t["id"], t["body"], t.get("key")) for t in sent] == [
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address, texts=3))
+    peer = listener.meet()
+    received = peer.wait(b"]")
+    sent = json.loads(received[received.index(b"\r\n\r\n") :])
+    assert received.startswith(b"POST /inbox/bulk") and [
+        (t["id"], t["body"], t.get("key")) for t in sent
+    ] == [
         ("id0", "AP8=", None),
         ("id1", "AP8A/w==", "r\xe9f"),
         ("id2", "AP8A/wD/", "r\xe9f"),
@@ -215,9 +217,9 @@
 
 @pytest.mark.parametrize("body", [b"", b"{}x", b"[1]", b'[{"id":[],"state":1}]'])
 def test_a_bulk_answer_that_cannot_be_read_may_have_run(loop, body):
-    door = Listener(loop)
-    out = Out(loop, call(door.address, texts=2))
-    peer = door.meet()
+    listener = Listener(loop)
+    out = Out(loop, call(listener.address, texts=2))
+    peer = listener.meet()
     peer.wait(b"]")
     peer.say(answer(200, body))
     assert out.end().far == Far.SENT
--- a/tests/test_wire_clients.py
+++ b/tests/test_wire_clients.py
@@ -8,16 +8,16 @@
 
 
 def test_a_text_is_accepted_only_once_it_is_kept(loop):
-    house, address = clients(loop)
+    server, address = clients(loop)
     peer = client(loop, address)
     peer.say(request("/order/van%207", bytes(range(256)), Idempotency_Key="5c0f"))
-    spin(loop, lambda: house.acceptor.events)
+    spin(loop, lambda: server.acceptor.events)
     for _ in range(20):
         loop.once(loop.now())
     assert not peer.hear()
-    house.acceptor.keep()
+    server.acceptor.keep()
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
-    text = house.acceptor.texts[0]
+    text = server.acceptor.texts[0]
     assert (text.ident, text.dest, text.product, text.reference, text.key, text.until, text.body) == (
         "9b1f",
         7,
@@ -30,12 +30,12 @@
 
 
 def test_a_refused_text_may_come_again(loop):
-    house, address = clients(loop)
-    house.acceptor.refusal = 503, 1500.0
+    server, address = clients(loop)
+    server.acceptor.refusal = 503, 1500.0
     peer = client(loop, address)
     peer.say(request())
-    heard = peer.wait(b"\r\n\r\n")
-    assert heard.startswith(b"HTTP/1.1 503") and b"Retry-After: 1.500" in heard
+    received = peer.wait(b"\r\n\r\n")
+    assert received.startswith(b"HTTP/1.1 503") and b"Retry-After: 1.500" in received
 
 
 BAD = [
@@ -67,15 +67,15 @@
 ]
 
 
-@pytest.mark.parametrize("status,what", BAD)
-def test_bad_input_gets_its_answer_and_harms_nobody(loop, status, what):
-    house, address = clients(loop)
+@pytest.mark.parametrize("status,changes", BAD)
+def test_bad_input_gets_its_answer_and_harms_nobody(loop, status, changes):
+    server, address = clients(loop)
     peer, other = client(loop, address), client(loop, address)
-    peer.say(request(**what))
-    heard = peer.wait(b"\r\n\r\n")
-    assert int(heard.split()[1]) in (status, 501) and not house.acceptor.texts
+    peer.say(request(**changes))
+    received = peer.wait(b"\r\n\r\n")
+    assert int(received.split()[1]) in (status, 501) and not server.acceptor.texts
     other.say(request())
-    spin(loop, lambda: house.acceptor.events)
+    spin(loop, lambda: server.acceptor.events)
 
 
 @pytest.mark.parametrize(
@@ -96,18 +96,18 @@
 
 def test_an_answer_is_not_lost_to_what_lies_unread_behind_it(loop):
     """Closed over unread bytes, the connection was reset before the client had its answer."""
-    house, address = clients(loop)
+    server, address = clients(loop)
     peer = client(loop, address)
     peer.say(b"garbage\r\n\r\n")
-    spin(loop, lambda: house.open)
+    spin(loop, lambda: server.open)
     for _ in range(20):
         loop.once(loop.now())
     peer.say(b"more of it")
     for _ in range(20):
         loop.once(loop.now())
-    assert house.open == 1
+    assert server.open == 1
     peer.sock.shutdown(1)
-    spin(loop, lambda: house.open == 0)
+    spin(loop, lambda: server.open == 0)
     assert peer.wait_end().startswith(b"HTTP/1.1 400")
 
 
@@ -121,20 +121,20 @@
 
 
 def test_a_client_that_never_pauses_does_not_hold_up_the_rest(loop):
-    house, address = clients(loop)
+    server, address = clients(loop)
     busy, other = client(loop, address), client(loop, address)
-    spin(loop, lambda: len(house.idle) == 2)
+    spin(loop, lambda: len(server.idle) == 2)
     busy.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n" * 50)
     other.say(request())
     for _ in range(3):
         loop.once(loop.now())
-    assert house.acceptor.events and busy.hear().count(b"HTTP/1.1 200") < 50
+    assert server.acceptor.events and busy.hear().count(b"HTTP/1.1 200") < 50
     spin(loop, lambda: busy.hear().count(b"HTTP/1.1 200") == 50)
 
 
 def test_a_fault_of_ours_is_answered_too(loop):
-    house, address = clients(loop)
-    house.acceptor.take = None
+    server, address = clients(loop)
+    server.acceptor.take = None
     peer, other = client(loop, address), client(loop, address)
     peer.say(request())
     assert peer.wait_end().startswith(b"HTTP/1.1 500")
@@ -143,7 +143,7 @@
 
 
 def test_a_body_may_come_in_pieces_after_a_go_on(loop):
-    house, address = clients(loop)
+    server, address = clients(loop)
     peer = client(loop, address)
     whole = request(body=b"", Content_Length="4", Expect="100-continue")
     for piece in (whole[:30], whole[30:]):
@@ -153,69 +153,69 @@
     peer.say(b"ab")
     loop.once(loop.now())
     peer.say(b"cd")
-    spin(loop, lambda: house.acceptor.texts)
-    assert house.acceptor.texts[0].body == b"abcd"
+    spin(loop, lambda: server.acceptor.texts)
+    assert server.acceptor.texts[0].body == b"abcd"
 
 
 def test_a_client_that_left_before_its_answer_withdraws(loop):
     """It hands the text in again elsewhere: what is sent under the old id counts for nothing."""
-    house, address = clients(loop)
+    server, address = clients(loop)
     peer = client(loop, address)
     peer.say(request())
-    spin(loop, lambda: house.acceptor.events)
+    spin(loop, lambda: server.acceptor.events)
     peer.sock.setsockopt(1, 13, b"\x01\x00\x00\x00\x00\x00\x00\x00")  # leaves with a reset
     peer.sock.close()
-    house.acceptor.keep()
-    spin(loop, lambda: house.open == 0)
-    assert [text.ident for text in house.acceptor.withdrawn] == ["9b1f"]
+    server.acceptor.keep()
+    spin(loop, lambda: server.open == 0)
+    assert [text.ident for text in server.acceptor.withdrawn] == ["9b1f"]
 
 
 def test_a_connection_with_a_request_under_way_is_not_closed_for_want_of_descriptors_or_at_the_stop(loop):
-    house, address = clients(loop)
+    server, address = clients(loop)
     peer = client(loop, address)
-    spin(loop, lambda: house.idle)
+    spin(loop, lambda: server.idle)
     peer.say(request())
-    house.loop.now.now += KEEP_ALIVE_MIN_IDLE_MS
-    house.budget.clients = 1
-    house.free_descriptors()
-    house.close_between_requests()
-    spin(loop, lambda: house.acceptor.events)
+    server.loop.now.now += KEEP_ALIVE_MIN_IDLE_MS
+    server.budget.clients = 1
+    server.free_descriptors()
+    server.close_between_requests()
+    spin(loop, lambda: server.acceptor.events)
 
 
 def test_a_client_that_left_before_its_text_was_read_is_not_taken_on(loop):
     """After a standstill: it has handed the text in elsewhere, under another id."""
-    house, address = clients(loop)
+    server, address = clients(loop)
     peer = client(loop, address)
-    spin(loop, lambda: house.idle)
+    spin(loop, lambda: server.idle)
     peer.say(request())
     peer.sock.shutdown(1)
-    assert peer.wait_end().startswith(b"HTTP/1.1 503") and not house.acceptor.texts
+    assert peer.wait_end().startswith(b"HTTP/1.1 503") and not server.acceptor.texts
 
 
-@pytest.mark.parametrize("part", [request()[:40], request()[:-3]])
-def test_a_client_that_goes_silent_in_its_request_does_not_keep_its_descriptor(loop, part):
-    house, address = clients(loop)
+@pytest.mark.parametrize("sent_part", [request()[:40], request()[:-3]])
+def test_a_client_that_goes_silent_in_its_request_does_not_keep_its_descriptor(loop, sent_part):
+    server, address = clients(loop)
     peer = client(loop, address)
-    peer.say(part)
-    spin(loop, lambda: house.open and not house.idle)
+    peer.say(sent_part)
+    spin(loop, lambda: server.open and not server.idle)
     for _ in range(20):
         loop.once(loop.now())
     loop.now.now += PATIENCE + 1.0
     assert peer.wait_end().startswith(b"HTTP/1.1 408")
     loop.now.now += 1001.0
-    spin(loop, lambda: house.open == 0)
+    spin(loop, lambda: server.open == 0)
 
 
 def test_a_client_that_says_nothing_is_closed(loop):
-    house, address = clients(loop)
+    server, address = clients(loop)
     peer = client(loop, address)
-    spin(loop, lambda: house.idle)
+    spin(loop, lambda: server.idle)
     loop.now.now += PATIENCE + 1.0
     assert peer.wait_end() == b"" and PATIENCE <= 3000.0
-    spin(loop, lambda: house.open == 0)
+    spin(loop, lambda: server.open == 0)
 
 
-def asked_once(loop, house, address):
+def served_once(loop, server, address):
     peer = client(loop, address)
     peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     peer.wait(b"\r\n\r\n")
@@ -226,23 +226,27 @@
     """A client between requests has two seconds, a new one half a second, one with a request begun all its
     time.
     """
-    house, address = clients(loop, most=4)
-    held = [asked_once(loop, house, address) for _ in range(2)]
+    server, address = clients(loop, most=4)
+    idle_peers = [served_once(loop, server, address) for _ in range(2)]
     loop.now.now += KEEP_ALIVE_MIN_IDLE_MS - NEW
-    silent, begun = client(loop, address), client(loop, address)
-    begun.say(request()[:40])
-    spin(loop, lambda: len(house.idle) == 3 and house.open == 4)
+    silent, half_sent = client(loop, address), client(loop, address)
+    half_sent.say(request()[:40])
+    spin(loop, lambda: len(server.idle) == 3 and server.open == 4)
     loop.now.now += NEW - 1.0
-    house.free_descriptors()
-    assert house.open == 4
+    server.free_descriptors()
+    assert server.open == 4
     loop.now.now += 1.0
-    house.free_descriptors()
-    assert not silent.wait_end() and house.open == 3 and not any(peer.hear() or peer.ended for peer in held)
-    house.budget.clients = 3
-    house.free_descriptors()
-    assert not held[0].wait_end() and house.open == 2 and not held[1].ended
-    begun.say(request()[40:])
-    spin(loop, lambda: house.acceptor.events)
+    server.free_descriptors()
+    assert (
+        not silent.wait_end()
+        and server.open == 3
+        and not any(peer.hear() or peer.ended for peer in idle_peers)
+    )
+    server.budget.clients = 3
+    server.free_descriptors()
+    assert not idle_peers[0].wait_end() and server.open == 2 and not idle_peers[1].ended
+    half_sent.say(request()[40:])
+    spin(loop, lambda: server.acceptor.events)
 
 
 def test_where_there_is_no_room_at_all_a_client_is_turned_away_at_once(loop):
@@ -250,35 +254,35 @@
 
     One that was served and stands idle gives way.
     """
-    house, address = clients(loop, most=2)
-    idle = asked_once(loop, house, address)
+    server, address = clients(loop, most=2)
+    idle = served_once(loop, server, address)
     silent = [client(loop, address) for _ in range(2)]
-    spin(loop, lambda: house.open == 3)
+    spin(loop, lambda: server.open == 3)
     late, later = client(loop, address), client(loop, address)
     late.say(request())
-    spin(loop, lambda: house.acceptor.events)
-    assert not idle.wait_end() and later.wait_end().startswith(b"HTTP/1.1 503") and house.open == 3
+    spin(loop, lambda: server.acceptor.events)
+    assert not idle.wait_end() and later.wait_end().startswith(b"HTTP/1.1 503") and server.open == 3
     assert not any(peer.hear() or peer.ended for peer in silent)
 
 
 def test_a_client_gives_its_connection_back_with_its_answer_where_descriptors_are_short(loop):
     """Clients that took a new connection for each text held theirs idle for 2 s, and others found none."""
-    house, address = clients(loop, most=2)
+    server, address = clients(loop, most=2)
     one, two = client(loop, address), client(loop, address)
-    spin(loop, lambda: house.open == 2)
+    spin(loop, lambda: server.open == 2)
     one.say(request())
-    spin(loop, lambda: house.acceptor.events)
-    house.acceptor.keep()
-    heard = one.wait_end()
-    assert heard.startswith(b"HTTP/1.1 202") and b"Connection: close" in heard and house.open == 1
+    spin(loop, lambda: server.acceptor.events)
+    server.acceptor.keep()
+    received = one.wait_end()
+    assert received.startswith(b"HTTP/1.1 202") and b"Connection: close" in received and server.open == 1
     two.say(request(X_Request_ID="b"))
-    spin(loop, lambda: house.acceptor.events)
-    house.acceptor.keep()
+    spin(loop, lambda: server.acceptor.events)
+    server.acceptor.keep()
     assert b"close" not in two.wait(b"\r\n\r\n")
 
 
 def test_one_that_repeats_what_was_turned_away_is_slowed_down(loop):
-    house, address = clients(loop)
+    server, address = clients(loop)
     peer = client(loop, address)
     peer.say(request("/parcel") * 3)
     peer.wait(b"404")
@@ -290,19 +294,19 @@
 
 
 def test_stopping_closes_only_between_requests(loop):
-    house, address = clients(loop)
+    server, address = clients(loop)
     idle, busy, half = (client(loop, address) for _ in range(3))
     busy.say(request())
     half.say(request()[:40])
-    spin(loop, lambda: house.acceptor.events and len(house.idle) == 1)
-    house.stop_listening()
-    house.close_between_requests()
+    spin(loop, lambda: server.acceptor.events and len(server.idle) == 1)
+    server.stop_listening()
+    server.close_between_requests()
     idle.wait_end()
     half.say(request()[40:])
-    spin(loop, lambda: len(house.acceptor.events) == 2)
-    house.acceptor.keep()
+    spin(loop, lambda: len(server.acceptor.events) == 2)
+    server.acceptor.keep()
     for peer in (busy, half):
-        heard = peer.wait_end()
-        assert heard.startswith(b"HTTP/1.1 202") and b"close" in heard
+        received = peer.wait_end()
+        assert received.startswith(b"HTTP/1.1 202") and b"close" in received
     with pytest.raises(OSError):
         client(loop, address)
--- a/tests/test_wire_loop.py
+++ b/tests/test_wire_loop.py
@@ -10,36 +10,36 @@
 
 
 def test_an_event_set_early_is_not_forgotten_and_a_late_one_is_no_second_wake(loop):
-    event, woke = Event(loop), []
+    event, results = Event(loop), []
 
     def waits():
-        woke.append((yield Until(event=event)))
-        woke.append((yield Until(2000.0, event=event)))
-        woke.append((yield Until(3000.0)))
+        results.append((yield Until(event=event)))
+        results.append((yield Until(2000.0, event=event)))
+        results.append((yield Until(3000.0)))
 
     event.set()
     loop.spawn(waits())
-    spin(loop, lambda: woke == [True])
+    spin(loop, lambda: results == [True])
     loop.now.now = 2000.0
-    spin(loop, lambda: woke == [True, False])
+    spin(loop, lambda: results == [True, False])
     event.set()
     for _ in range(5):
         loop.once(loop.now())
-    assert woke == [True, False]
+    assert results == [True, False]
 
 
 def test_what_must_not_end_is_begun_again_after_a_fault(loop):
     """A list that a coroutine choked on would otherwise have been the last one heard."""
-    begun = []
+    starts = []
 
     def watch():
-        begun.append(1)
+        starts.append(1)
         yield Until(0.0)
         raise RecursionError("a fault for the test")
 
     loop.keep(watch)
     for times in (1, 2, 3):
-        spin(loop, lambda times=times: len(begun) == times and loop.due and loop.due[0][0] > loop.now())
+        spin(loop, lambda times=times: len(starts) == times and loop.due and loop.due[0][0] > loop.now())
         loop.now.now += 100.0
 
 
@@ -84,9 +84,9 @@
     """A process that stood still just after it asked for events once held answers that lay there for
     time-outs.
     """
-    door, lines = Listener(loop), Lines(4, 1000.0)
-    out = Out(loop, call(door.address), lines)
-    peer = door.meet()
+    listener, lines = Listener(loop), Lines(4, 1000.0)
+    out = Out(loop, call(listener.address), lines)
+    peer = listener.meet()
     peer.wait(b"\x00\xff")
     poller = loop.epoll
 
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -20,7 +20,7 @@
 class Out:
     """One call under way."""
 
-    def __init__(self, loop, what, lines=None):
+    def __init__(self, loop, new_call, lines=None):
         self.loop, self.lines, self.answer, self.wanted, self.told = (
             loop,
             lines or Lines(4, 1000.0),
@@ -28,13 +28,13 @@
             True,
             [],
         )
-        loop.spawn(self.run(what))
+        loop.spawn(self.run(new_call))
 
-    def run(self, what):
+    def run(self, new_call):
         self.answer = yield from submit(
             self.loop,
             self.lines,
-            Flight(what, self.loop.now() + what.timeout),
+            Flight(new_call, self.loop.now() + new_call.timeout),
             200.0,
             lambda call, now: self.wanted,
             lambda: None,
