--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -1,4 +1,4 @@
-"""The subscription's part of the loop against a discovery node that the test plays, on loopback."""
+"""The subscriber, on loopback, against stand-in and real discovery nodes."""
 
 import json
 import socket
@@ -45,7 +45,7 @@
 
 
 class Node(Listener):
-    """A discovery node of which the test says each answer."""
+    """A stand-in discovery node whose answers the test gives."""
 
     def __init__(self, loop, name="n1", lease="n1-1"):
         super().__init__(loop)
@@ -94,7 +94,7 @@
 
 
 class Updates(list):
-    """What the subscriber told, and what was released and is held."""
+    """The updates received, and which destinations were released and are in use."""
 
     def __init__(self):
         super().__init__()
@@ -120,12 +120,12 @@
         **other,
     )
     loop.once(loop.now())
-    loop.now.now += 100.0  # its first request is spread by chance
+    loop.now.now += 100.0  # the first request has a random delay
     return subscriber
 
 
 def advance(loop, milliseconds=AGAIN):
-    """The clock moves, once all that lies there has been read."""
+    """Lets the loop handle pending data, then moves the clock."""
     for _ in range(3):
         loop.once(loop.now())
     loop.now.now += milliseconds
@@ -196,22 +196,22 @@
     advance(loop)
     target, request = node.next_request()
     assert target == "/api/targets?index=2&wait=0" and request["subscribe"] == [10, 11], (
-        "those share a request"
+        "they share a request"
     )
     assert subscriber.figures().interrupted == 1
     each = []
     subscriber.settled(9, each)
     subscriber.settled(99, each)
-    assert each == [True, True], "what is answered, or not subscribed at all, is waited for by nobody"
+    assert each == [True, True], "destinations answered or not subscribed to are settled"
     late = Event(loop)
     subscriber.settled(10, late)
     subscriber.unsettled(10, late)
     node.respond(request, 3, [entry("e-10", 10)], unknown=[11])
     spin(loop, lambda: subscriber.use(10) is Standing.KNOWN)
-    assert not late.is_set, "its time was up first"
+    assert not late.is_set, "its wait was dropped"
 
 
-def test_an_answer_lost_with_its_connection_is_asked_for_by_the_same_request(loop):
+def test_a_request_whose_answer_was_lost_is_sent_again_unchanged(loop):
     updates = Updates()
     subscriber, node, _ = started(loop, updates, 41)
     subscriber.use(9)
@@ -225,16 +225,16 @@
 
 
 def _advance_until_request(loop, node, milliseconds=AGAIN, most=200):
-    """The next request at that node, in the course of the clock."""
+    """Moves the clock until the node has a request, and returns it."""
     for _ in range(most):
         if _has_request(loop, node):
             return node.next_request()
         advance(loop, milliseconds)
-    raise AssertionError("it was never asked")
+    raise AssertionError("no request arrived")
 
 
 def _has_request(loop, node):
-    """Whether something lies at that node that was not heard yet."""
+    """Whether unread data or a new connection is pending at the node."""
     for _ in range(3):
         loop.once(loop.now())
     if node.peer is not None and node.peer.hear():
@@ -247,7 +247,7 @@
     return True
 
 
-def test_an_answer_cut_short_leaves_the_last_state_and_is_asked_for_again(loop, log_lines):
+def test_a_truncated_answer_leaves_the_last_state_in_use_and_is_requested_again(loop, log_lines):
     updates = Updates()
     subscriber, node, request = started(loop, updates, 41)
     whole = answer(200, node.body(request, 2, [entry("f-41", 41)]))
@@ -260,7 +260,7 @@
     assert updates[1] == ([("e-41", False, True), ("f-41", True, False)], False)
 
 
-def test_lease_over_is_followed_by_the_whole_set_at_the_same_node_at_once(loop):
+def test_an_expired_lease_is_renewed_at_once_with_all_destinations_at_the_same_node(loop):
     updates = Updates()
     subscriber, node, _ = started(loop, updates, 41, 7)
     node.refuse(Reason.LEASE_OVER)
@@ -272,14 +272,14 @@
     assert updates[1] == ([("f-41", True, False)], True) and subscriber.figures().node_changes == 0
 
 
-def test_a_told_time_is_heeded(loop, log_lines):
+def test_the_retry_time_of_a_refusal_is_heeded(loop, log_lines):
     updates = Updates()
     subscriber, node, request = started(loop, updates, 41)
     node.refuse(Reason.TOO_MANY, 800.0)
     spin(loop, lambda: log_lines)
-    told_at = loop.now()
+    refused_at = loop.now()
     target, again = _advance_until_request(loop, node, 20.0)
-    assert told_at + 800.0 <= loop.now() <= told_at + 800.0 + TRY_JITTER + 40.0
+    assert refused_at + 800.0 <= loop.now() <= refused_at + 800.0 + TRY_JITTER + 40.0
     assert again == request and target == "/api/targets?index=1&wait=2000", "under the same lease"
     assert len(log_lines) == 1 and "too_many: for the test" in log_lines[0]
 
@@ -298,9 +298,7 @@
         ("version: 0 is before 1", lambda body: body.replace(b'"version":2', b'"version":0')),
     ],
 )
-def test_an_answer_that_cannot_be_right_is_told_in_one_line_and_the_last_state_serves_on(
-    loop, log_lines, fault, damage
-):
+def test_an_invalid_answer_is_logged_once_and_the_last_state_stays_in_use(loop, log_lines, fault, damage):
     updates = Updates()
     subscriber, node, request = started(loop, updates, 41)
     body = damage(node.body(request, 2, [entry("f-41", 41)]))
@@ -316,7 +314,7 @@
     assert updates[1] == ([("f-41", True, False)], True) and "answers again" in log_lines[-1]
 
 
-def test_status_without_a_reason_is_told_by_its_number(loop, log_lines):
+def test_a_status_without_a_reason_is_logged_by_its_number(loop, log_lines):
     updates = Updates()
     _, node, _ = started(loop, updates, 41)
     node.peer.say(answer(500, b"oops"))
@@ -324,8 +322,8 @@
     assert len(log_lines) == 1 and "(status 500)" in log_lines[0] and len(updates) == 1
 
 
-def test_half_open_node_is_left_and_the_next_one_heard_within_6_s(loop):
-    """It takes connections and never answers, also the one that would be next."""
+def test_a_half_open_node_is_left_for_the_next_one_within_6_s(loop):
+    """The node and the one after it accept connections and never answer."""
     nodes, updates = ranked(loop, 3), Updates()
     subscriber = make_subscriber(loop, nodes, updates)
     subscriber.use(41)
@@ -335,7 +333,7 @@
     spin(loop, lambda: updates)
     advance(loop)
     first.next_request()
-    fell_silent = loop.now()
+    silent_since = loop.now()
     for _ in range(600):
         advance(loop, 10.0)
         if _has_request(loop, third):
@@ -344,8 +342,8 @@
     assert target == "/api/targets" and request["subscribe"] == [41]
     third.respond(request, 1, [entry("f-41", 41)], full=True)
     spin(loop, lambda: len(updates) == 2)
-    assert loop.now() - fell_silent < TOLD and subscriber.figures().node_changes == 1
-    assert _has_request(loop, second), "it was asked in between"
+    assert loop.now() - silent_since < TOLD and subscriber.figures().node_changes == 1
+    assert _has_request(loop, second), "it was tried in between"
 
 
 def test_fresh_subscription_at_a_half_open_node_is_answered_by_the_next_one(loop):
@@ -378,7 +376,7 @@
     assert subscriber.tried
 
 
-def test_decisions_begin_once_all_nodes_were_asked_in_vain(loop):
+def test_the_stored_list_is_used_once_all_nodes_have_failed(loop):
     nodes, updates = ranked(loop, 3), Updates()
     for node in nodes:
         node.sock.close()
@@ -389,7 +387,7 @@
     assert subscriber.nodes.exhausted and not updates
 
 
-def test_decisions_begin_without_an_answer_once_the_time_for_it_is_over(loop):
+def test_the_stored_list_is_used_after_the_startup_limit_without_an_answer(loop):
     nodes, updates, began = ranked(loop, 3), Updates(), loop.now()
     subscriber = make_subscriber(loop, nodes, updates, {41: [place("old", 41)]})
     nodes[0].next_request()
@@ -400,7 +398,7 @@
 
 
 def test_all_nodes_down_then_back(loop, log_lines):
-    """What is known serves on; the node that is back is heard within 6 s."""
+    """The known list stays in use; a node that is back is used within 6 s."""
     updates = Updates()
     subscriber, node, _ = started(loop, updates, 41)
     address, name = node.address, node.name
@@ -416,13 +414,13 @@
     back.sock = socket.create_server((host, int(port)))
     back.sock.setblocking(False)
     target, request = _advance_until_request(loop, back, 20.0, 400)
-    assert request["lease"] == "n1-1", "it may be the same run, reached again"
+    assert request["lease"] == "n1-1", "it may be the same process of the node"
     back.refuse(Reason.LEASE_OVER)
     _, request = _advance_until_request(loop, back, 20.0)
     back.respond(request, 1, [entry("f-41", 41), entry("e-9", 9)], full=True)
     spin(loop, lambda: len(updates) == 2)
     assert loop.now() - began < TOLD and subscriber.use(9) is Standing.KNOWN
-    assert 2 <= len(log_lines) <= 4, "a line for each kind of fault, not for each try"
+    assert 2 <= len(log_lines) <= 4, "one line for each kind of fault, not for each try"
 
 
 def test_another_list_of_nodes(loop):
@@ -432,7 +430,7 @@
     subscriber.move([other.address, node.address])
     node.respond(request, 2, [entry("f-41", 41)])
     spin(loop, lambda: len(updates) == 2)
-    assert updates[1][1] is False, "the node that stays in the list is kept to"
+    assert updates[1][1] is False, "a node that stays in the list is kept"
     advance(loop)
     node.next_request()
     subscriber.move([other.address])
@@ -444,7 +442,7 @@
     assert updates[2] == ([("f-41", True, False)], True) and subscriber.figures().node_changes == 1
 
 
-def test_restored_destinations_are_asked_for_with_the_first_request(loop):
+def test_restored_destinations_are_subscribed_to_with_the_first_request(loop):
     updates, notified = Updates(), []
     node = Node(loop)
     subscriber = make_subscriber(loop, [node], updates, {41: [place("old", 41)], 7: []})
@@ -463,7 +461,7 @@
     assert subscriber.use(7) is Standing.UNKNOWN
 
 
-def test_idle_destination_is_given_up_with_the_next_request_and_used_again_it_is_new(loop):
+def test_an_idle_destination_is_unsubscribed_with_the_next_request_and_subscribed_to_anew_when_used(loop):
     updates = Updates()
     subscriber, node, request = started(loop, updates, 41, 7, idle=5000.0)
     updates.in_use.add(7)
@@ -480,7 +478,7 @@
     assert (request["sequence"], request["subscribe"]) == (2, [41])
 
 
-def test_no_room_for_a_further_destination_is_said_so(loop):
+def test_a_destination_over_the_limit_raises_an_error(loop):
     updates = Updates()
     updates.in_use.update((41, 7))
     subscriber, node, _ = started(loop, updates, 41, 7, most=2)
@@ -493,8 +491,8 @@
     assert (request["subscribe"], request["unsubscribe"]) == ([9], [41]) and updates.released == [41]
 
 
-def test_a_wake_that_comes_with_the_answer_is_not_lost(loop):
-    """Forced race: the answer of the parked poll lies there when a fresh subscription is made."""
+def test_a_new_subscription_that_coincides_with_an_answer_is_not_lost(loop):
+    """Race: the answer of the parked poll is unread when a new subscription is made."""
     updates = Updates()
     subscriber, node, request = started(loop, updates, 41)
     node.respond(request, 2, [entry("f-41", 41)])
@@ -509,7 +507,7 @@
     assert [one.ident for one in subscriber.subscribed()[41]] == ["f-41"]
 
 
-def test_a_fault_in_the_courier_brings_the_whole_set_again(loop):
+def test_after_an_exception_in_the_courier_the_complete_state_is_requested(loop):
     updates, faults = Updates(), [True]
     node = Node(loop)
     subscriber = make_subscriber(loop, [node], updates)
@@ -525,7 +523,7 @@
     assert updates == [([("e-41", True, False)], True)]
 
 
-def test_retired_it_asks_no_more_and_bytes_are_counted(loop):
+def test_a_retired_subscriber_sends_nothing_and_bytes_are_counted(loop):
     updates = Updates()
     subscriber, node, _ = started(loop, updates, 41)
     figures = subscriber.figures()
@@ -537,7 +535,7 @@
     assert subscriber.figures().calls == 2
 
 
-def test_an_answer_over_the_bound_is_not_read_on(loop, log_lines, monkeypatch):
+def test_an_answer_over_the_size_limit_is_refused(loop, log_lines, monkeypatch):
     monkeypatch.setattr("calicopin.wire.subscriber.MAX_ANSWER_BYTES", 2048)
     updates = Updates()
     _, node, request = started(loop, updates, 41)
@@ -546,7 +544,7 @@
     assert "answer: is over" in log_lines[0] and len(updates) == 1
 
 
-def test_two_nodes_that_fail_in_different_ways_are_told_once_each(loop, log_lines):
+def test_two_nodes_that_fail_in_different_ways_are_logged_once_each(loop, log_lines):
     nodes, updates = ranked(loop, 2), Updates()
     nodes[0].sock.close()
     make_subscriber(loop, nodes, updates)
@@ -557,7 +555,7 @@
     assert sum("does not answer" in line for line in log_lines) == 1
 
 
-def test_a_large_set_has_more_time_for_its_answer(loop):
+def test_the_answer_for_many_destinations_has_a_longer_time_out(loop):
     nodes, updates = ranked(loop, 2), Updates()
     subscriber = make_subscriber(loop, nodes, updates)
     for destination in range(20000):
@@ -572,7 +570,7 @@
 
 
 class RealNode:
-    """A discovery node as it is, on the loop of the test; `log` is its source."""
+    """A real discovery node on the loop of the test; `log` is its source."""
 
     def __init__(self, loop, log, run="1", address="127.0.0.1:0"):
         host, port = address.split(":")
@@ -585,13 +583,13 @@
         self.server.source = self.source
 
     def write(self, *entries):
-        """Appends to the source; it is read with the node's next look."""
+        """Appends to the source, which the node reads at its next check."""
         with open(self.log, "a", encoding="ascii") as file:
             file.writelines(json.dumps(each) + "\n" for each in entries)
         self.loop.now.now += LOOK
 
     def kill(self):
-        """Nothing of it is left, and nobody was told."""
+        """Ends the node without notifying anyone."""
         self.loop.cancel(self.server.accepting)
         self.loop.cancel(self.source.task)
         self.loop.close(self.server.listener)
@@ -608,14 +606,14 @@
 
 
 def run_until(loop, done, step=20.0, most=600):
-    """The clock goes on while both sides work."""
+    """Moves the clock until `done`, while both sides work."""
     for _ in range(most):
         for _ in range(4):
             loop.once(loop.now())
         if done():
             return
         loop.now.now += step
-    raise AssertionError("it never came about")
+    raise AssertionError("the condition did not come true")
 
 
 def listed(subscriber):
@@ -626,7 +624,7 @@
 
 
 def test_subscriber_and_discovery_node_agree(loop, log):
-    """Both as they are: a first answer, an announced leave, a leave, a fresh subscription, one given up."""
+    """A first answer, an announced leave, a leave, a new subscription and two dropped ones."""
     node, updates = RealNode(loop, log), Updates()
     subscriber = make_subscriber(loop, [node], updates, idle=60000.0)
     subscriber.use(41)
@@ -645,7 +643,9 @@
     subscriber.settled(7, notified)
     began = loop.now()
     run_until(loop, lambda: notified, step=0.0)
-    assert loop.now() == began and subscriber.figures().interrupted == 1, "no poll held it up"
+    assert loop.now() == began and subscriber.figures().interrupted == 1, (
+        "it did not wait for the parked poll"
+    )
     assert set(node.table.subscribed()) == {41, 99, 7}
     until = loop.now() + 60000.0 * 2.0
     while loop.now() < until:
@@ -656,7 +656,7 @@
     assert subscriber.figures().resyncs == 0 and not node.server.refused
 
 
-def test_discovery_node_that_begins_anew_is_subscribed_to_anew(loop, log):
+def test_a_restarted_discovery_node_is_subscribed_to_anew(loop, log):
     node, updates = RealNode(loop, log), Updates()
     subscriber = make_subscriber(loop, [node], updates)
     subscriber.use(41)
@@ -674,8 +674,8 @@
     assert loop.now() - began <= TOLD and back.server.refused[Reason.LEASE_OVER] == 1
 
 
-def test_lease_that_ended_unseen_is_begun_anew(loop, log):
-    """The process stood still for longer than its lease."""
+def test_a_lease_that_expired_unnoticed_is_renewed(loop, log):
+    """The process was suspended for longer than its lease."""
     node, updates = RealNode(loop, log), Updates()
     subscriber = make_subscriber(loop, [node], updates)
     subscriber.use(41)
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -1,4 +1,4 @@
-"""The watched list of partners: it comes whole or not at all, also under traffic."""
+"""The watched list of partners is loaded completely or not at all, also under traffic."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def rewrite(path, data):
-    """Anew, not over the old one: some file systems write that through to the disk each time."""
+    """Replaces the file; some file systems sync each overwrite to disk, which is slow."""
     path.unlink(missing_ok=True)
     path.write_bytes(bytes(data))
 
@@ -39,7 +39,7 @@
     return read(str(tmp_path / "c.toml")).sheet
 
 
-def test_a_list_that_is_cut_at_any_byte_is_not_taken(tmp_path):
+def test_a_list_truncated_at_any_byte_is_refused(tmp_path):
     sheet, whole = watched(tmp_path), partner_list(5)
     load, path = lister(sheet), tmp_path / "list.toml"
     for size in range(len(whole) - 1):
@@ -50,7 +50,7 @@
     assert len(load(str(path))) == 5
 
 
-def test_under_a_thousand_damaged_rewrites_the_courier_runs_on_one_complete_list(tmp_path):
+def test_only_complete_lists_are_used_during_a_thousand_damaged_rewrites(tmp_path):
     sheet, rng, lists = watched(tmp_path), random.Random(8), []
     loop, path = Loop(now=Clock(), system=Rebooted()), tmp_path / "list.toml"
     file = ListFile(
@@ -82,10 +82,8 @@
     assert accepted > 50
 
 
-def test_every_text_is_answered_while_its_list_is_rewritten_with_damage(tmp_path):
-    """Partners come and go under traffic; nobody listens at their addresses, so each text ends in a
-    notice.
-    """
+def test_every_text_is_answered_while_the_list_is_rewritten_with_damage(tmp_path):
+    """Partners are added and removed under traffic; none listens, so each text ends in a notice."""
     sheet, rng, listen = watched(tmp_path), random.Random(9), free_address()
     (tmp_path / "c.toml").write_text((tmp_path / "c.toml").read_text().replace("127.0.0.1:5000", listen))
     runtime, loop, signal_reader = start(tmp_path / "c.toml")
@@ -124,7 +122,7 @@
     signal_reader.close()
 
 
-def test_a_list_that_removes_a_partner_is_taken_up_while_texts_to_it_are_out(tmp_path):
+def test_a_list_without_a_partner_is_loaded_while_texts_to_it_are_under_way(tmp_path):
     (tmp_path / "list.toml").write_bytes(partner_list(2))
     listen = free_address()
     text = (
@@ -153,7 +151,7 @@
     signal_reader.close()
 
 
-def test_a_sighup_with_a_broken_file_changes_nothing_and_with_a_sound_one_its_partners(tmp_path):
+def test_a_sighup_loads_a_valid_file_and_ignores_an_invalid_one(tmp_path):
     path, listen = tmp_path / "c.toml", free_address()
     path.write_text(put("127.0.0.1:5000", listen))
     runtime, loop, signal_reader = start(path)
--- a/tests/test_wire_calls.py
+++ b/tests/test_wire_calls.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints, on loopback: stand-ins of the test's own on the other side, a clock that it moves."""
+"""Calls to endpoints, on loopback, with a stand-in endpoint and a clock that the test moves."""
 
 import json
 import socket
@@ -11,7 +11,7 @@
 from calicopin.state.connections import Lines
 
 
-def test_a_call_passes_id_and_body_on_and_its_connection_serves_the_next(loop):
+def test_a_call_carries_id_and_body_and_its_connection_is_reused(loop):
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     peer = listener.meet()
@@ -28,18 +28,18 @@
     assert (result.status, result.wait, result.load) == (429, 640.0, {})
 
 
-def test_a_refused_connection_never_ran(loop):
+def test_a_refused_connection_counts_as_unconnected(loop):
     assert Out(loop, call(free_address())).end().far == Far.UNCONNECTED
 
 
-def test_a_call_that_is_no_longer_wanted_when_its_connection_is_up_is_not_begun(loop):
+def test_a_call_no_longer_wanted_once_connected_is_not_sent(loop):
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     out.wanted = False
     assert out.end().far == Far.CALLED_OFF and not listener.meet().wait_end() and out.lines.used == 0
 
 
-def test_a_connection_that_breaks_after_the_call_may_have_run_and_is_not_sent_again(loop):
+def test_a_call_whose_connection_breaks_after_sending_is_not_sent_again(loop):
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     peer = listener.meet()
@@ -57,10 +57,8 @@
         return None
 
 
-def test_a_connection_that_was_gone_before_its_call_is_no_fault_of_the_endpoint(loop):
-    """Kept connections were reset under the next call, 25 to 40 in 100 on one day, and each counted
-    against it.
-    """
+def test_an_idle_connection_closed_before_its_call_is_no_failure_of_the_endpoint(loop):
+    """Endpoints that close idle connections reset 25 to 40 of 100 calls on reused ones."""
     listener, lines = Listener(loop), Lines(4, 8000.0)
     peer = None
     for duration, gone in ((50.0, None), (0.0, True), (50.0, None), (60.0, False)):
@@ -105,7 +103,7 @@
         b"HTTP/1.1 503 X\r\nno end: ",
     ],
 )
-def test_an_answer_that_cannot_be_read_may_have_run(loop, garbage):
+def test_a_call_with_a_malformed_answer_may_have_been_executed(loop, garbage):
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     peer = listener.meet()
@@ -130,10 +128,8 @@
         b"\r\n\x00\xff\r\n\r\n",
     ],
 )
-def test_a_text_alone_is_delivered_once_the_first_line_says_so(loop, rest):
-    """Whatever becomes of the rest, the call has run; it once counted as failed, or waited for its
-    time-out.
-    """
+def test_a_single_text_is_delivered_once_the_status_line_says_so(loop, rest):
+    """The call was executed, whatever follows: it must neither count as failed nor wait for its time-out."""
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     peer = listener.meet()
@@ -147,8 +143,8 @@
 
 
 @pytest.mark.parametrize("extra", [answer(200), b"\x00noise", b"\r\n"])
-def test_a_connection_with_more_than_the_answer_on_it_is_never_lent_again(loop, extra):
-    """What lay behind an answer was once read as the answer to the next call."""
+def test_a_connection_with_data_after_the_answer_is_not_reused(loop, extra):
+    """Such data would be read as the answer to the next call."""
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     peer = listener.meet()
@@ -161,7 +157,7 @@
 @pytest.mark.parametrize(
     "report", ["[" * 9000, "1" + "0" * 400, '{"x0":1' + "0" * 400 + "}", "[1]", '"', "{"]
 )
-def test_a_report_that_cannot_be_read_is_passed_over(loop, report):
+def test_a_malformed_load_report_is_ignored(loop, report):
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     peer = listener.meet()
@@ -170,7 +166,7 @@
     assert (out.end().status, out.answer.wait, out.answer.load, out.lines.count) == (503, 90.0, {}, 1)
 
 
-def test_without_a_descriptor_a_call_waits_and_no_endpoint_is_blamed(loop, monkeypatch):
+def test_without_a_descriptor_a_call_waits_and_is_no_failure_of_the_endpoint(loop, monkeypatch):
     listener, sock = Listener(loop), socket.socket
 
     def none_left(*_):
@@ -187,7 +183,7 @@
     assert out.end().status == 200
 
 
-def test_a_connection_closed_behind_the_answer_is_not_kept(loop):
+def test_a_connection_closed_after_the_answer_is_not_kept(loop):
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     peer = listener.meet()
@@ -196,7 +192,7 @@
     assert out.end().no_slot and out.lines.count == 0
 
 
-def test_a_bulk_answer_tells_of_each_text(loop):
+def test_a_bulk_answer_holds_the_state_of_each_text(loop):
     listener = Listener(loop)
     out = Out(loop, call(listener.address, texts=3))
     peer = listener.meet()
@@ -216,7 +212,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{}x", b"[1]", b'[{"id":[],"state":1}]'])
-def test_a_bulk_answer_that_cannot_be_read_may_have_run(loop, body):
+def test_a_bulk_call_with_a_malformed_answer_may_have_been_executed(loop, body):
     listener = Listener(loop)
     out = Out(loop, call(listener.address, texts=2))
     peer = listener.meet()
--- a/tests/test_wire_clients.py
+++ b/tests/test_wire_clients.py
@@ -1,4 +1,4 @@
-"""Clients and their requests, on loopback, with a clock that the test moves."""
+"""Requests of clients, on loopback, with a clock that the test moves."""
 
 import pytest
 from helper import client, spin
@@ -7,7 +7,7 @@
 from calicopin.wire.clients import KEEP_ALIVE_MIN_IDLE_MS, NEW, PATIENCE, REFUSAL_DELAY_MS
 
 
-def test_a_text_is_accepted_only_once_it_is_kept(loop):
+def test_a_text_is_accepted_only_once_it_is_stored(loop):
     server, address = clients(loop)
     peer = client(loop, address)
     peer.say(request("/order/van%207", bytes(range(256)), Idempotency_Key="5c0f"))
@@ -29,7 +29,7 @@
     )
 
 
-def test_a_refused_text_may_come_again(loop):
+def test_a_refusal_tells_when_to_retry(loop):
     server, address = clients(loop)
     server.acceptor.refusal = 503, 1500.0
     peer = client(loop, address)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("status,changes", BAD)
-def test_bad_input_gets_its_answer_and_harms_nobody(loop, status, changes):
+def test_invalid_requests_are_refused_and_do_not_affect_other_clients(loop, status, changes):
     server, address = clients(loop)
     peer, other = client(loop, address), client(loop, address)
     peer.say(request(**changes))
@@ -87,15 +87,15 @@
         b"GET " + b"x" * 200000 + b" HTTP/1.1\r\n\r\n",
     ],
 )
-def test_what_is_no_request_is_answered_and_closed(loop, garbage):
+def test_malformed_requests_are_answered_and_the_connection_is_closed(loop, garbage):
     _, address = clients(loop)
     peer = client(loop, address)
     peer.say(garbage)
     assert peer.wait_end().startswith(b"HTTP/1.1 4")
 
 
-def test_an_answer_is_not_lost_to_what_lies_unread_behind_it(loop):
-    """Closed over unread bytes, the connection was reset before the client had its answer."""
+def test_an_answer_is_not_lost_by_a_close_over_unread_data(loop):
+    """Closing a socket with unread data resets the connection, which can discard an answer not yet read."""
     server, address = clients(loop)
     peer = client(loop, address)
     peer.say(b"garbage\r\n\r\n")
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("path,status", [("/-/ready", b"200"), ("/-/healthy", b"200"), ("/notice", b"404")])
-def test_what_is_asked_about_the_courier_itself(loop, path, status):
+def test_health_and_readiness_requests(loop, path, status):
     _, address = clients(loop)
     peer = client(loop, address)
     for method in ("GET", "HEAD", "GET"):
@@ -120,7 +120,7 @@
         assert peer.wait(b"\r\n\r\n").split()[1] == status
 
 
-def test_a_client_that_never_pauses_does_not_hold_up_the_rest(loop):
+def test_a_client_with_pipelined_requests_does_not_delay_others(loop):
     server, address = clients(loop)
     busy, other = client(loop, address), client(loop, address)
     spin(loop, lambda: len(server.idle) == 2)
@@ -132,7 +132,7 @@
     spin(loop, lambda: busy.hear().count(b"HTTP/1.1 200") == 50)
 
 
-def test_a_fault_of_ours_is_answered_too(loop):
+def test_an_exception_in_the_courier_is_answered_with_500(loop):
     server, address = clients(loop)
     server.acceptor.take = None
     peer, other = client(loop, address), client(loop, address)
@@ -142,7 +142,7 @@
     assert other.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 200")
 
 
-def test_a_body_may_come_in_pieces_after_a_go_on(loop):
+def test_a_body_may_arrive_in_pieces_after_100_continue(loop):
     server, address = clients(loop)
     peer = client(loop, address)
     whole = request(body=b"", Content_Length="4", Expect="100-continue")
@@ -157,20 +157,20 @@
     assert server.acceptor.texts[0].body == b"abcd"
 
 
-def test_a_client_that_left_before_its_answer_withdraws(loop):
-    """It hands the text in again elsewhere: what is sent under the old id counts for nothing."""
+def test_a_text_whose_answer_cannot_be_sent_is_withdrawn(loop):
+    """The client submits the text again elsewhere, so a delivery under the old id would be a duplicate."""
     server, address = clients(loop)
     peer = client(loop, address)
     peer.say(request())
     spin(loop, lambda: server.acceptor.events)
-    peer.sock.setsockopt(1, 13, b"\x01\x00\x00\x00\x00\x00\x00\x00")  # leaves with a reset
+    peer.sock.setsockopt(1, 13, b"\x01\x00\x00\x00\x00\x00\x00\x00")  # SO_LINGER of 0 s: closes with a reset
     peer.sock.close()
     server.acceptor.keep()
     spin(loop, lambda: server.open == 0)
     assert [text.ident for text in server.acceptor.withdrawn] == ["9b1f"]
 
 
-def test_a_connection_with_a_request_under_way_is_not_closed_for_want_of_descriptors_or_at_the_stop(loop):
+def test_a_connection_with_a_request_under_way_is_closed_neither_to_free_descriptors_nor_at_the_stop(loop):
     server, address = clients(loop)
     peer = client(loop, address)
     spin(loop, lambda: server.idle)
@@ -182,8 +182,8 @@
     spin(loop, lambda: server.acceptor.events)
 
 
-def test_a_client_that_left_before_its_text_was_read_is_not_taken_on(loop):
-    """After a standstill: it has handed the text in elsewhere, under another id."""
+def test_a_text_is_not_taken_on_if_its_client_left_before_it_was_read(loop):
+    """After a suspension of the process the client has submitted the text elsewhere under another id."""
     server, address = clients(loop)
     peer = client(loop, address)
     spin(loop, lambda: server.idle)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("sent_part", [request()[:40], request()[:-3]])
-def test_a_client_that_goes_silent_in_its_request_does_not_keep_its_descriptor(loop, sent_part):
+def test_a_client_that_falls_silent_in_its_request_is_answered_and_closed(loop, sent_part):
     server, address = clients(loop)
     peer = client(loop, address)
     peer.say(sent_part)
@@ -206,7 +206,7 @@
     spin(loop, lambda: server.open == 0)
 
 
-def test_a_client_that_says_nothing_is_closed(loop):
+def test_a_client_without_a_request_is_closed_after_the_time_out(loop):
     server, address = clients(loop)
     peer = client(loop, address)
     spin(loop, lambda: server.idle)
@@ -222,10 +222,8 @@
     return peer
 
 
-def test_descriptors_run_short_at_those_that_stand_silent_longest(loop):
-    """A client between requests has two seconds, a new one half a second, one with a request begun all its
-    time.
-    """
+def test_descriptors_are_freed_from_the_longest_idle_clients(loop):
+    """Connections between requests are kept for 2 s, new ones for 0.5 s, those in a request always."""
     server, address = clients(loop, most=4)
     idle_peers = [served_once(loop, server, address) for _ in range(2)]
     loop.now.now += KEEP_ALIVE_MIN_IDLE_MS - NEW
@@ -249,11 +247,8 @@
     spin(loop, lambda: server.acceptor.events)
 
 
-def test_where_there_is_no_room_at_all_a_client_is_turned_away_at_once(loop):
-    """It once waited, not accepted, behind those who said nothing.
-
-    One that was served and stands idle gives way.
-    """
+def test_without_any_descriptor_left_a_client_is_refused_at_once(loop):
+    """Left unaccepted, it would wait behind silent clients. An idle client is closed first."""
     server, address = clients(loop, most=2)
     idle = served_once(loop, server, address)
     silent = [client(loop, address) for _ in range(2)]
@@ -265,8 +260,8 @@
     assert not any(peer.hear() or peer.ended for peer in silent)
 
 
-def test_a_client_gives_its_connection_back_with_its_answer_where_descriptors_are_short(loop):
-    """Clients that took a new connection for each text held theirs idle for 2 s, and others found none."""
+def test_connections_are_closed_with_the_answer_when_descriptors_are_short(loop):
+    """Else clients with a new connection per text hold each idle for 2 s, and others are refused."""
     server, address = clients(loop, most=2)
     one, two = client(loop, address), client(loop, address)
     spin(loop, lambda: server.open == 2)
@@ -281,7 +276,7 @@
     assert b"close" not in two.wait(b"\r\n\r\n")
 
 
-def test_one_that_repeats_what_was_turned_away_is_slowed_down(loop):
+def test_a_client_that_repeats_refused_requests_is_slowed_down(loop):
     server, address = clients(loop)
     peer = client(loop, address)
     peer.say(request("/parcel") * 3)
@@ -293,7 +288,7 @@
     peer.wait(b"404")
 
 
-def test_stopping_closes_only_between_requests(loop):
+def test_a_stop_closes_connections_only_between_requests(loop):
     server, address = clients(loop)
     idle, busy, half = (client(loop, address) for _ in range(3))
     busy.say(request())
--- a/tests/test_wire_loop.py
+++ b/tests/test_wire_loop.py
@@ -1,4 +1,4 @@
-"""The loop: events, times, faults and descriptors."""
+"""The event loop: events, timers, exceptions and descriptors."""
 
 import socket
 
@@ -9,7 +9,7 @@
 from calicopin.wire.loop import READ, Event, Until
 
 
-def test_an_event_set_early_is_not_forgotten_and_a_late_one_is_no_second_wake(loop):
+def test_an_event_set_early_is_kept_and_one_set_after_the_time_out_does_not_wake_again(loop):
     event, results = Event(loop), []
 
     def waits():
@@ -28,14 +28,14 @@
     assert results == [True, False]
 
 
-def test_what_must_not_end_is_begun_again_after_a_fault(loop):
-    """A list that a coroutine choked on would otherwise have been the last one heard."""
+def test_a_persistent_coroutine_is_restarted_after_an_exception(loop):
+    """Without a restart, one list that raised an exception would end all updates of the list."""
     starts = []
 
     def watch():
         starts.append(1)
         yield Until(0.0)
-        raise RecursionError("a fault for the test")
+        raise RecursionError("raised by the test")
 
     loop.keep(watch)
     for times in (1, 2, 3):
@@ -43,7 +43,7 @@
         loop.now.now += 100.0
 
 
-def test_a_descriptor_that_was_closed_without_a_word_can_be_used_again(loop):
+def test_the_number_of_a_socket_closed_outside_the_loop_can_be_reused(loop):
     got = []
 
     def waits(sock):
@@ -64,12 +64,12 @@
     spin(loop, lambda: got == [True])
 
 
-def test_a_fault_ends_one_coroutine_only(loop):
+def test_an_exception_ends_one_coroutine_only(loop):
     done = []
 
     def broken():
         yield Until(loop.now())
-        raise RuntimeError("a fault for the test")
+        raise RuntimeError("raised by the test")
 
     def sound():
         yield Until(loop.now())
@@ -80,26 +80,24 @@
     spin(loop, lambda: done)
 
 
-def test_what_lies_unread_goes_before_a_time_out_after_a_standstill(loop):
-    """A process that stood still just after it asked for events once held answers that lay there for
-    time-outs.
-    """
+def test_unread_data_takes_precedence_over_a_time_out_after_a_suspension(loop):
+    """If the process is suspended right after the poll, answers that arrived must not count as time-outs."""
     listener, lines = Listener(loop), Lines(4, 1000.0)
     out = Out(loop, call(listener.address), lines)
     peer = listener.meet()
     peer.wait(b"\x00\xff")
     poller = loop.epoll
 
-    class Standing:
-        """Nothing is ready; then the process stands still while the answer comes and the time runs out."""
+    class SuspendedPoller:
+        """Polls without a result, then lets the answer arrive and the time run out."""
 
         def poll(self, _):
             loop.epoll = poller
             events = poller.poll(0)
             peer.say(answer(200))
             loop.now.now += 900.0
-            return [*events, (-1, READ)]  # another's event: what was asked for before the standstill
+            return [*events, (-1, READ)]  # another descriptor's event, polled before the suspension
 
-    loop.epoll = Standing()
+    loop.epoll = SuspendedPoller()
     loop.once(loop.now())
     assert out.end().status == 200
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -1,4 +1,4 @@
-"""Discovery and notices: a platform of the test's own on the other side, and a clock that it moves."""
+"""Discovery and notices, with a stand-in platform and a clock that the test moves."""
 
 import heapq
 import json
@@ -16,8 +16,8 @@
 from calicopin.wire.notices import RECONNECT_INTERVAL_MS, Notices
 
 
-def test_a_fault_in_the_watch_costs_its_connection(loop, monkeypatch):
-    """Begun again on the old one, in the middle of an exchange, it once met a fault for ever."""
+def test_an_exception_in_polling_closes_the_connection(loop, monkeypatch):
+    """Restarted on the old connection in the middle of an exchange, polling would fail again for ever."""
     listener, received = Listener(loop), []
     monkeypatch.setattr("calicopin.wire.discovery.read", None)
     Discovery(loop, listener.address, 41, 5000.0, lambda places, whole: received.append(whole))
@@ -52,9 +52,10 @@
 
 
 def simulate_polling(couriers, work=143.0, queue_limit=24, client_timeout=2000.0, most=10000.0):
-    """When each courier holds its watch at a discovery that works off one call after the other, also those
-    whose caller it has told no meanwhile, has room for a few in its line and turns away what it does not
-    reach in time. Watches that are held cost it nothing.
+    """Simulates a fleet polling an overloaded discovery: when each courier has a parked poll, by number.
+
+    Discovery handles one call at a time, `work` ms each, including calls it has refused meanwhile. It queues
+    `queue_limit` calls and refuses those it does not reach within `client_timeout` ms. Parked polls are free.
     """
     schedules = [Asking(couriers, most, seed) for seed in range(couriers)]
     calls = [(schedule.first(), number) for number, schedule in enumerate(schedules)]
@@ -70,15 +71,15 @@
             served_at[number] = free
         else:
             schedules[number].refused()
-            informed_at = now + (client_timeout if delay <= queue_limit * work else 60.0)
-            heapq.heappush(calls, (informed_at + schedules[number].again(), number))
+            refused_at = now + (client_timeout if delay <= queue_limit * work else 60.0)
+            heapq.heappush(calls, (refused_at + schedules[number].again(), number))
     return served_at
 
 
-def test_a_fleet_that_starts_together_is_seated_at_a_discovery_that_serves_few_calls_at_a_time():
-    """40 couriers asked for the list 50 times a second together after a release: hardly one was served in
-    20 s, and their calls went on to endpoints that were gone. Seven calls a second were possible.
-    Simulated.
+def test_a_fleet_that_starts_together_is_served_by_a_discovery_with_a_low_rate_of_calls():
+    """Without spread, 40 couriers make 50 calls a second at a discovery that can serve seven.
+
+    Hardly any was served within 20 s, and their calls went to endpoints that had left.
     """
     for couriers in (3, 28, 40, 48):
         served_at = simulate_polling(couriers)
@@ -86,17 +87,19 @@
             couriers,
             sorted(served_at.values())[-5:],
         )
-    assert len(simulate_polling(40, work=250.0)) == 40, "also where it is slower than their spread"
+    assert len(simulate_polling(40, work=250.0)) == 40, (
+        "also if discovery is slower than the spread of the calls"
+    )
 
 
-def test_calls_for_the_list_wait_for_their_turn_by_sender_count_and_silence_brings_them_back_by_degrees():
+def test_delays_between_polls_grow_with_the_sender_count_and_refusals_and_shrink_with_silence():
     schedule = Asking(40, 5000.0, 1)
-    assert schedule.again() == 100.0, "a watch goes on at once"
+    assert schedule.again() == 100.0, "polling continues at once"
     firsts = sorted(Asking(40, 10000.0, seed).first() for seed in range(400))
     assert firsts[0] < 100.0 and 1900.0 < firsts[200] < 2100.0 and 3900.0 < firsts[-1] <= 4000.0
     many = max(Asking(1024, 10000.0, seed).first() for seed in range(400))
     assert 3900.0 < many <= 4000.0, (
-        "with a call's own 2 s it is heard within the 6 s after which it counts as told"
+        "with the 2 s of a call it is answered within the 6 s after which couriers count as informed"
     )
     schedule.refused()
     assert max(schedule.again() for _ in range(400)) > 4500.0
@@ -107,25 +110,21 @@
     assert schedule.again() == 100.0
     alone = Asking(1, 5000.0, 1)
     alone.refused()
-    assert max(alone.again() for _ in range(400)) <= 200.0, "a few couriers are no herd"
+    assert max(alone.again() for _ in range(400)) <= 200.0, "few couriers need no spread"
 
 
-def test_an_agent_that_is_sent_the_list_is_asked_at_once_at_any_sender_count():
-    """What it has counts as told from the first moment of a process; at 186 senders the draw took up to
-    ten seconds.
-    """
+def test_an_agent_that_has_the_list_is_polled_without_delay_at_any_sender_count():
+    """Its list counts as known from the start; a random delay for 186 senders took up to 10 s."""
     for senders in (1, 3, 230, 1024):
         schedule = Asking(senders, 10000.0, 1, pushed=True)
         assert schedule.first() == 0.0
         schedule.refused()
         schedule.refused()
-        assert schedule.again() == 100.0, "it costs nobody else anything"
+        assert schedule.again() == 100.0, "calls to an own agent cost no other courier anything"
 
 
-def test_whoever_is_turned_away_asks_later_and_then_waits_for_its_answer():
-    """Turned away, a courier once hung up after 0.25 s and asked anew; at a discovery with a line each
-    such call is work for nothing.
-    """
+def test_a_refused_poll_is_repeated_later_and_then_waits_for_its_answer():
+    """A courier that gives up after 0.25 s and calls again only adds work to the queue of discovery."""
     loop = Loop(now=Clock())
     listener, began = Listener(loop), loop.now()
     discovery = Discovery(loop, listener.address, 41, 2000.0, lambda places, whole: None, 40, 5, spread=True)
@@ -145,7 +144,7 @@
         spin(loop, lambda before=refusals: discovery.asking.refusals == before + 1)
 
 
-def test_the_watch_goes_on_and_is_begun_again_when_broken_garbled_or_silent(loop):
+def test_polling_continues_after_broken_malformed_and_missing_answers(loop):
     listener, received = Listener(loop), []
     Discovery(loop, listener.address, 41, 5000.0, lambda places, whole: received.append((places, whole)))
     peer = listener.meet()
@@ -168,9 +167,7 @@
         spin(loop, lambda: loop.due and loop.due[0][0] == loop.now() + 100.0)
         loop.now.now += 100.0
         peer = listener.meet()
-        assert b"index=43&wait=0" in peer.wait(b"\r\n\r\n"), (
-            "asked again while it is silent, three times a second"
-        )
+        assert b"index=43&wait=0" in peer.wait(b"\r\n\r\n"), "polled three times a second without an answer"
         peer.say(answer(200, b'{"version":43,"full":false,"servers":[]}'))
         assert b"index=43&wait=5000" in peer.wait(b"\r\n\r\n")
 
@@ -188,7 +185,7 @@
         ([LIST["servers"][0] | {"id": "x" * (9 << 20)}], "over 8 MiB"),
     ],
 )
-def test_a_list_that_cannot_be_read_leaves_the_last_one_and_is_told_in_one_line(loop, servers, message):
+def test_a_malformed_list_leaves_the_last_one_in_use_and_is_logged_once(loop, servers, message):
     listener, received, lines = Listener(loop), [], []
     sink = logger.add(lines.append, format="{message}", level="WARNING")
     Discovery(
@@ -219,10 +216,8 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_a_discovery_that_was_silent_for_hours_is_asked_on(loop, pushed):
-    """The patience of a call was a power of the silent calls before it: behind 513 of them each call ended by
-    a fault, and discovery was never asked again.
-    """
+def test_a_discovery_that_did_not_answer_for_hours_is_still_polled(loop, pushed):
+    """An unbounded exponential time-out overflows after 513 unanswered calls and ends all polling."""
     listener, received = Listener(loop), []
     discovery = Discovery(
         loop,
@@ -241,7 +236,7 @@
     assert not discovery.silent_calls
 
 
-def test_notices_gather_and_are_sent_until_heard(loop):
+def test_notices_are_batched_and_sent_until_acknowledged(loop):
     listener, received = Listener(loop), []
     notices = Notices(loop, listener.address, lambda text: received.append(text.ident))
     for ident, verdict, wait in (("a", "dead", 0.0), ("b", "bounced", 500.4)):
@@ -263,8 +258,8 @@
     assert not notices.owed
 
 
-def test_a_notice_on_a_connection_that_fell_silent_goes_on_a_new_one_in_time(loop):
-    """It waited 2 s there, and its text had 0.3 s. An agent that is slow is waited for longer each time."""
+def test_a_notice_on_a_dead_connection_is_repeated_in_time_on_a_new_one(loop):
+    """A fixed wait of 2 s is too long for a text with 0.3 s left; the time-out grows for a slow agent."""
     listener, received = Listener(loop), []
     notices = Notices(loop, listener.address, lambda text: received.append(text.ident))
     notices.owe(Text("a", 1, 0, None, None, 1.0, b"", verdict="dead"))
@@ -281,15 +276,15 @@
     assert notices.answer_timeout == 200.0
 
 
-def owed_notice(ident="a"):
+def undelivered_text(ident="a"):
     return Text(ident, 1, 0, None, None, 1.0, b"", verdict="dead")
 
 
 @pytest.mark.parametrize(
     "call,error", [("socket", "EMFILE"), ("socket", "ENOBUFS"), ("socket", "ENETUNREACH")]
 )
-def test_a_notice_is_told_in_a_moment_in_which_no_connection_can_be_made(call, error):
-    """Its message was lost where the first notice fell into such a moment: nothing was open by then."""
+def test_a_notice_is_sent_while_no_new_connection_can_be_opened(call, error):
+    """Without a connection opened beforehand, a first notice at such a time would be lost."""
     system = ForcedFaults()
     loop = Loop(now=Clock(), system=system)
     listener, received = Listener(loop), []
@@ -299,14 +294,14 @@
     peer = listener.meet()
     spin(loop, lambda: notices.line is not None)
     system.always[call] = error
-    notices.owe(owed_notice())
+    notices.owe(undelivered_text())
     assert b'"dead"' in peer.wait(b"dead")
     peer.say(answer(204))
     spin(loop, lambda: received == ["a"])
     assert not system.met[call]
 
 
-def test_a_connection_for_notices_that_the_agent_closes_is_made_again_after_a_while(loop):
+def test_a_connection_for_notices_closed_by_the_agent_is_reopened_after_an_interval(loop):
     listener, received = Listener(loop), []
     notices = Notices(loop, listener.address, lambda text: received.append(text.ident))
     loop.once(loop.now())
@@ -319,16 +314,16 @@
         for _ in range(5):
             loop.once(loop.now())
         assert notices.line is None and loop.due[0][0] == loop.now() + RECONNECT_INTERVAL_MS, (
-            "it does not spin"
+            "it does not reconnect in a tight loop"
         )
-    notices.owe(owed_notice())  # with nothing open: at once over a new one
+    notices.owe(undelivered_text())  # no connection is open: sent at once on a new one
     peer = listener.meet()
     peer.wait(b"dead")
     peer.say(answer(204))
     spin(loop, lambda: received == ["a"])
 
 
-def test_notices_without_a_descriptor_wait_for_one_without_a_fault(loop, monkeypatch):
+def test_notices_wait_for_a_descriptor_without_an_exception(loop, monkeypatch):
     listener, sock, received = Listener(loop), socket.socket, []
     notices = Notices(loop, listener.address, lambda text: received.append(text.ident))
     monkeypatch.setattr(
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -1,4 +1,4 @@
-"""What tests of the wire share: calls to endpoints, clients' requests, and who accepts them."""
+"""Shared by the tests of the network code: calls to endpoints, requests of clients, and an acceptor."""
 
 from helper import free_address, spin
 
@@ -18,7 +18,7 @@
 
 
 class Out:
-    """One call under way."""
+    """A call under way; `told` collects the outcomes reported before its end."""
 
     def __init__(self, loop, new_call, lines=None):
         self.loop, self.lines, self.answer, self.wanted, self.told = (
@@ -47,7 +47,7 @@
 
 
 class Acceptor:
-    """Takes texts as told and keeps them when the test says so."""
+    """Takes texts on or refuses them, and notes them as stored when the test calls `keep`."""
 
     def __init__(self, loop):
         self.loop, self.unanswered_requests = loop, []
