--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -260,7 +260,7 @@
             raise
         finally:
             if not (collected or visit.handed_over):
-                self.check_all_answered(visit)
+                self.report_unanswered(visit)
             self.idle.pop(visit, None)
             self.lingering.pop(line, None)
             self.visits.pop(visit, None)
@@ -268,7 +268,7 @@
                 line.close()
             self.open -= 1
 
-    def check_all_answered(self, visit):
+    def report_unanswered(self, visit):
         """Reports a request that was read and not answered on a connection about to be closed."""
         if visit.line.h11.our_state is h11.SEND_RESPONSE and not visit.line.left():
             self.acceptor.unanswered(visit.asked)
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -51,11 +51,11 @@
         raise ValueError(
             f"{min(states)[:40]!r} is not an endpoint state; expected one of {', '.join(ENDPOINT_STATES)}"
         )
-    ident, times = max(
+    ident, occurrences = max(
         Counter(place.ident for place in places).items(), key=lambda pair: pair[1], default=("", 0)
     )
-    if whole and times > 1:
-        raise ValueError(f"endpoint {ident[:40]!r} is in the list {times} times")
+    if whole and occurrences > 1:
+        raise ValueError(f"endpoint {ident[:40]!r} is in the list {occurrences} times")
     return version, whole, places
 
 
@@ -94,7 +94,7 @@
                 until = self.loop.now() + GRACE
                 line = yield from self.connect(until)
                 self.refused = not line and self.loop.now() < until
-                update = (yield from self.ask(line)) if line else None
+                update = (yield from self.request_list(line)) if line else None
             except (ValueError, RecursionError) as fault:
                 if self.logged_fault != str(fault):
                     logger.warning(
@@ -139,7 +139,7 @@
             return GRACE
         return min(self.wait + GRACE, GRACE * 4.0 ** min(self.silent_calls - 1, MAX_BACKOFF_EXPONENT))
 
-    def ask(self, line):
+    def request_list(self, line):
         """One call: the decoded list, or None if it was not answered with one in time."""
         wait, target = 0.0, "/api/targets"
         if self.version is not None:
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -116,7 +116,7 @@
     written; `report` receives an outcome that is certain before the answer is complete.
     """
     call, until, place = flight.call, flight.until, flight.call.place
-    line, keep = pool.take(place, loop.now()), False
+    line, reusable = pool.take(place, loop.now()), False
     try:
         while not line:
             line = yield from open_connection(loop, place.address, min(until, loop.now() + connect_timeout))
@@ -134,10 +134,10 @@
         if done < len(data):
             return (yield from read_unsent_outcome(line, call, until))
         on_written()
-        outcome, keep = yield from receive_outcome(loop, pool, flight, report)
+        outcome, reusable = yield from receive_outcome(loop, pool, flight, report)
         return outcome
     finally:
-        release_connection(loop, pool, flight, line, keep)
+        release_connection(loop, pool, flight, line, reusable)
 
 
 def go_on(loop, pool, flight, line, heard, report):
@@ -145,21 +145,21 @@
 
     `heard` holds the bytes of the answer that were received so far.
     """
-    pool.used, keep = pool.used + 1, False
+    pool.used, reusable = pool.used + 1, False
     try:
         line.encode(*encode(flight.call, 1.0))  # puts h11 into the state after a complete request
         if heard:  # to h11, b"" would mean the end of stream
             line.hear(heard)
         flight.line = line
-        outcome, keep = yield from receive_outcome(loop, pool, flight, report)
+        outcome, reusable = yield from receive_outcome(loop, pool, flight, report)
         return outcome
     finally:
-        release_connection(loop, pool, flight, line, keep)
+        release_connection(loop, pool, flight, line, reusable)
 
 
-def release_connection(loop, pool, flight, line, keep):
+def release_connection(loop, pool, flight, line, reusable):
     """Returns the connection of a call to the pool, or closes it unless another process has taken it over."""
-    if keep:
+    if reusable:
         pool.keep(flight.call.place, line, loop.now())
     else:
         pool.drop(None if flight.given else line, flight.call.place.ident)
@@ -178,14 +178,14 @@
         if loop.now() < call.valid_until:
             report(partial)
 
-    outcome, whole = yield from read_outcome(line, call, flight.until, report_in_time)
+    outcome, complete = yield from read_outcome(line, call, flight.until, report_in_time)
     if outcome.far == Far.ANSWERED:
         pool.answered(call.place, loop.now() - flight.began)
         if outcome.status == 200 and loop.now() >= call.valid_until:
             outcome = Answer(Far.SENT, gone=True, wait=outcome.wait, load=outcome.load)
     elif outcome.far == Far.SENT and line.ended and not line.unread():
         outcome.gone = pool.gone(call.place, line, loop.now() - flight.began)
-    return outcome, whole and line.again() and not line.has_extra_data()
+    return outcome, complete and line.again() and not line.has_extra_data()
 
 
 def read_outcome(line, call, until, report):
@@ -200,7 +200,7 @@
             return Answer(Far.SENT), False
     if status == 200 and len(call.texts) == 1:
         return (yield from read_delivered(line, until, report))
-    return (yield from read_whole_answer(line, call, until)) if status else (Answer(Far.SENT), False)
+    return (yield from read_complete_answer(line, call, until)) if status else (Answer(Far.SENT), False)
 
 
 def read_delivered(line, until, report):
@@ -225,13 +225,13 @@
     """
     if not line.peek():
         return Answer(Far.UNSENT)
-    outcome, _ = yield from read_whole_answer(line, call, until)
+    outcome, _ = yield from read_complete_answer(line, call, until)
     if outcome.far == Far.ANSWERED and (outcome.status in NOT_EXECUTED_STATUSES or outcome.status == 200):
         return outcome
     return Answer(Far.UNSENT, wait=outcome.wait)
 
 
-def read_whole_answer(line, call, until):
+def read_complete_answer(line, call, until):
     """As `read_outcome` for other answers, which count only if complete and well-formed.
 
     After any other the call may have been executed; a wait in its head is heeded all the same.
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -101,7 +101,7 @@
         self._wake = Event(loop)
         self._settled: dict[int, list] = {}  # waiting events and lists, by destination
         self._calls = self._interrupted = self._sent = self._received = 0
-        self._gather_until = 0.0
+        self._next_batch_at = 0.0
         self._logged_faults: dict[str, str] = {}  # the last one by node, until an answer comes
         for destination in restored or ():
             self._note_use(destination, loop.now())
@@ -180,8 +180,8 @@
             if turn.node != self.address:
                 self.hang_up()
                 self.address = turn.node
-            if self.session.pressing and self._gather_until > self.loop.now():
-                yield Until(self._gather_until)
+            if self.session.pressing and self._next_batch_at > self.loop.now():
+                yield Until(self._next_batch_at)
             began = self.loop.now()
             immediately = yield from self._call()
             if not (immediately or self.session.pressing) and began + AGAIN > self.loop.now():
@@ -196,7 +196,7 @@
         wait = self.session.longest_wait(self.address, self.wait)
         ask = self.session.next(self.address)
         if ask.request.subscribe:
-            self._gather_until = now + BATCH_INTERVAL_MS
+            self._next_batch_at = now + BATCH_INTERVAL_MS
         self._release(ask.released)
         end = yield from self._exchange(ask, wait)
         if isinstance(end, Reply):
@@ -207,9 +207,9 @@
     def _exchange(self, ask: Ask, wait: float):
         """The `Reply` or the `End` of one request. A reused connection may have been closed by the node
         meanwhile: then the request is sent once more on a new one."""
-        served = self.line is not None
+        reused = self.line is not None
         end = yield from self._attempt(ask, wait)
-        if served and end is End.BROKEN:
+        if reused and end is End.BROKEN:
             self.hang_up()
             end = yield from self._attempt(ask, wait)
         return end
@@ -268,7 +268,7 @@
 
         After a malformed one the known state stays in use and another node is asked.
         """
-        self._count()
+        self._count_received()
         if reply.body is TOO_LONG or not self.line.again():
             self.hang_up()
         try:
@@ -343,7 +343,7 @@
         for event in self._settled.pop(destination, ()):
             _notify(event)
 
-    def _count(self) -> None:
+    def _count_received(self) -> None:
         """Adds up the bytes received on the connection since the last count."""
         self._received += len(self.line.heard)
         self.line.heard.clear()
@@ -351,7 +351,7 @@
     def hang_up(self) -> None:
         """Closes the connection."""
         if self.line:
-            self._count()
+            self._count_received()
         super().hang_up()
 
 
