--- a/calicopin/wire/asking.py
+++ b/calicopin/wire/asking.py
@@ -8,15 +8,14 @@
 
 AGAIN = 100.0  # between two polls; discovery counts a poll as continued within 200 ms
 TOLD = 6000.0  # after which the platform regards a courier as informed of a change, heard or not
-# of the longest delay; with the duration of a call the first answer comes within `TOLD`
+# share of the longest delay: with the duration of a call, the first answer comes within `TOLD`
 FIRST_CALL_SHARE = 0.4
 
 
 def longest_wait(ask_within):
     """The longest wait of a poll if couriers count as informed `ask_within` ms after their last call."""
-    return min(
-        TOLD / 3.0, ask_within / 5.0
-    )  # a poll without an answer and the calls after it fit into `TOLD`
+    # a third: a poll without an answer and the calls after it fit into `TOLD`
+    return min(TOLD / 3.0, ask_within / 5.0)
 
 
 def longest_pause(wait, grace):
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -104,6 +104,7 @@
         self.line, self.task, self.since, self.until = line, None, now, now + PATIENCE
         self.fresh, self.delay = True, 0.0  # no request read yet; ms until the next one is read
         self.asked = ""  # method and target of the last request
+        # answer_pending: a request was read completely, or cannot be, and its answer is not sent yet
         self.answer_pending = self.handed_over = False
 
 
@@ -182,7 +183,7 @@
         ):
             self.free_descriptors()
         limit = self.budget.clients + self.budget.porch
-        if self.open >= limit:  # closes one idle between requests, however briefly
+        if self.open >= limit:  # close one that is idle between requests, however briefly
             visit = next((visit for visit in self.idle if not visit.fresh and visit.line.quiet()), None)
             if visit:
                 self.loop.cancel(visit.task)
@@ -400,7 +401,7 @@
         now = self.loop.now()
         if now >= self.refusal_logged_at + 1000.0:
             logger.warning(
-                "{requests} requests of clients turned away, the last with {status}: {why}",
+                "refused {requests} requests of clients, the last with {status}: {why}",
                 event="turned-away",
                 requests=self.unlogged_refusals,
                 status=status,
@@ -410,7 +411,7 @@
 
     def reply(self, line, status, body=b"", extra=()):
         """Sends an answer: whether the connection may serve another request; None if it was not sent."""
-        if self.closing or self.open >= self.budget.clients:  # short of descriptors
+        if self.closing or self.open >= self.budget.clients:  # the client's descriptor is needed
             extra = [*extra, ("Connection", "close")]
         try:
             data = line.encode(
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -113,7 +113,8 @@
 
     `still_wanted(call, now)` is asked again once a new connection is open: meanwhile the endpoint may have
     begun to drain, told a wait, or forgotten a reference. `on_written` is called once the last byte is
-    written; `report` receives an outcome that is certain before the answer is complete.
+    written; `report` receives an outcome that is certain before the answer is complete. `pool` holds idle
+    connections.
     """
     call, until, place = flight.call, flight.until, flight.call.place
     line, reusable = pool.take(place, loop.now()), False
--- a/calicopin/wire/loop.py
+++ b/calicopin/wire/loop.py
@@ -60,12 +60,14 @@
 class Loop:
     """Resumes coroutines that are ready.
 
-    After each pass `turn` is called; it returns the time (ms) at which it has to be called again.
+    After each pass `turn` is called; it returns the time (ms) at which it has to be called again. `lateness`
+    is the longest delay of a timer in ms, until a reader resets it.
     """
 
     def __init__(self, turn=lambda: FOREVER, now=None, system=HERE):
         self.now, self.turn, self.system = now or system.now, turn, system
         self.epoll, self.fds, self.faults = system.poller(), {}, FaultLog(self.now)
+        # due: heap of (time, sequence number, task, wait id); ready: queue of (task, wait id, value)
         self.due, self.sequence, self.ready, self.running = [], count(), deque(), True
         self.lateness, self.current = 0.0, None
         self.after = []  # called once after the next turn, while no coroutine is running
