--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -1,4 +1,8 @@
-"""Requests of clients: each that was read gets its answer, and a 202 only once its text is kept."""
+"""The server side: requests of clients.
+
+Each request that was read is answered; 202 is sent only once the text is in the journal. Times are
+milliseconds unless noted.
+"""
 
 import re
 from urllib.parse import parse_qsl, unquote, urlsplit
@@ -11,91 +15,103 @@
 from calicopin.wire.http import TOO_LONG, Line, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Until
 
-MOST_BODY = 65536
-PATIENCE = 2500.0  # for a whole request: guards descriptors against clients that go silent in it or before it
-LINGER = 300.0  # for a client to read its last answer
-NEW = 500.0  # a new connection is not closed for want of descriptors before: its request may be on its way
-REST = 2000.0  # nor one between requests, unless there is no room at all
-SWEEP = 250.0
-EASE = 20.0  # between two looks for room: guards the loop where connections come at full speed
-PAUSE = (
-    100.0  # after a request that could not be taken: guards the others against one that comes at full speed
-)
-LAST_TRIES, LAST_PAUSE = 4, 20.0  # at the end, for an answer that the system has no room for; ms between them
-ANSWER = 20.0  # before a text's time is up, for its client to hear that it was not taken on
-AT_ONCE = 32  # connections accepted in one pass, for the same reason
-MOST_WORD = 256  # of an id, a reference or a key
-MOST_TIME = 86400.0  # seconds; beyond a day no validity period is meant
-SECONDS = re.compile(r"[0-9]{1,18}(\.[0-9]{0,18})?")
-NUMBER = re.compile(r"[0-9]{1,9}")
+MAX_BODY_BYTES = 65536
+PATIENCE = 2500.0  # ms for a whole request, so that silent clients do not hold descriptors
+LINGER = 300.0  # ms for a client to read its last answer
+NEW = 500.0  # ms before a new connection may be closed to free descriptors: its request may be under way
+KEEP_ALIVE_MIN_IDLE_MS = 2000.0  # the same between requests, unless no descriptor is left at all
+CLEANUP_INTERVAL_MS = 250.0
+MIN_CLEANUP_INTERVAL_MS = 20.0  # bounds the cost where new connections arrive at a high rate
+REFUSAL_DELAY_MS = 100.0  # after a refused request, so that a client that repeats it does not starve others
+FINAL_ANSWER_TRIES, FINAL_ANSWER_RETRY_MS = 4, 20.0  # at exit, where the system lacks resources to send
+ANSWER_MARGIN_MS = 20.0  # left of a text's validity period for the client to receive the refusal
+MAX_ACCEPTS_PER_PASS = 32  # bounds the cost of one pass of the loop
+MAX_IDENTIFIER_LENGTH = 256  # characters of an id, a reference or a key
+MAX_TIMEOUT_S = 86400.0  # validity periods are not longer than a day
+SECONDS_PATTERN = re.compile(r"[0-9]{1,18}(\.[0-9]{0,18})?")
+DESTINATION_PATTERN = re.compile(r"[0-9]{1,9}")
 TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 class RequestRefusedError(Exception):
-    """A request that cannot be taken, with its status and a plain sentence."""
+    """A request that is refused, with its status and the reason."""
 
     def __init__(self, status, why):
         super().__init__(why)
         self.status = status
 
 
-def envelope(word):
-    """The words of an `X-Envelope` header by their names; separated by semicolons, commas or ampersands."""
-    return dict(parse_qsl(word.replace(";", "&").replace(",", "&").replace(" ", "")))
+def parse_envelope(header):
+    """The fields of an `X-Envelope` header, which semicolons, commas or ampersands separate."""
+    return dict(parse_qsl(header.replace(";", "&").replace(",", "&").replace(" ", "")))
 
 
 def read_text(head, body, products, now):
-    """A request as a text; raises RequestRefusedError with a plain sentence."""
-    told = {name.decode(): value.decode("latin-1") for name, value in head.headers}
+    """Decodes a request as a text, valid from `now` (ms); raises RequestRefusedError."""
+    headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
     parts = [unquote(part) for part in urlsplit(head.target.decode("latin-1")).path.split("/")[1:]]
     if parts[0] not in products:
         raise RequestRefusedError(404, f"no product {parts[0][:40]!r}")
-    ident, reference = told.get("x-request-id", ""), told.get("idempotency-key")
+    ident, reference = headers.get("x-request-id", ""), headers.get("idempotency-key")
     key = "/".join(parts[1:]) or None
-    if not ident or max(len(ident), len(reference or ""), len(key or "")) > MOST_WORD:
+    if not ident or max(len(ident), len(reference or ""), len(key or "")) > MAX_IDENTIFIER_LENGTH:
         raise RequestRefusedError(400, "X-Request-ID is absent, or a word is too long")
-    left = told.get("x-timeout", "").strip()
-    if not SECONDS.fullmatch(left) or float(left) > MOST_TIME:
+    timeout = headers.get("x-timeout", "").strip()
+    if not SECONDS_PATTERN.fullmatch(timeout) or float(timeout) > MAX_TIMEOUT_S:
         raise RequestRefusedError(400, "X-Timeout is no number of seconds")
-    dest = envelope(told.get("x-envelope", "")).get("dest", "")
-    if not NUMBER.fullmatch(dest):
+    dest = parse_envelope(headers.get("x-envelope", "")).get("dest", "")
+    if not DESTINATION_PATTERN.fullmatch(dest):
         raise RequestRefusedError(400, "X-Envelope names no dest")
-    return Text(ident, int(dest), products[parts[0]], reference, key, now + float(left) * 1000.0, body)
+    return Text(ident, int(dest), products[parts[0]], reference, key, now + float(timeout) * 1000.0, body)
 
 
-def misframed(head):
-    """Why the end of a request with this head cannot be relied on, with a status; or None.
+def framing_error(head):
+    """(status, reason) if the length of the body is ambiguous or too large; else None.
 
-    Two lengths may hide a second request in the body of the first.
+    Two length headers allow request smuggling: a second request hidden in the body of the first.
     """
-    told = {name: value for name, value in head.headers if name in (b"content-length", b"transfer-encoding")}
-    if len(told) == 2:
+    lengths = {
+        name: value for name, value in head.headers if name in (b"content-length", b"transfer-encoding")
+    }
+    if len(lengths) == 2:
         return 400, "both Content-Length and Transfer-Encoding"
-    if int(told.get(b"content-length", 0)) > MOST_BODY:
+    if int(lengths.get(b"content-length", 0)) > MAX_BODY_BYTES:
         return 413, "a body over 64 KiB"
     return None
 
 
 def retry_after(wait):
-    """The header that tells when to come again; `wait` in ms, 0 where none is told."""
+    """The `Retry-After` header for a wait in ms; none for 0."""
     return [("Retry-After", f"{wait / 1000.0:.3f}")] if wait > 0.0 else []
 
 
 class Visit:
-    """One connection of a client's."""
-
-    __slots__ = ("line", "task", "since", "until", "fresh", "pause", "whole", "given", "asked")
+    """A connection of a client and its state."""
+
+    __slots__ = (
+        "line",
+        "task",
+        "since",
+        "until",
+        "fresh",
+        "delay",
+        "answer_pending",
+        "handed_over",
+        "asked",
+    )
 
     def __init__(self, line, now):
         self.line, self.task, self.since, self.until = line, None, now, now + PATIENCE
-        self.fresh, self.pause = True, 0.0  # fresh: no request was read yet
-        self.asked = ""  # method and target of the request that was read last
-        self.whole = self.given = False  # whole: a request was read and its answer is not out yet
+        self.fresh, self.delay = True, 0.0  # no request read yet; ms until the next one is read
+        self.asked = ""  # method and target of the last request
+        # answer_pending: a request was read completely, or cannot be, and its answer is not sent yet
+        self.answer_pending = self.handed_over = False
 
 
 class Kept(Event):
-    """Rings once a message that was taken on is in the journal. `refused`: it could not be written there, and
-    the message was withdrawn; then `wait` is after how many ms it may come again.
+    """Set once a message that was taken on is in the journal, or could not be written there.
+
+    In the second case `refused` is true, the message was withdrawn, and `wait` (ms) goes into `Retry-After`.
     """
 
     def __init__(self, loop, text):
@@ -103,19 +119,21 @@
         self.text, self.refused, self.wait = text, False, 0.0
 
     def refuse(self, wait):
-        """The message is not taken on after all."""
+        """Notes that the message could not be written, and sets the event."""
         self.refused, self.wait = True, wait
         self.set()
 
 
 class Clients:
-    """Accepts connections as far as descriptors allow and serves what comes on them.
-
-    `acceptor` takes the texts: `acceptor.take(text)` is None where it is taken on, else the status that
-    refuses it and the wait that is advised; a text taken on is kept, or refused after all, once the event
-    that `acceptor.kept(text)` returns is set. `acceptor.answered(text)` hears that its 202 is out, and
-    `acceptor.withdraw(text)` that it never will be. `acceptor.unanswered(request)` hears of a request that
-    was read and left without an answer, which must not be.
+    """Accepts connections within the descriptor budget and serves the requests on them.
+
+    The methods of `acceptor`:
+    - `take(text)`: None if the text is taken on, else (status, advised wait in ms);
+    - `kept(text)`: a `Kept` event, set once the text is in the journal or refused;
+    - `answered(text)` and `withdraw(text)`: its 202 was sent, or could not be sent;
+    - `first_answer(text)`: an event to wait for while its destination is unknown, or None;
+    - `waited(event)`: the wait for such an event has ended;
+    - `unanswered(request)`: a request was read and its connection closed without an answer, an error.
     """
 
     def __init__(self, loop, address, products, budget, acceptor, listener=None):
@@ -127,29 +145,30 @@
             if host == "unix"
             else patiently(system, system.listen, host, int(port))
         )
-        self.status = None  # where it is told, a function that returns its body
+        self.status = None  # returns the body of /-/status; None if it is not served
         self.idle, self.lingering, self.open, self.leaving, self.closing = {}, {}, 0, False, False
-        self.visits = {}  # all that are served, with their coroutines
-        self.faults, self.told, self.relieved = 0, -FOREVER, -FOREVER
+        self.visits = {}  # open connections and their tasks
+        self.unlogged_refusals, self.refusal_logged_at, self.cleaned_up_at = 0, -FOREVER, -FOREVER
         self.accepting = loop.keep(self.accept)
 
     def accept(self):
-        """A coroutine that accepts connections until listening ends; again after `AGAIN` ms where the
-        system refuses.
+        """A coroutine that accepts connections until listening ends.
+
+        After an error of the system it frees descriptors and retries after `AGAIN` ms.
         """
         while True:
             try:
                 more = self.accept_some()
-            except OSError as fault:  # no descriptor or no memory left
+            except OSError as fault:  # out of descriptors or memory
                 logger.warning("accept failed: {fault}", event="accept.failed", fault=fault)
-                self.relieve()
+                self.free_descriptors()
                 yield Until(self.loop.now() + AGAIN)
                 continue
             yield Until(self.loop.now()) if more else Until(FOREVER, self.listener.fileno(), READ)
 
     def accept_some(self):
-        """Whether more may wait to be accepted."""
-        for _ in range(AT_ONCE):
+        """Accepts up to `MAX_ACCEPTS_PER_PASS` connections; returns whether more may be pending."""
+        for _ in range(MAX_ACCEPTS_PER_PASS):
             sock = accept_next(self.listener)
             if sock is None:
                 return False
@@ -157,127 +176,132 @@
         return True
 
     def admit(self, line):
-        """A new connection is served; where there is no room at all it is turned away, not left to wait."""
-        if self.open >= self.budget.clients and self.loop.now() >= self.relieved + EASE:
-            self.relieve()
-        most = self.budget.clients + self.budget.porch
-        if self.open >= most:  # no room at all: one that was served and stands idle, however short, gives way
+        """Serves a new connection, or answers it with 503 at once if no descriptor is left."""
+        if (
+            self.open >= self.budget.clients
+            and self.loop.now() >= self.cleaned_up_at + MIN_CLEANUP_INTERVAL_MS
+        ):
+            self.free_descriptors()
+        limit = self.budget.clients + self.budget.porch
+        if self.open >= limit:  # close one that is idle between requests, however briefly
             visit = next((visit for visit in self.idle if not visit.fresh and visit.line.quiet()), None)
             if visit:
                 self.loop.cancel(visit.task)
-        if self.open < most:
+        if self.open < limit:
             self.receive(Visit(line, self.loop.now()))
             return
-        self.complain(503, "no descriptor left for a client")
+        self.log_refusal(503, "no descriptor left for a client")
         line.part(TURNED_AWAY)
         line.close()
 
     def receive(self, visit):
-        """Serves a connection by a coroutine of its own."""
+        """Serves a connection in a coroutine of its own."""
         self.open += 1
         self.visits[visit] = self.loop.spawn(self.serve(visit))
 
     def give(self, visit):
-        """The connection, if all that came on it can be read again from its bytes: it is no longer ours.
+        """Releases a connection for the handover to another process, and returns it.
 
-        Else None.
+        None if its state cannot be rebuilt from the bytes received on it: then it stays here.
         """
         line = visit.line
-        if visit.whole or line.ended or line in self.lingering or visit not in self.visits:
+        if visit.answer_pending or line.ended or line in self.lingering or visit not in self.visits:
             return None
-        task, visit.given = self.visits.pop(visit), True
-        if not task.started():  # it would run no part of its own
+        task, visit.handed_over = self.visits.pop(visit), True
+        if not task.started():  # its `finally` block, which counts down, will not run
             self.open -= 1
         self.loop.cancel(task)
         return line
 
-    def relieve(self):
-        """Closes what may be closed until descriptors are no longer short: connections that were shown
-        out, then new ones that said nothing, then those between requests, longest first; never one with a
-        request begun.
+    def free_descriptors(self):
+        """Closes connections until fewer than `budget.clients` are open.
+
+        First those in a lingering close, then new ones without any data, then those between requests, the
+        longest idle first; never one in the middle of a request.
         """
-        now, short = self.loop.now(), self.budget.clients
-        self.relieved = now
+        now, limit = self.loop.now(), self.budget.clients
+        self.cleaned_up_at = now
         for task in list(self.lingering.values()):
-            if self.open < short:
+            if self.open < limit:
                 break
             self.loop.cancel(task)
-        for fresh, least in (
-            ((True, NEW), (False, REST)) if not self.leaving else ()
-        ):  # then few new ones come
-            for visit in list(self.idle) if self.open >= short else ():
-                if self.open < short or now - visit.since < least:
+        # while leaving, few new connections arrive: those in use stay
+        for fresh, min_idle in ((True, NEW), (False, KEEP_ALIVE_MIN_IDLE_MS)) if not self.leaving else ():
+            for visit in list(self.idle) if self.open >= limit else ():
+                if self.open < limit or now - visit.since < min_idle:
                     break
                 if visit.fresh is fresh and visit.line.quiet():
                     self.loop.cancel(visit.task)
 
     def keep_house(self):
-        """A coroutine that closes what may be closed where descriptors are short, every `SWEEP` ms."""
+        """A coroutine that frees descriptors every `CLEANUP_INTERVAL_MS`."""
         while True:
-            yield Until(self.loop.now() + SWEEP)
-            self.relieve()
+            yield Until(self.loop.now() + CLEANUP_INTERVAL_MS)
+            self.free_descriptors()
 
     def serve(self, visit):
-        """One connection from its first request to its close."""
+        """A coroutine that serves one connection until it is closed."""
         line, collected = visit.line, False
         try:
-            more = True
-            while more:
-                more = yield from self.request(visit)
-                visit.fresh = visit.whole = False
-                # one after the other: a client that never pauses does not hold up the rest
-                yield Until(self.loop.now() + visit.pause)
-            yield from self.show_out(line)
-        except Exception as fault:  # guards the program, and the client that would wait for nothing
-            self.loop.faults.tell("request.fault", "a client's request ended by a fault", fault)
-            yield from self.fault(line, 500, "a fault of the courier")
-            yield from self.show_out(line)
-        except GeneratorExit:  # called off, or collected with its loop
+            keep_alive = True
+            while keep_alive:
+                keep_alive = yield from self.request(visit)
+                visit.fresh = visit.answer_pending = False
+                # yields between requests, so that pipelined requests of one client do not delay others
+                yield Until(self.loop.now() + visit.delay)
+            yield from self.close_gracefully(line)
+        except Exception as fault:  # the process goes on, and the client still gets an answer
+            self.loop.faults.tell(
+                "request.fault", "a client's request failed by an unexpected exception", fault
+            )
+            yield from self.refuse_request(line, 500, "a fault of the courier")
+            yield from self.close_gracefully(line)
+        except GeneratorExit:  # cancelled, or garbage-collected with its loop
             collected = not self.visits[visit].over if visit in self.visits else False
             raise
         finally:
-            if not (collected or visit.given):
-                self.check_answered(visit)
+            if not (collected or visit.handed_over):
+                self.report_unanswered(visit)
             self.idle.pop(visit, None)
             self.lingering.pop(line, None)
             self.visits.pop(visit, None)
-            if not visit.given:
+            if not visit.handed_over:
                 line.close()
             self.open -= 1
 
-    def check_answered(self, visit):
-        """The connection is about to be closed: no request that was read is left without its answer."""
+    def report_unanswered(self, visit):
+        """Reports a request that was read and not answered on a connection about to be closed."""
         if visit.line.h11.our_state is h11.SEND_RESPONSE and not visit.line.left():
             self.acceptor.unanswered(visit.asked)
 
     def request(self, visit):
-        """One request and its answer; False where the connection ends."""
-        line, visit.pause, visit.whole = visit.line, 0.0, False
+        """Serves one request; returns whether the connection may serve another."""
+        line, visit.delay, visit.answer_pending = visit.line, 0.0, False
         head = yield from self.next_head(visit)
-        visit.whole = not isinstance(head, h11.Request)
+        visit.answer_pending = not isinstance(head, h11.Request)
         if not isinstance(head, h11.Request):
             if head is None and line.unread():
-                yield from self.fault(line, 408, "a head that does not come")
+                yield from self.refuse_request(line, 408, "a head that does not come")
             if isinstance(head, h11.RemoteProtocolError):
-                yield from self.fault(line, head.error_status_hint or 400, str(head))
+                yield from self.refuse_request(line, head.error_status_hint or 400, str(head))
             return False
         path, until = head.target.split(b"?")[0], visit.until
         visit.asked = f"{head.method.decode()} {head.target.decode('latin-1')[:100]}"
-        trouble = misframed(head)
-        if trouble is None and head.method not in (b"GET", b"HEAD", b"POST"):
-            trouble = 405, f"no {head.method[:20]!r}"
-        body = None if trouble else (yield from line.body(MOST_BODY, until))
-        visit.whole = True
+        error = framing_error(head)
+        if error is None and head.method not in (b"GET", b"HEAD", b"POST"):
+            error = 405, f"no {head.method[:20]!r}"
+        body = None if error else (yield from line.body(MAX_BODY_BYTES, until))
+        visit.answer_pending = True
         if body is TOO_LONG:
-            trouble = 413, "a body over 64 KiB"
-        elif body is None and not trouble:
+            error = 413, "a body over 64 KiB"
+        elif body is None and not error:
             if self.loop.now() >= until:
-                trouble = 408, "a body that does not come"
+                error = 408, "a body that does not come"
             elif line.h11.their_state is h11.ERROR and not line.ended:
-                trouble = 400, "a body that cannot be read"
-        if trouble:
-            yield from self.fault(line, *trouble)
-        if trouble or body is None:
+                error = 400, "a body that cannot be read"
+        if error:
+            yield from self.refuse_request(line, *error)
+        if error or body is None:
             return False
         if head.method != b"POST":
             if path == b"/-/status" and self.status:
@@ -289,56 +313,59 @@
         try:
             text = read_text(head, body, self.products, self.loop.now())
         except RequestRefusedError as fault:
-            visit.pause = PAUSE
-            self.complain(fault.status, fault)
+            visit.delay = REFUSAL_DELAY_MS
+            self.log_refusal(fault.status, fault)
             return (yield from self.reply(line, fault.status, str(fault).encode()))
         yield from self.wait_for_destination(line, text)
-        if line.left():  # it waited too long and hands the text in elsewhere; else a refusal does no harm
+        if line.left():  # it may submit the text elsewhere now; if not, refusing does no harm
             return (yield from self.reply(line, 503))
         refusal = self.acceptor.take(text)
         if refusal is not None:
             status, wait = refusal
             if status != 503:
-                visit.pause = PAUSE
-                self.complain(status, f"dest {text.dest}, id {text.ident[:40]!r}")
+                visit.delay = REFUSAL_DELAY_MS
+                self.log_refusal(status, f"dest {text.dest}, id {text.ident[:40]!r}")
             return (yield from self.reply(line, status, b"", retry_after(wait)))
         kept = self.acceptor.kept(text)
         yield Until(event=kept)
         if kept.refused:
-            self.complain(503, "the journal cannot be written")
+            self.log_refusal(503, "the journal cannot be written")
             return (yield from self.reply(line, 503, b"", retry_after(kept.wait)))
-        return bool((yield from self.tell_taken_on(line, text)))
+        return bool((yield from self.confirm_taken_on(line, text)))
 
-    def tell_taken_on(self, line, text):
-        """Answers 202; as `reply`. Where the client did not hear it, it hands the text in again."""
-        more = None
+    def confirm_taken_on(self, line, text):
+        """Answers 202 and returns the result of `reply`; withdraws the text if the answer cannot be sent."""
+        keep_alive = None
         try:
-            more = yield from self.reply(line, 202)
+            keep_alive = yield from self.reply(line, 202)
         except Exception:
             self.acceptor.withdraw(text)
             raise
-        (self.acceptor.withdraw if more is None else self.acceptor.answered)(text)
-        return more
+        (self.acceptor.withdraw if keep_alive is None else self.acceptor.answered)(text)
+        return keep_alive
 
     def wait_for_destination(self, line, text):
-        """Where the text's destination is not known yet, until its first answer is there, the text's time is
-        up, or its client has left. Nothing is kept of the text meanwhile."""
+        """Waits while the text's destination is unknown.
+
+        Ends with the first answer on the destination, shortly before the end of the text's validity period,
+        or when the client closes the connection. Nothing is stored of the text meanwhile.
+        """
         event = self.acceptor.first_answer(text)
         if event is None:
             return
-        until, fd = text.until - ANSWER, line.sock.fileno()
+        until, fd = text.until - ANSWER_MARGIN_MS, line.sock.fileno()
         try:
             while not event.came and self.loop.now() < until and not line.left():
-                if not line.quiet():  # its next request: that waits its turn, and hides whether it leaves
+                if not line.quiet():  # a pipelined request, which has to wait and hides a close
                     fd = -1
                 yield Until(until, fd, READ if fd >= 0 else 0, event)
         finally:
             self.acceptor.waited(event)
 
     def next_head(self, visit):
-        """Waits between requests; only here may the courier close the connection."""
+        """Waits for the head of the next request; only in this wait may the courier close the connection."""
         line = visit.line
-        if not self.closing and not line.spent():
+        if not self.closing and not line.has_extra_data():
             visit.task = self.loop.current
             if not visit.fresh:
                 visit.since, visit.until = self.loop.now(), FOREVER
@@ -347,22 +374,20 @@
             self.idle.pop(visit, None)
         if not visit.fresh:
             visit.until = self.loop.now() + PATIENCE
-        elif self.closing:  # one that says nothing must not be held
+        elif self.closing:  # a silent connection must not delay the stop
             visit.until = min(visit.until, self.loop.now() + NEW)
         return (yield from line.event(visit.until))
 
-    def fault(self, line, status, why):
-        """Answers a request that cannot be taken with a status and the reason; the connection is closed
-        after it.
-        """
-        self.complain(status, why)
+    def refuse_request(self, line, status, why):
+        """Answers a request with an error status and the reason, then the connection is closed."""
+        self.log_refusal(status, why)
         yield from self.reply(line, status, why.encode("latin-1", "replace"), [("Connection", "close")])
 
-    def show_out(self, line):
-        """The last answer on a connection is out: the client is given time to read it and to close.
+    def close_gracefully(self, line):
+        """Gives the client `LINGER` ms to read the last answer and to close the connection.
 
-        Where descriptors are short only one that has sent more, since over unread bytes the connection would
-        be reset and take the answer with it.
+        If descriptors are short, only where unread data would make the close reset the connection, by which
+        the answer could be lost.
         """
         if line.ended or line.h11.our_state is h11.IDLE:
             return
@@ -370,36 +395,37 @@
             self.lingering[line] = self.loop.current
             yield from line.linger(self.loop.now() + LINGER)
 
-    def complain(self, status, why):
-        """One line a second at the most: those that come at full speed are counted."""
-        self.faults += 1
+    def log_refusal(self, status, why):
+        """Logs refused requests, one line a second at most; the others are counted in it."""
+        self.unlogged_refusals += 1
         now = self.loop.now()
-        if now >= self.told + 1000.0:
+        if now >= self.refusal_logged_at + 1000.0:
             logger.warning(
-                "{requests} requests of clients turned away, the last with {status}: {why}",
+                "refused {requests} requests of clients, the last with {status}: {why}",
                 event="turned-away",
-                requests=self.faults,
+                requests=self.unlogged_refusals,
                 status=status,
                 why=why,
             )
-            self.faults, self.told = 0, now
+            self.unlogged_refusals, self.refusal_logged_at = 0, now
 
     def reply(self, line, status, body=b"", extra=()):
-        """Whether the connection may serve another request; None if the answer could not be written."""
-        if self.closing or self.open >= self.budget.clients:  # short of descriptors: each gives its own back
+        """Sends an answer: whether the connection may serve another request; None if it was not sent."""
+        if self.closing or self.open >= self.budget.clients:  # the client's descriptor is needed
             extra = [*extra, ("Connection", "close")]
         try:
             data = line.encode(
                 h11.Response(status_code=status, headers=[*extra, ("Content-Length", str(len(body)))]), body
             )
-        except h11.LocalProtocolError:  # the answer is out or the peer is gone
+        except h11.LocalProtocolError:  # already answered, or the peer is gone
             return None
         done = yield from line.write(data, self.loop.now() + PATIENCE)
         return None if done < len(data) else line.again()
 
     def stop_listening(self):
-        """Who has connected by then is still served. Once more does no harm: where there was no room to
-        accept all, it goes on then.
+        """Closes the listener after accepting all pending connections, which are still served.
+
+        May be called again: if not all could be accepted for lack of resources, the listener stays open.
         """
         if self.listener.fileno() < 0:
             return
@@ -413,26 +439,27 @@
         self.loop.close(self.listener)
 
     def end(self):
-        """No turn follows that would keep a message: what was asked and has no answer is refused, which
-        does no harm.
+        """Refuses all outstanding requests before the process exits.
+
+        No turn follows, so their messages are not in the journal and refusing them is safe.
         """
-        owed = {}
+        unsent = {}
         for visit in self.visits:
             line = visit.line
             if not line.ended and line.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                owed[line] = TURNED_AWAY if visit not in self.idle or not line.quiet() else b""
-        for tries_left in reversed(range(LAST_TRIES)):
-            owed = {line: left for line, answer in owed.items() if (left := line.part(answer))}
-            if not owed:
+                unsent[line] = TURNED_AWAY if visit not in self.idle or not line.quiet() else b""
+        for tries_left in reversed(range(FINAL_ANSWER_TRIES)):
+            unsent = {line: remaining for line, answer in unsent.items() if (remaining := line.part(answer))}
+            if not unsent:
                 return
             if tries_left:
-                self.loop.system.pause(LAST_PAUSE)
+                self.loop.system.pause(FINAL_ANSWER_RETRY_MS)
         logger.warning(
-            "{clients} clients were left without an answer", event="end.unanswered", clients=len(owed)
+            "{clients} clients were left without an answer", event="end.unanswered", clients=len(unsent)
         )
 
     def close_between_requests(self):
-        """Idle connections go now, the others with their next answer."""
+        """Closes idle connections now, the others with their next answer."""
         self.closing = True
         for visit in [visit for visit in self.idle if visit.line.quiet()]:
             self.loop.cancel(visit.task)
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of endpoints: goes on at once, and is begun again when it is silent or broken."""
+"""Long polling of the list of endpoints at the discovery agent. Times are milliseconds."""
 
 import json
 from collections import Counter
@@ -12,19 +12,19 @@
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import Until
 
-# to connect, and beyond the wait that was asked for: the agent is on this machine and answers at once
+# to connect, and for an answer beyond the wait of a long poll: the agent is on this machine
 GRACE = 250.0
-MOST_GRACE = 2.0 * GRACE  # for the first answer of all, where one call has met silence
-MOST_POWER = 16  # of a patience: beyond them it is as long as the watch in any case
+FIRST_ANSWER_GRACE_MS = 2.0 * GRACE  # for the first answer after a start, once a call was not answered
+MAX_BACKOFF_EXPONENT = 16  # beyond it `answer_grace` has reached its maximum
 MOST_LIST = 8 << 20
-STATES = ("active", "leaving", "left")
-MOST_WAITS = 5.0  # of an asked wait: the time after which the platform takes a courier that asks for told
+ENDPOINT_STATES = ("active", "leaving", "left")
+ASK_WITHIN_WAITS = 5.0  # after which the platform regards a polling courier as informed, in waits of a poll
 
 
 def read(data):
-    """(version, whole, places) from the list's own form; raises ValueError where it cannot be read.
+    """Decodes a list: (version, whether it is complete, places); raises ValueError if it is malformed.
 
-    Of changes the same endpoint may have several: the last one holds.
+    A list of changes may hold an endpoint several times; the last entry counts.
     """
     try:
         whole, places = (
@@ -43,45 +43,47 @@
                 for entry in data["servers"]
             ],
         )
-        states = {str(entry["state"]) for entry in data["servers"]}.difference(STATES)
+        states = {str(entry["state"]) for entry in data["servers"]}.difference(ENDPOINT_STATES)
         version = int(data["version"])
     except (KeyError, TypeError, AttributeError, OverflowError) as fault:
-        raise ValueError(f"the list lacks or garbles {fault}") from None
+        raise ValueError(f"missing or malformed entry in the list: {fault}") from None
     if states:
-        raise ValueError(f"{min(states)[:40]!r} is no state of an endpoint; there are {', '.join(STATES)}")
-    ident, times = max(
+        raise ValueError(
+            f"{min(states)[:40]!r} is not an endpoint state; expected one of {', '.join(ENDPOINT_STATES)}"
+        )
+    ident, occurrences = max(
         Counter(place.ident for place in places).items(), key=lambda pair: pair[1], default=("", 0)
     )
-    if whole and times > 1:
-        raise ValueError(f"endpoint {ident[:40]!r} stands in the list {times} times")
+    if whole and occurrences > 1:
+        raise ValueError(f"endpoint {ident[:40]!r} is in the list {occurrences} times")
     return version, whole, places
 
 
 class Discovery(Agent):
-    """`version` is that of the list as it is known; None asks for the whole of it.
+    """Polls the list of endpoints and passes each update to `heard(places, whole)`.
 
-    `senders` and `seed` are the asking's; where `spread`, the first call waits for its turn too. `pushed`: an
-    agent beside this courier has the list. `tried` once the first call has ended, heard or not; `answered`
-    once any call was answered or turned away.
+    `version` is that of the list known here; with None the complete list is requested. `senders`, `seed` and
+    `pushed` are those of `Asking`; with `spread` the first call is delayed as well. `tried` is true once the
+    first call has ended in any way, `answered` once any call was answered or refused.
     """
 
     def __init__(self, loop, address, version, wait, heard, senders=1, seed=0, spread=False, pushed=False):
         self.version, self.wait, self.heard, self.spread = version, wait, heard, spread
         self.tried = self.answered = False
-        self.unread = None  # the fault that was last told: it may come ten times a second
-        # calls in a row that met silence: meanwhile short ones only, what it has to tell is told once it is
-        # back
-        self.silent = 0
-        self.asking = Asking(senders, MOST_WAITS * wait, seed, pushed, longest_pause(wait, GRACE))
+        self.logged_fault = None  # last one logged: it may recur ten times a second
+        # consecutive calls without an answer; meanwhile calls do not wait for changes, so that an agent that
+        # is back is noticed at once
+        self.silent_calls = 0
+        self.asking = Asking(senders, ASK_WITHIN_WAITS * wait, seed, pushed, longest_pause(wait, GRACE))
         super().__init__(loop, address)
 
     def move(self, address):
-        """A new watch, from the whole list on: each address counts its versions for itself."""
+        """Continues at another address with the complete list: versions of two agents are not comparable."""
         self.version = None
         super().move(address)
 
     def talk(self):
-        """For ever: one call after the other on one connection, a new one after a fault."""
+        """A coroutine that polls for ever on one connection, and on a new one after an error."""
         self.hang_up()
         if self.spread:
             self.spread = False
@@ -92,25 +94,25 @@
                 until = self.loop.now() + GRACE
                 line = yield from self.connect(until)
                 self.refused = not line and self.loop.now() < until
-                told = (yield from self.ask(line)) if line else None
+                update = (yield from self.request_list(line)) if line else None
             except (ValueError, RecursionError) as fault:
-                if self.unread != str(fault):
+                if self.logged_fault != str(fault):
                     logger.warning(
-                        "discovery's answer cannot be read, the list known serves on: {fault}",
+                        "malformed answer of discovery, the known list stays in use: {fault}",
                         event="discovery.unread",
                         fault=fault,
                     )
-                told, self.unread, self.answered = None, str(fault), True
+                update, self.logged_fault, self.answered = None, str(fault), True
             finally:
                 self.tried = True
-            self.answered = self.answered or self.refused or told is not None
-            if told is None or not line.again():
+            self.answered = self.answered or self.refused or update is not None
+            if update is None or not line.again():
                 self.hang_up()
-            self.silent = self.silent + 1 if told is None and not self.refused else 0
-            if told is None:
+            self.silent_calls = self.silent_calls + 1 if update is None and not self.refused else 0
+            if update is None:
                 if self.refused:
                     if not self.asking.refusals:
-                        logger.warning("discovery turns calls for the list away", event="discovery.refused")
+                        logger.warning("discovery refuses calls for the list", event="discovery.refused")
                     self.asking.refused()
                 else:
                     self.asking.silent()
@@ -119,33 +121,34 @@
             if self.asking.refusals:
                 logger.info("discovery answers again", event="discovery.again")
             self.asking.answered()
-            self.unread = None
-            version, whole, places = told
+            self.logged_fault = None
+            version, whole, places = update
             self.heard(places, whole)
             self.version = version
 
-    def patience(self):
-        """For an answer beyond the wait.
+    def answer_grace(self):
+        """Time allowed for an answer beyond the wait of the call, in ms.
 
-        Guards against a discovery that answers each call late, since it is asked by many, and was never
-        heard: three calls after a watch that fell silent one is as patient as the watch, within the 6 s.
+        Grows with consecutive calls without an answer: an overloaded discovery that answers every call late
+        would never be heard otherwise. The third such call allows as much as a whole poll, which still fits
+        into the 6 s of `asking.TOLD`.
         """
-        if self.asking.pushed and not self.answered:  # a start, perhaps of many on a busy machine
-            return MOST_GRACE if self.silent else GRACE
-        if self.asking.pushed or not self.silent:
+        if self.asking.pushed and not self.answered:  # at a start, where many may start on a busy machine
+            return FIRST_ANSWER_GRACE_MS if self.silent_calls else GRACE
+        if self.asking.pushed or not self.silent_calls:
             return GRACE
-        return min(self.wait + GRACE, GRACE * 4.0 ** min(self.silent - 1, MOST_POWER))
+        return min(self.wait + GRACE, GRACE * 4.0 ** min(self.silent_calls - 1, MAX_BACKOFF_EXPONENT))
 
-    def ask(self, line):
-        """One call; None where it was not answered in time or broke."""
+    def request_list(self, line):
+        """One call: the decoded list, or None if it was not answered with one in time."""
         wait, target = 0.0, "/api/targets"
         if self.version is not None:
-            wait = 0.0 if self.silent else self.wait
+            wait = 0.0 if self.silent_calls else self.wait
             target = f"{target}?index={self.version}&wait={wait:.0f}"
-        until = self.loop.now() + wait + self.patience()
+        until = self.loop.now() + wait + self.answer_grace()
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
         status, body = (yield from line.ask(request, b"", MOST_LIST, until)) or (0, b"")
         self.refused = status in (429, 503)
         if body is TOO_LONG:
-            raise ValueError(f"it is over {MOST_LIST >> 20} MiB")
+            raise ValueError(f"the list is over {MOST_LIST >> 20} MiB")
         return read(json.loads(body)) if status == 200 else None
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints: one at a time on a connection, and none is ever sent twice by itself."""
+"""Calls to endpoints: one at a time per connection, and never repeated here. Times are milliseconds."""
 
 import base64
 import json
@@ -7,32 +7,30 @@
 import h11
 
 from calicopin.facade import Answer, Far
-from calicopin.wire.http import NO_ROOM, TOO_LONG, dial
+from calicopin.wire.http import NO_RESOURCES, TOO_LONG, open_connection
 from calicopin.wire.loop import AGAIN, Until
 
-MOST_ANSWER = 65536
-MOST_LINE = 1024  # of a first line
-NEVER_RAN = (429, 503, 504, 410)  # statuses that say so
-MOST_INTERIM = 16  # 1xx answers before the one that counts
-REST = 1000.0  # for the rest of an answer once it has begun: guards slots against answers that never end
-STATUS = re.compile(
-    rb"HTTP/1\.[01] ([0-9]{3})(?: [^\r\n]*)?\r?\n"
-)  # a whole line: one that stops short tells nothing
+MAX_ANSWER_BYTES = 65536
+MAX_STATUS_LINE_BYTES = 1024
+NOT_EXECUTED_STATUSES = (429, 503, 504, 410)  # by which an endpoint says that it did not execute a call
+MAX_INTERIM_ANSWERS = 16  # 1xx answers before the final one
+ANSWER_REMAINDER_MS = 1000.0  # for the rest of an answer, so that one that never ends does not hold a slot
+STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([0-9]{3})(?: [^\r\n]*)?\r?\n")  # complete: a cut one proves nothing
 
 
-def number(word, least=0.0):
-    """A finite number from a header, or None."""
+def parse_number(header, least=0.0):
+    """A finite number of at least `least` from a header, or None."""
     try:
-        value = float(word)
+        value = float(header)
     except (TypeError, ValueError):
         return None
     return value if least <= value < float("inf") else None
 
 
-def load(word):
-    """The report of an answer; anything but numbers is passed over."""
+def parse_load(header):
+    """The load report in an answer; entries that are not numbers are ignored."""
     try:
-        value = json.loads(word) if word else {}
+        value = json.loads(header) if header else {}
         return {
             name: float(x)
             for name, x in value.items()
@@ -69,7 +67,7 @@
 
 
 def ends(body):
-    """What a bulk answer says of each text; None where it cannot be read."""
+    """The state of each text by its id in a bulk answer; None if it cannot be decoded."""
     try:
         return {line["id"]: line["state"] for line in json.loads(body)}
     except (ValueError, TypeError, KeyError, RecursionError):
@@ -77,174 +75,177 @@
 
 
 def answer(head):
-    """What the head of an answer tells."""
-    told = {name.decode(): value.decode("latin-1") for name, value in head.headers}
+    """Decodes the head of an answer."""
+    headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
     return Answer(
         Far.ANSWERED,
         status=head.status_code,
-        wait=number(told.get("x-retry-in-ms")) or 0.0,
-        no_slot=told.get("x-no-slot") == "1",
-        load=load(told.get("x-server-load")),
+        wait=parse_number(headers.get("x-retry-in-ms")) or 0.0,
+        no_slot=headers.get("x-no-slot") == "1",
+        load=parse_load(headers.get("x-server-load")),
     )
 
 
-def status_of(begun):
-    """The status that the beginning of an answer tells; None where it is not there yet, 0 where it never
-    will.
-    """
-    told = STATUS.match(begun)
-    if told:
-        return int(told[1])
-    return None if b"HTTP/1.".startswith(begun[:7]) and b"\n" not in begun and len(begun) < MOST_LINE else 0
+def parse_status(data):
+    """The status at the beginning of an answer; None if more data is needed, 0 if it is malformed."""
+    match = STATUS_LINE.match(data)
+    if match:
+        return int(match[1])
+    return (
+        None
+        if b"HTTP/1.".startswith(data[:7]) and b"\n" not in data and len(data) < MAX_STATUS_LINE_BYTES
+        else 0
+    )
 
 
 class Flight:
-    """One call under way: how far it has come, so that it can be called off, or go on in another process."""
+    """A call under way and its progress, with which it can be cancelled or continued in another process."""
 
     __slots__ = ("call", "line", "until", "began", "task", "far", "given")
 
     def __init__(self, call, until):
         self.call, self.until, self.line, self.began, self.task = call, until, None, 0.0, None
-        self.far, self.given = Far.CALLED_OFF, False  # far: what is certain if it were called off now
+        self.far, self.given = Far.CALLED_OFF, False  # far: the outcome if it were cancelled now
 
 
-def submit(loop, lines, flight, connect_timeout, still, written, tell):
-    """One call from its start to its outcome, as a value that says how far it came.
+def submit(loop, pool, flight, connect_timeout, still_wanted, on_written, report):
+    """A coroutine that makes one call; returns its outcome as an `Answer`.
 
-    Guards drains, waits and memories of references against a connection that came up late: `still(call, now)`
-    is asked again then. `written` is called once the last byte is out; `tell` hears what is certain before
-    the answer has come to its end.
+    `still_wanted(call, now)` is asked again once a new connection is open: meanwhile the endpoint may have
+    begun to drain, told a wait, or forgotten a reference. `on_written` is called once the last byte is
+    written; `report` receives an outcome that is certain before the answer is complete. `pool` holds idle
+    connections.
     """
     call, until, place = flight.call, flight.until, flight.call.place
-    line, keep = lines.take(place, loop.now()), False
+    line, reusable = pool.take(place, loop.now()), False
     try:
         while not line:
-            line = yield from dial(loop, place.address, min(until, loop.now() + connect_timeout))
-            if line is NO_ROOM and loop.now() + AGAIN < until:
+            line = yield from open_connection(loop, place.address, min(until, loop.now() + connect_timeout))
+            if line is NO_RESOURCES and loop.now() + AGAIN < until:
                 yield Until(loop.now() + AGAIN)
                 continue
             if not line:
-                return Answer(Far.CALLED_OFF if line is NO_ROOM else Far.UNCONNECTED)
-            if not still(call, loop.now()):
+                return Answer(Far.CALLED_OFF if line is NO_RESOURCES else Far.UNCONNECTED)
+            if not still_wanted(call, loop.now()):
                 return Answer(Far.CALLED_OFF)
         flight.line, flight.began = line, loop.now()
         head, body = encode(call, max(1.0, until - loop.now()))
         data = line.encode(head, body)
-        done = yield from line.write(data, until, heed=True)
+        done = yield from line.write(data, until, stop_on_answer=True)
         if done < len(data):
-            return (yield from early(line, call, until))
-        written()
-        outcome, keep = yield from hear(loop, lines, flight, tell)
+            return (yield from read_unsent_outcome(line, call, until))
+        on_written()
+        outcome, reusable = yield from receive_outcome(loop, pool, flight, report)
         return outcome
     finally:
-        leave(loop, lines, flight, line, keep)
+        release_connection(loop, pool, flight, line, reusable)
 
 
-def go_on(loop, lines, flight, line, heard, tell):
-    """A call whose last byte another process wrote: from there to its outcome.
+def go_on(loop, pool, flight, line, heard, report):
+    """Continues a call that another process sent completely, and returns its outcome.
 
-    `heard` is what came of the answer.
+    `heard` holds the bytes of the answer that were received so far.
     """
-    lines.used, keep = lines.used + 1, False
+    pool.used, reusable = pool.used + 1, False
     try:
-        line.encode(*encode(flight.call, 1.0))  # h11 is to know that a whole request is out
-        if heard:  # nothing at all would be its end
+        line.encode(*encode(flight.call, 1.0))  # puts h11 into the state after a complete request
+        if heard:  # to h11, b"" would mean the end of stream
             line.hear(heard)
         flight.line = line
-        outcome, keep = yield from hear(loop, lines, flight, tell)
+        outcome, reusable = yield from receive_outcome(loop, pool, flight, report)
         return outcome
     finally:
-        leave(loop, lines, flight, line, keep)
+        release_connection(loop, pool, flight, line, reusable)
 
 
-def leave(loop, lines, flight, line, keep):
-    """The end of a flight: its connection serves again, is closed, or goes on in another process."""
-    if keep:
-        lines.keep(flight.call.place, line, loop.now())
+def release_connection(loop, pool, flight, line, reusable):
+    """Returns the connection of a call to the pool, or closes it unless another process has taken it over."""
+    if reusable:
+        pool.keep(flight.call.place, line, loop.now())
     else:
-        lines.drop(None if flight.given else line, flight.call.place.ident)
+        pool.drop(None if flight.given else line, flight.call.place.ident)
 
 
-def hear(loop, lines, flight, tell):
-    """The outcome, and whether its connection may serve again.
+def receive_outcome(loop, pool, flight, report):
+    """(outcome, whether the connection may be reused) of a call that was sent completely.
 
-    Guards the one final answer against a process that stood still while a delivery was told: an endpoint lets
-    go of a call once the time of its first text is up, and still says delivered. What is heard only then may
-    have run or not, and is no fault of the endpoint's.
+    An endpoint drops a call once the validity period of its first text is over, and answers it as delivered
+    all the same. If this process was suspended and reads such an answer only after that time, the call may or
+    may not have been executed: it counts as sent, and not as a failure of the endpoint.
     """
     line, flight.far, call = flight.line, Far.SENT, flight.call
 
-    def tell_in_time(early):
+    def report_in_time(partial):
         if loop.now() < call.valid_until:
-            tell(early)
+            report(partial)
 
-    outcome, whole = yield from talk(line, call, flight.until, tell_in_time)
+    outcome, complete = yield from read_outcome(line, call, flight.until, report_in_time)
     if outcome.far == Far.ANSWERED:
-        lines.answered(call.place, loop.now() - flight.began)
+        pool.answered(call.place, loop.now() - flight.began)
         if outcome.status == 200 and loop.now() >= call.valid_until:
             outcome = Answer(Far.SENT, gone=True, wait=outcome.wait, load=outcome.load)
     elif outcome.far == Far.SENT and line.ended and not line.unread():
-        outcome.gone = lines.gone(call.place, line, loop.now() - flight.began)
-    return outcome, whole and line.again() and not line.spent()
+        outcome.gone = pool.gone(call.place, line, loop.now() - flight.began)
+    return outcome, complete and line.again() and not line.has_extra_data()
 
 
-def talk(line, call, until, tell):
-    """The outcome, and whether the answer came whole."""
-    for _ in range(MOST_INTERIM):
-        while (status := status_of(line.unread())) is None and not line.ended:
-            if not (yield from line.more(until)):
+def read_outcome(line, call, until, report):
+    """(outcome, whether the answer was read completely)."""
+    for _ in range(MAX_INTERIM_ANSWERS):
+        while (status := parse_status(line.unread())) is None and not line.ended:
+            if not (yield from line.read_more(until)):
                 return Answer(Far.SENT, late=True), False
         if not status or status >= 200:
             break
         if not isinstance((yield from line.event(until)), h11.InformationalResponse):
             return Answer(Far.SENT), False
     if status == 200 and len(call.texts) == 1:
-        return (yield from delivered(line, until, tell))
-    return (yield from read(line, call, until)) if status else (Answer(Far.SENT), False)
+        return (yield from read_delivered(line, until, report))
+    return (yield from read_complete_answer(line, call, until)) if status else (Answer(Far.SENT), False)
 
 
-def delivered(line, until, tell):
-    """Once the first line says so, a text alone is delivered, whatever becomes of the rest."""
-    outcome, rest = Answer(Far.ANSWERED, status=200), min(until, line.loop.now() + REST)
+def read_delivered(line, until, report):
+    """As `read_outcome` after status 200 to a single text: delivered, whatever follows the status line."""
+    outcome, deadline = Answer(Far.ANSWERED, status=200), min(until, line.loop.now() + ANSWER_REMAINDER_MS)
     event = line.parse()
     if event is h11.NEED_DATA:
-        tell(outcome)
-        event = yield from line.event(rest)
+        report(outcome)
+        event = yield from line.event(deadline)
     if not isinstance(event, h11.Response):
         return outcome, False
     outcome = answer(event)
-    tell(outcome)
-    told = yield from line.body(MOST_ANSWER, rest)
-    return outcome, told is not None and told is not TOO_LONG
+    report(outcome)
+    body = yield from line.body(MAX_ANSWER_BYTES, deadline)
+    return outcome, body is not None and body is not TOO_LONG
 
 
-def early(line, call, until):
-    """The outcome of a call whose last byte never went out.
+def read_unsent_outcome(line, call, until):
+    """The outcome of a call that was not sent completely.
 
-    It has not run, but an answer may lie there, and a wait in it binds.
+    It has not been executed, but the endpoint may have answered, and a wait in its answer is heeded.
     """
     if not line.peek():
         return Answer(Far.UNSENT)
-    outcome, _ = yield from read(line, call, until)
-    if outcome.far == Far.ANSWERED and (outcome.status in NEVER_RAN or outcome.status == 200):
+    outcome, _ = yield from read_complete_answer(line, call, until)
+    if outcome.far == Far.ANSWERED and (outcome.status in NOT_EXECUTED_STATUSES or outcome.status == 200):
         return outcome
     return Answer(Far.UNSENT, wait=outcome.wait)
 
 
-def read(line, call, until):
-    """Any other answer counts only as a whole: a spoilt one may stand for a call that has run.
+def read_complete_answer(line, call, until):
+    """As `read_outcome` for other answers, which count only if complete and well-formed.
 
-    A wait in its head binds all the same.
+    After any other the call may have been executed; a wait in its head is heeded all the same.
     """
-    rest = min(until, line.loop.now() + REST)
-    event = yield from line.event(rest)
+    deadline = min(until, line.loop.now() + ANSWER_REMAINDER_MS)
+    event = yield from line.event(deadline)
     if not isinstance(event, h11.Response):
         return Answer(Far.SENT, late=line.loop.now() >= until), False
-    outcome, told = answer(event), (yield from line.body(MOST_ANSWER, rest))
-    if told is None or told is TOO_LONG:
+    outcome, body = answer(event), (yield from line.body(MAX_ANSWER_BYTES, deadline))
+    if body is None or body is TOO_LONG:
         return Answer(Far.SENT, late=line.loop.now() >= until, wait=outcome.wait), False
     if len(call.texts) > 1 and outcome.status == 200:
-        outcome.ends = ends(told)
-        if outcome.ends is None:  # nothing is known of any text: each may have run
+        outcome.ends = ends(body)
+        if outcome.ends is None:  # any of the texts may have been executed
             return Answer(Far.SENT, wait=outcome.wait), False
     return outcome, True
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -1,4 +1,4 @@
-"""What tests of the wire share: calls to endpoints, clients' requests, and who accepts them."""
+"""Shared by the tests of the network code: calls to endpoints, requests of clients, and an acceptor."""
 
 from helper import free_address, spin
 
@@ -18,9 +18,9 @@
 
 
 class Out:
-    """One call under way."""
+    """A call under way; `told` collects the outcomes reported before its end."""
 
-    def __init__(self, loop, what, lines=None):
+    def __init__(self, loop, new_call, lines=None):
         self.loop, self.lines, self.answer, self.wanted, self.told = (
             loop,
             lines or Lines(4, 1000.0),
@@ -28,13 +28,13 @@
             True,
             [],
         )
-        loop.spawn(self.run(what))
+        loop.spawn(self.run(new_call))
 
-    def run(self, what):
+    def run(self, new_call):
         self.answer = yield from submit(
             self.loop,
             self.lines,
-            Flight(what, self.loop.now() + what.timeout),
+            Flight(new_call, self.loop.now() + new_call.timeout),
             200.0,
             lambda call, now: self.wanted,
             lambda: None,
@@ -47,7 +47,7 @@
 
 
 class Acceptor:
-    """Takes texts as told and keeps them when the test says so."""
+    """Takes texts on or refuses them, and notes them as stored when the test calls `keep`."""
 
     def __init__(self, loop):
         self.loop, self.unanswered_requests = loop, []
