--- a/calicopin/admin/server.py
+++ b/calicopin/admin/server.py
@@ -12,13 +12,13 @@
 from calicopin.wire.http import TOO_LONG, Line, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
-PATIENCE = (
+READ_TIMEOUT_MS = (
     2000.0  # for a whole call: its answer is owed in 1 s, callers that say nothing may hold on for longer
 )
-LINGER = 300.0
-MOST_BODY = 4096
-AT_ONCE = 16  # connections accepted in one pass
-REST = 1000.0  # between two lines on calls turned away
+LINGER_TIMEOUT_MS = 300.0
+MAX_BODY_BYTES = 4096
+MAX_ACCEPTS_PER_PASS = 16  # connections accepted in one pass
+LOG_INTERVAL_MS = 1000.0  # between two lines on calls turned away
 
 
 class AdminServer:
@@ -29,17 +29,17 @@
     out.
     """
 
-    def __init__(self, loop, address, calls, most):
-        self.loop, self.calls, self.most, self.callers = loop, calls, most, {}
+    def __init__(self, loop, address, handlers, max_connections):
+        self.loop, self.handlers, self.max_connections, self.connections = loop, handlers, max_connections, {}
         host, _, port = address.rpartition(":")
         system = loop.system
-        self.listener, self.told = patiently(system, system.listen, host, int(port)), -FOREVER
+        self.listener, self.last_refusal_logged = patiently(system, system.listen, host, int(port)), -FOREVER
         self.accepting = loop.keep(self.accept, ahead=True)
 
     def accept(self):
         """A coroutine that serves each new connection with one of its own; it must not end."""
         while True:
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_ACCEPTS_PER_PASS):
                 try:
                     sock = accept_next(self.listener)
                 except OSError as fault:
@@ -51,72 +51,72 @@
                 if sock is None:
                     yield Until(FOREVER, self.listener.fileno(), READ)
                     break
-                if len(self.callers) >= self.most:
-                    self.hang_up(next(iter(self.callers)))
-                line = Line(self.loop, sock, h11.SERVER)
-                self.callers[line] = self.loop.spawn(self.serve(line), ahead=True)
+                if len(self.connections) >= self.max_connections:
+                    self.drop(next(iter(self.connections)))
+                connection = Line(self.loop, sock, h11.SERVER)
+                self.connections[connection] = self.loop.spawn(self.serve(connection), ahead=True)
             else:
                 yield Until(self.loop.now())
 
-    def serve(self, line):
-        """One connection: reads its call, answers it and closes. A caller has `PATIENCE` for each of the
+    def serve(self, connection):
+        """One connection: reads its call, answers it and closes. A caller has `READ_TIMEOUT_MS` for each of the
         two.
         """
         try:
-            until = self.loop.now() + PATIENCE
-            status, body = yield from self.hear(line, until)
+            until = self.loop.now() + READ_TIMEOUT_MS
+            status, body = yield from self.read_call(connection, until)
             if status:
-                yield from self.reply(line, status, body, until + PATIENCE)
+                yield from self.reply(connection, status, body, until + READ_TIMEOUT_MS)
         finally:
-            self.callers.pop(line, None)
-            line.close()
+            self.connections.pop(connection, None)
+            connection.close()
 
-    def hang_up(self, line):
+    def drop(self, connection):
         """Closed here too: a coroutine that was ended before its first step runs no part of its own."""
-        self.loop.cancel(self.callers.pop(line))
-        line.close()
+        self.loop.cancel(self.connections.pop(connection))
+        connection.close()
 
-    def hear(self, line, until):
+    def read_call(self, connection, until):
         """One call: its status and body; status 0 where nobody is there to hear it."""
-        head = yield from line.event(until)
+        head = yield from connection.event(until)
         if isinstance(head, h11.RemoteProtocolError):
             return self.refuse(400, f"a call that cannot be read: {head}")
         if not isinstance(head, h11.Request):
             return self.refuse(408, "a call that does not come") if head is None else (0, None)
-        body = yield from line.body(MOST_BODY, until)
+        body = yield from connection.body(MAX_BODY_BYTES, until)
         if body is TOO_LONG:
-            return self.refuse(400, f"a body over {MOST_BODY} bytes")
+            return self.refuse(400, f"a body over {MAX_BODY_BYTES} bytes")
         if body is None:
             return self.refuse(400, "a body that does not come or cannot be read")
         path = head.target.split(b"?")[0].decode("latin-1")
-        if path not in self.calls:
-            return self.refuse(404, f"no call {path[:60]!r}; there are {', '.join(self.calls)}")
-        method, act = self.calls[path]
+        if path not in self.handlers:
+            return self.refuse(404, f"no call {path[:60]!r}; there are {', '.join(self.handlers)}")
+        method, handler = self.handlers[path]
         if head.method.decode() != method:
             return self.refuse(405, f"{path} takes {method}")
         try:
-            return 200, act()
+            return 200, handler()
         except ValueError as fault:  # it cannot be done in the state that the courier is in
             return self.refuse(409, str(fault))
 
     def refuse(self, status, why):
-        """(status, body) of a call that is turned away; logged once in `REST` ms at most."""
-        if self.loop.now() >= self.told + REST:
+        """(status, body) of a call that is turned away; logged once in `LOG_INTERVAL_MS` ms at most."""
+        if self.loop.now() >= self.last_refusal_logged + LOG_INTERVAL_MS:
             logger.warning(
                 "a call at the admin address was turned away with {status}: {why}",
                 event="admin.refused",
                 status=status,
                 why=why,
             )
-            self.told = self.loop.now()
+            self.last_refusal_logged = self.loop.now()
         return status, {"error": why}
 
-    def reply(self, line, status, body, until):
+    def reply(self, connection, status, body, until):
         """Writes an answer as JSON, until `until` (ms of the loop's clock) at the latest."""
         data = json.dumps(body).encode() + b"\n"
         allow = [("Allow", "GET, POST")] if status == 405 else []
         try:
-            answer = line.encode(
+            answer = connection.encode(
                 h11.Response(
                     status_code=status,
                     headers=[
@@ -130,5 +130,5 @@
             )
         except h11.LocalProtocolError:  # it spoke no HTTP and is gone, or took an interim answer for the last
             return
-        if (yield from line.write(answer, until)) == len(answer):
-            yield from line.linger(self.loop.now() + LINGER)
+        if (yield from connection.write(answer, until)) == len(answer):
+            yield from connection.linger(self.loop.now() + LINGER_TIMEOUT_MS)
--- a/calicopin/command/__main__.py
+++ b/calicopin/command/__main__.py
@@ -15,37 +15,37 @@
 from calicopin.configuration.read import UnusableError, read
 
 
-def stop(lines, code=2):
+def fail(lines, code=2):
     """Plain lines on standard error, and the end."""
     for line in lines:
         click.echo(str(line), err=True)
     sys.exit(code)
 
 
-def sheet_of(path, over=()):
+def load_configuration(path, overrides=()):
     """A configuration that can be read."""
     try:
-        return read(path, os.environ, over)
+        return read(path, os.environ, overrides)
     except UnusableError as fault:
-        stop(fault.faults)
+        fail(fault.faults)
 
 
-def keys(_, __, values):
+def parse_overrides(_, __, values):
     """The values of --set as (key, word) pairs; click's BadParameter where one has another form."""
-    out = []
+    overrides = []
     for value in values:
-        key, sign, word = value.partition("=")
+        key, sign, new_value = value.partition("=")
         if not sign or not key:
             raise click.BadParameter(f"{value!r} is not of the form courier.slots=30")
-        out.append((key.strip(), word.strip()))
-    return out
+        overrides.append((key.strip(), new_value.strip()))
+    return overrides
 
 
-SET = click.option(
+SET_OPTION = click.option(
     "--set",
-    "over",
+    "overrides",
     multiple=True,
-    callback=keys,
+    callback=parse_overrides,
     metavar="KEY=VALUE",
     help="One key over file and variables.",
 )
@@ -83,15 +83,15 @@
     try:
         from rich.console import Console
 
-        from calicopin.command.demo import play
+        from calicopin.command.demo import run_demo
     except ImportError as fault:
-        stop(
+        fail(
             [
                 f"the demo wants a library that is not here ({fault.name}): pip install -r "
                 "requirements-emulator.txt"
             ]
         )
-    sys.exit(0 if play(seconds, rate, Console()) else 1)
+    sys.exit(0 if run_demo(seconds, rate, Console()) else 1)
 
 
 @main.command()
@@ -105,19 +105,22 @@
     code is the application's.
     """
     if application:
-        from calicopin.command.sidecar import Pair
+        from calicopin.command.sidecar import Sidecar
 
-        told = sheet_of(file)
-        faults, _ = checks.examine(told)
+        configuration = load_configuration(file)
+        faults, _ = checks.examine(configuration)
         if faults:
-            stop(faults)
+            fail(faults)
         sys.exit(
-            Pair(
-                file, told.sheet.courier.listen, list(application), lambda line: click.echo(line, err=True)
+            Sidecar(
+                file,
+                configuration.sheet.courier.listen,
+                list(application),
+                lambda line: click.echo(line, err=True),
             ).run()
         )
     if not file.endswith(".toml"):
-        stop([f"{file}: is no .toml file; `calicopin convert` makes one of the platform's JSON"])
+        fail([f"{file}: is no .toml file; `calicopin convert` makes one of the platform's JSON"])
     # this process becomes the courier: what the command line read in would stay in its memory
     os.execve(
         sys.executable, [sys.executable, "-m", "calicopin"], os.environ | {"LB_CONFIG": os.path.abspath(file)}
@@ -127,26 +130,28 @@
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Findings as JSON.")
-@SET
-def check(files, as_json, over):
+@SET_OPTION
+def check(files, as_json, overrides):
     """Examines FILES: everything that is wrong, where, and what to do. Starts and changes nothing."""
-    found, out = False, []
+    has_faults, findings = False, []
     for file in files:
         try:
-            faults, doubts = checks.examine(read(file, os.environ, over))
+            faults, doubts = checks.examine(read(file, os.environ, overrides))
         except UnusableError as fault:
             faults, doubts = fault.faults, []
-        found = found or bool(faults)
-        for kind, some in (("fault", faults), ("doubt", doubts)):
-            for one in some:
-                out.append(dict(file=file, kind=kind, place=one.place, why=one.why, do=one.do))
+        has_faults = has_faults or bool(faults)
+        for kind, group in (("fault", faults), ("doubt", doubts)):
+            for finding in group:
+                findings.append(
+                    dict(file=file, kind=kind, place=finding.place, why=finding.why, do=finding.do)
+                )
                 if not as_json:
-                    click.echo(f"{kind}: {one}")
+                    click.echo(f"{kind}: {finding}")
         if not faults and not as_json:
             click.echo(f"{file}: sound" + (f", {len(doubts)} doubts" if doubts else ""))
     if as_json:
-        click.echo(json.dumps(out, indent=1))
-    sys.exit(1 if found else 0)
+        click.echo(json.dumps(findings, indent=1))
+    sys.exit(1 if has_faults else 0)
 
 
 @main.command("write")
@@ -165,7 +170,7 @@
     try:
         text = write.compose(write.application(application), application)
     except UnusableError as fault:
-        stop(fault.faults)
+        fail(fault.faults)
     if output is None:
         click.echo(text, nl=False)
         return
@@ -174,8 +179,8 @@
         faults, doubts = checks.examine(read(output))
     except UnusableError as fault:
         faults, doubts = fault.faults, []
-    for one in [*faults, *doubts]:
-        click.echo(str(one), err=True)
+    for finding in [*faults, *doubts]:
+        click.echo(str(finding), err=True)
     click.echo(f"{output} written" + (", and not sound: mend the description" if faults else ""))
     sys.exit(1 if faults else 0)
 
@@ -183,15 +188,15 @@
 def replace_file(path, data):
     """The whole file or nothing of it: beside it first, then in its place."""
     try:
-        beside = tempfile.NamedTemporaryFile(dir=os.path.dirname(os.path.abspath(path)), delete=False)
-        with beside as file:
+        temporary = tempfile.NamedTemporaryFile(dir=os.path.dirname(os.path.abspath(path)), delete=False)
+        with temporary as file:
             file.write(data)
-        os.replace(beside.name, path)
+        os.replace(temporary.name, path)
     except OSError as fault:
-        stop([f"{path}: {fault.strerror}"])
+        fail([f"{path}: {fault.strerror}"])
 
 
-def change(key, before, after):
+def describe_change(key, before, after):
     """One key that differs between two files."""
     return (
         f"{key}: {'-' if before is None else json.dumps(before)} -> "
@@ -204,29 +209,33 @@
 @click.argument("new", type=click.Path())
 def diff(old, new):
     """What changes from OLD to NEW, and whether SIGHUP is enough or a restart is needed."""
-    some = compare.changes(sheet_of(old).sheet, sheet_of(new).sheet)
-    for key, before, after, when in some:
-        click.echo(f"{when:8} {change(key, before, after)}")
-    if not some:
+    differences = compare.changes(load_configuration(old).sheet, load_configuration(new).sheet)
+    for key, before, after, when in differences:
+        click.echo(f"{when:8} {describe_change(key, before, after)}")
+    if not differences:
         click.echo("no difference")
-    sys.exit(1 if some else 0)
+    sys.exit(1 if differences else 0)
 
 
 @main.command()
 @click.argument("file", type=click.Path())
-@SET
-def show(file, over):
+@SET_OPTION
+def show(file, overrides):
     """Every value in force and where it came from."""
-    told = sheet_of(file, over)
-    named = {}
+    configuration = load_configuration(file, overrides)
+    numbered = {}
     for table in ("product", "kind", "partner"):
-        for number, one in enumerate(getattr(told.sheet, table)):
-            named[f"{table}[{one.name}]"] = f"{table}[{number}]"
-    for key, value in compare.whole(told.sheet).items():
-        plain = key
-        for name, number in named.items():
-            plain = plain.replace(name, number) if plain.startswith(name) else plain
-        click.echo(f"{key} = {json.dumps(value, ensure_ascii=False)}  # {told.origin.get(plain, 'default')}")
+        for number, entry in enumerate(getattr(configuration.sheet, table)):
+            numbered[f"{table}[{entry.name}]"] = f"{table}[{number}]"
+    for key, value in compare.whole(configuration.sheet).items():
+        numbered_key = key
+        for name, number in numbered.items():
+            numbered_key = (
+                numbered_key.replace(name, number) if numbered_key.startswith(name) else numbered_key
+            )
+        click.echo(
+            f"{key} = {json.dumps(value, ensure_ascii=False)}  # {configuration.origin.get(numbered_key, 'default')}"
+        )
 
 
 @main.command()
@@ -240,19 +249,19 @@
 def convert_(file):
     """An operator's .toml as the platform's JSON, or the platform's JSON as an operator's file."""
     if file.endswith(".toml"):
-        told = sheet_of(file)
-        faults, _ = checks.examine(told)
+        configuration = load_configuration(file)
+        faults, _ = checks.examine(configuration)
         if faults:
-            stop(faults, 1)
-        click.echo(json.dumps(convert.to_platform(told), indent=1))
+            fail(faults, 1)
+        click.echo(json.dumps(convert.to_platform(configuration), indent=1))
         return
     try:
         with open(file, "rb") as source:
             sheet = convert.from_platform(json.load(source))
     except OSError as fault:
-        stop([f"{file}: {fault.strerror}"])
+        fail([f"{file}: {fault.strerror}"])
     except ValueError as fault:
-        stop([f"{file}: {fault}"])
+        fail([f"{file}: {fault}"])
     click.echo(convert.as_toml(sheet), nl=False)
 
 
@@ -286,21 +295,21 @@
     if not dry_run and output is None:
         raise click.UsageError("give the new file with -o, or --dry-run to see it")
     try:
-        told = read(old, {}, ())
-        sheet, lost = migrate.migrate(told, senders, reports, once_only)
+        configuration = read(old, {}, ())
+        sheet, lost = migrate.migrate(configuration, senders, reports, once_only)
     except UnusableError as fault:
-        stop(fault.faults)
-    for key, before, after, _ in compare.changes(told.sheet, sheet):
-        click.echo(f"changed: {change(key, before, after)}")
+        fail(fault.faults)
+    for key, before, after, _ in compare.changes(configuration.sheet, sheet):
+        click.echo(f"changed: {describe_change(key, before, after)}")
     for place, why in lost:
         click.echo(f"not carried over: {place}: {why}")
-    if faults := migrate.faults(sheet, told):
-        stop([*faults, f"nothing written: the counterpart of {old} would not be sound"], 1)
+    if faults := migrate.faults(sheet, configuration):
+        fail([*faults, f"nothing written: the counterpart of {old} would not be sound"], 1)
     if dry_run:
         click.echo(migrate.written(sheet), nl=False)
         return
     if os.path.exists(output):
-        stop([f"{output}: is there already; nothing written, give another name or move it away"])
+        fail([f"{output}: is there already; nothing written, give another name or move it away"])
     replace_file(output, migrate.written(sheet).encode())
     click.echo(f"{output} written")
 
@@ -313,18 +322,18 @@
         with open(file, "rb") as source:
             sealed = partners.seal(source.read())
     except OSError as fault:
-        stop([f"{file}: {fault.strerror}"])
+        fail([f"{file}: {fault.strerror}"])
     except ValueError as fault:
-        stop([f"{file}: {str(fault).lower()}"])
+        fail([f"{file}: {str(fault).lower()}"])
     replace_file(file, sealed)
     try:
-        some, _ = partners.load(file)
+        listed, _ = partners.load(file)
     except UnusableError as fault:
-        stop(fault.faults, 1)
-    click.echo(f"{file}: {len(some)} partners sealed")
+        fail(fault.faults, 1)
+    click.echo(f"{file}: {len(listed)} partners sealed")
 
 
-class Path(http.client.HTTPConnection):
+class UnixSocketConnection(http.client.HTTPConnection):
     """HTTP on a Unix socket."""
 
     def __init__(self, path):
@@ -343,32 +352,41 @@
 @click.option("--json", "as_json", is_flag=True)
 def status(where, as_json):
     """What a running courier does; WHERE is its configuration or its address."""
-    address = sheet_of(where).sheet.courier.listen if where.endswith(".toml") else where
+    address = load_configuration(where).sheet.courier.listen if where.endswith(".toml") else where
     host, _, port = address.rpartition(":")
     try:
-        line = Path(port) if host == "unix" else http.client.HTTPConnection(host, int(port), timeout=2.0)
-        line.request("GET", "/-/status")
-        answer = line.getresponse()
+        connection = (
+            UnixSocketConnection(port)
+            if host == "unix"
+            else http.client.HTTPConnection(host, int(port), timeout=2.0)
+        )
+        connection.request("GET", "/-/status")
+        answer = connection.getresponse()
         body = answer.read()
     except (OSError, ValueError, http.client.HTTPException) as fault:
-        stop([f"{address}: no courier answers there: {fault}"], 1)
+        fail([f"{address}: no courier answers there: {fault}"], 1)
     if answer.status != 200:
-        stop([f"{address}: it tells no status; set courier.status = true and restart it"], 1)
+        fail([f"{address}: it tells no status; set courier.status = true and restart it"], 1)
     if as_json:
         click.echo(body.decode())
         return
-    told = json.loads(body)
+    figures = json.loads(body)
     click.echo(
-        "  ".join(f"{key.replace('_', ' ')} {value}" for key, value in told.items() if key != "destinations")
+        "  ".join(
+            f"{key.replace('_', ' ')} {value}" for key, value in figures.items() if key != "destinations"
+        )
     )
-    head = ("destination", "mode", "waiting", "out", "endpoints", "pace", "usual_ms", "wait_ms")
+    columns = ("destination", "mode", "waiting", "out", "endpoints", "pace", "usual_ms", "wait_ms")
     rows = [
-        head,
-        *([str("-" if one[key] is None else one[key]) for key in head] for one in told["destinations"]),
+        columns,
+        *(
+            [str("-" if destination[key] is None else destination[key]) for key in columns]
+            for destination in figures["destinations"]
+        ),
     ]
-    widths = [max(len(row[at]) for row in rows) for at in range(len(head))]
+    widths = [max(len(row[column]) for row in rows) for column in range(len(columns))]
     for row in rows:
-        click.echo("  ".join(word.ljust(width) for word, width in zip(row, widths, strict=True)).rstrip())
+        click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
 main.add_command(discovery_node)
--- a/calicopin/command/demo.py
+++ b/calicopin/command/demo.py
@@ -18,24 +18,24 @@
 from rich.table import Table
 
 PARTNERS = (("gateway", 3), ("hosted", 2), ("own shop", 1))  # name and share of the traffic
-OUT = (0.35, 0.6)  # of the run: while the first partner is out
+OUTAGE = (0.35, 0.6)  # of the run: while the first partner is out
 BODY = b"order 4711 confirmed"
 
 
 class Desk(http.server.ThreadingHTTPServer):
-    """One stand-in partner: answers after a while; while `shut` it closes every connection unanswered."""
+    """One stand-in partner: answers after a while; while `in_outage` it closes every connection unanswered."""
 
     daemon_threads = True
 
     def __init__(self, name):
-        super().__init__(("127.0.0.1", 0), Calls)
-        self.name, self.delivered, self.shut, self.lock = name, set(), False, threading.Lock()
+        super().__init__(("127.0.0.1", 0), PartnerHandler)
+        self.name, self.delivered, self.in_outage, self.lock = name, set(), False, threading.Lock()
 
     def handle_error(self, *_):
         """A connection that broke: the courier went, or the partner is out."""
 
 
-class Calls(http.server.BaseHTTPRequestHandler):
+class PartnerHandler(http.server.BaseHTTPRequestHandler):
     """Answers each call after a short while; while the partner is out, connections end without an answer."""
 
     protocol_version = "HTTP/1.1"
@@ -44,7 +44,7 @@
         """Answers a call after a short while; closes the connection instead while the partner is out."""
         self.rfile.read(int(self.headers["Content-Length"]))
         time.sleep(random.uniform(0.02, 0.12))
-        if self.server.shut:
+        if self.server.in_outage:
             self.close_connection = True
             return
         with self.server.lock:
@@ -56,7 +56,7 @@
     def setup(self):
         """Ends a new connection at once while the partner is out."""
         super().setup()
-        if self.server.shut:
+        if self.server.in_outage:
             self.connection.shutdown(socket.SHUT_RDWR)
 
     def log_message(self, *_):
@@ -70,11 +70,11 @@
     daemon_threads = True
 
     def __init__(self):
-        super().__init__(("127.0.0.1", 0), Heard)
+        super().__init__(("127.0.0.1", 0), NoticeHandler)
         self.ended = {}
 
 
-class Heard(http.server.BaseHTTPRequestHandler):
+class NoticeHandler(http.server.BaseHTTPRequestHandler):
     """Notes the end of each text that a notice tells."""
 
     protocol_version = "HTTP/1.1"
@@ -82,8 +82,8 @@
     def do_POST(self):
         """Notes the ends that a request tells, one a line."""
         for line in self.rfile.read(int(self.headers["Content-Length"])).splitlines():
-            told = json.loads(line)
-            self.server.ended[told["ref"]] = told["result"]
+            notice = json.loads(line)
+            self.server.ended[notice["ref"]] = notice["result"]
         self.send_response(204)
         self.send_header("Content-Length", "0")
         self.end_headers()
@@ -93,9 +93,9 @@
         pass
 
 
-def configuration(listen, notices, desks):
+def configuration(listen, notices, partners):
     """The operator's file of the demo."""
-    out = [
+    lines = [
         "version = 1",
         "",
         "[courier]",
@@ -125,72 +125,72 @@
         'answers = "100ms"',
         "bundle = 1",
     ]
-    for number, desk in enumerate(desks):
-        out += [
+    for number, partner in enumerate(partners):
+        lines += [
             "",
             "[[partner]]",
-            f'name = "{desk.name}"',
+            f'name = "{partner.name}"',
             f"destination = {number}",
             'kind = "any"',
             "",
             "[[partner.endpoint]]",
-            f'address = "127.0.0.1:{desk.server_address[1]}"',
+            f'address = "127.0.0.1:{partner.server_address[1]}"',
         ]
-    return "\n".join(out) + "\n"
+    return "\n".join(lines) + "\n"
 
 
 def ask(listen, method, path, body=b"", headers=None):
     """One request to the courier: (status, body); OSError where it does not answer."""
-    line = http.client.HTTPConnection(*listen.split(":"), timeout=2.0)
+    connection = http.client.HTTPConnection(*listen.split(":"), timeout=2.0)
     try:
-        line.request(method, path, body, headers or {})
-        answer = line.getresponse()
+        connection.request(method, path, body, headers or {})
+        answer = connection.getresponse()
         return answer.status, answer.read()
     finally:
-        line.close()
+        connection.close()
 
 
-def table(told, desks, left):
+def status_table(status, partners, left):
     """The live figures of each destination; `left` is the seconds to go."""
-    out = Table(
+    table = Table(
         title=f"courier on loopback, {left:.0f} s to go",
         caption="the gateway goes out and comes back; no text is lost",
     )
-    for head in ("partner", "mode", "waiting", "out", "delivered", "usual ms"):
-        out.add_column(head, justify="left" if head in ("partner", "mode") else "right")
-    for one in told.get("destinations", ()):
-        desk = desks[one["destination"]]
-        out.add_row(
-            desk.name + (" (out)" if desk.shut else ""),
-            one["mode"],
-            str(one["waiting"]),
-            str(one["out"]),
-            str(len(desk.delivered)),
-            f"{one['usual_ms']:.0f}",
+    for heading in ("partner", "mode", "waiting", "out", "delivered", "usual ms"):
+        table.add_column(heading, justify="left" if heading in ("partner", "mode") else "right")
+    for destination in status.get("destinations", ()):
+        partner = partners[destination["destination"]]
+        table.add_row(
+            partner.name + (" (out)" if partner.in_outage else ""),
+            destination["mode"],
+            str(destination["waiting"]),
+            str(destination["out"]),
+            str(len(partner.delivered)),
+            f"{destination['usual_ms']:.0f}",
         )
-    out.add_section()
-    out.add_row(
+    table.add_section()
+    table.add_row(
         "all",
         "",
-        str(told.get("held", 0)),
-        str(told.get("calls_out", 0)),
-        str(sum(len(d.delivered) for d in desks)),
+        str(status.get("held", 0)),
+        str(status.get("calls_out", 0)),
+        str(sum(len(each.delivered) for each in partners)),
         "",
     )
-    return out
+    return table
 
 
-def play(seconds, rate, console):
+def run_demo(seconds, rate, console):
     """The demo; returns whether every text that was taken on had its one end."""
-    desks, notices = [Desk(name) for name, _ in PARTNERS], Notices()
-    for server in (*desks, notices):
+    partners, notices = [Desk(name) for name, _ in PARTNERS], Notices()
+    for server in (*partners, notices):
         threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        listen = f"127.0.0.1:{free.getsockname()[1]}"
+    with socket.create_server(("127.0.0.1", 0)) as probe:
+        listen = f"127.0.0.1:{probe.getsockname()[1]}"
     with tempfile.TemporaryDirectory(prefix="calicopin-demo-") as folder:
         path = os.path.join(folder, "courier.toml")
         with open(path, "w", encoding="utf-8") as file:
-            file.write(configuration(listen, f"127.0.0.1:{notices.server_address[1]}", desks))
+            file.write(configuration(listen, f"127.0.0.1:{notices.server_address[1]}", partners))
         with open(os.path.join(folder, "log"), "wb") as log:
             courier = subprocess.Popen([sys.executable, "-m", "calicopin", "run", path], stderr=log)
         try:
@@ -205,7 +205,7 @@
                 with open(os.path.join(folder, "log"), encoding="utf-8") as text:
                     console.print(text.read(), markup=False)
                 return False
-            taken, refused = drive(seconds, rate, listen, desks, console)
+            taken, refused = send_messages(seconds, rate, listen, partners, console)
             until = time.monotonic() + 8.0  # beyond the validity period: what waits comes to its end
             while time.monotonic() < until and json.loads(ask(listen, "GET", "/-/status")[1])["held"]:
                 time.sleep(0.1)
@@ -213,18 +213,18 @@
         finally:
             courier.terminate()
             courier.wait(10)
-            for server in (*desks, notices):
+            for server in (*partners, notices):
                 server.shutdown()
-    return sum_up(taken, refused, desks, notices, console)
+    return print_summary(taken, refused, partners, notices, console)
 
 
-def drive(seconds, rate, listen, desks, console):
+def send_messages(seconds, rate, listen, partners, console):
     """Hands texts in on their schedule and shows what becomes of them."""
     rng, taken, refused, began, number = random.Random(1), set(), 0, time.monotonic(), 0
     with Live(console=console, refresh_per_second=5, transient=True) as live:
-        shown = 0.0
+        last_update = 0.0
         while (passed := time.monotonic() - began) < seconds:
-            desks[0].shut = OUT[0] <= passed / seconds < OUT[1]
+            partners[0].in_outage = OUTAGE[0] <= passed / seconds < OUTAGE[1]
             while number < passed * rate:
                 number += 1
                 dest = rng.choices(range(len(PARTNERS)), [share for _, share in PARTNERS])[0]
@@ -245,18 +245,20 @@
                     taken.add(ident)
                 else:
                     refused += 1
-            if passed - shown >= 0.2:
-                shown = passed
-                live.update(table(json.loads(ask(listen, "GET", "/-/status")[1]), desks, seconds - passed))
+            if passed - last_update >= 0.2:
+                last_update = passed
+                live.update(
+                    status_table(json.loads(ask(listen, "GET", "/-/status")[1]), partners, seconds - passed)
+                )
             time.sleep(0.005)
-        desks[0].shut = False
+        partners[0].in_outage = False
     return taken, refused
 
 
-def sum_up(taken, refused, desks, notices, console):
+def print_summary(taken, refused, partners, notices, console):
     """Prints what became of all texts; whether each has had its end."""
-    delivered = set().union(*(desk.delivered for desk in desks))
-    nacked = {ident for ident, how in notices.ended.items() if how == "bounced"}
+    delivered = set().union(*(partner.delivered for partner in partners))
+    nacked = {ident for ident, result in notices.ended.items() if result == "bounced"}
     dead = set(notices.ended) - nacked
     lost = taken - delivered - nacked - dead
     console.print(
--- a/calicopin/command/discovery_node.py
+++ b/calicopin/command/discovery_node.py
@@ -8,7 +8,7 @@
 from calicopin.subscription.leases import LEAST_LEASE_BOUND, MOST_NODE_WORD, LeaseBounds
 from calicopin.subscription.messages import MOST_WORD
 
-BOUNDS = LeaseBounds()
+DEFAULT_BOUNDS = LeaseBounds()
 
 
 class Duration(click.ParamType):
@@ -39,28 +39,28 @@
             self.fail(str(fault), param, ctx)
 
 
-def word(most):
+def bounded_name(max_length):
     """A check that a name is a word of bounded length."""
 
     def check(_, param, value):
-        if value is not None and not 0 < len(value) <= most:
-            raise click.BadParameter(f"is no word of 1 to {most} characters")
+        if value is not None and not 0 < len(value) <= max_length:
+            raise click.BadParameter(f"is no word of 1 to {max_length} characters")
         return value
 
     return check
 
 
-def stop(why):
+def fail(reason):
     """A plain line on standard error, and the end."""
-    click.echo(str(why), err=True)
+    click.echo(str(reason), err=True)
     sys.exit(2)
 
 
 @click.command("discovery-node")
 @click.option("--source", required=True, type=click.Path(), metavar="FILE", help="The list log.")
-@click.option("--fleet", required=True, callback=word(MOST_WORD), help="Whose list it is.")
+@click.option("--fleet", required=True, callback=bounded_name(MOST_WORD), help="Whose list it is.")
 @click.option("--listen", type=Address(), metavar="HOST:PORT", help="Where couriers call.")
-@click.option("--node", callback=word(MOST_NODE_WORD), help="Its name, one of its own for each node.")
+@click.option("--node", callback=bounded_name(MOST_NODE_WORD), help="Its name, one of its own for each node.")
 @click.option(
     "--upstream",
     type=Address(),
@@ -71,28 +71,28 @@
 @click.option(
     "--leases",
     type=click.IntRange(min=LEAST_LEASE_BOUND),
-    default=BOUNDS.leases,
+    default=DEFAULT_BOUNDS.leases,
     show_default=True,
     help="Leases at most: one for each courier.",
 )
 @click.option(
     "--destinations",
     type=click.IntRange(min=1),
-    default=BOUNDS.destinations,
+    default=DEFAULT_BOUNDS.destinations,
     show_default=True,
     help="Destinations of one lease at most.",
 )
 @click.option(
     "--rate",
     type=click.FloatRange(min=1.0),
-    default=BOUNDS.requests_per_second,
+    default=DEFAULT_BOUNDS.requests_per_second,
     show_default=True,
     help="Requests a second of one courier.",
 )
 @click.option(
     "--burst",
     type=click.FloatRange(min=1.0),
-    default=BOUNDS.burst,
+    default=DEFAULT_BOUNDS.burst,
     show_default=True,
     help="Requests of one courier at once.",
 )
@@ -130,9 +130,9 @@
     try:
         from calicopin.discovery_node.node import NodeSettings, serve
     except ImportError as fault:
-        stop(f"a discovery node wants a library that is not here ({fault.name}): pip install calicopin")
+        fail(f"a discovery node wants a library that is not here ({fault.name}): pip install calicopin")
     if check:
-        report(source, fleet)
+        report_source(source, fleet)
     if listen is None or node is None:
         raise click.UsageError("give --listen HOST:PORT and --node NAME, or --check to read the source alone")
     from calicopin.discovery_node.server import ServerBounds
@@ -151,17 +151,17 @@
     try:
         serve(settings, SignalReader())
     except (ValueError, OSError) as fault:
-        stop(fault)
+        fail(fault)
 
 
-def report(source, fleet):
+def report_source(source, fleet):
     """What is in the source; ends the command."""
     from calicopin.discovery_node.node import check_source
 
     try:
         found = check_source(source, fleet)
     except (ValueError, OSError) as fault:
-        stop(fault)
+        fail(fault)
     for line in found.faults:
         click.echo(f"{source}:{line.number}: {line.fault}")
     figures = found.figures
--- a/calicopin/lifecycle/events.py
+++ b/calicopin/lifecycle/events.py
@@ -7,35 +7,37 @@
 import re
 from datetime import timezone
 
-DECIDED = re.compile(
+DECISION_LINE = re.compile(
     r"destination (?P<destination>\d+)(?: route (?P<route>\d+))? "
     r"(?P<what>paced|cut|out|cold|well|doubted|trusted)\b"
 )
 
 
-def fields(told):
+def event_fields(extra):
     """A record's fields; the decisions' own lines tell theirs in words."""
-    out = dict(told)
-    match = DECIDED.match(out["line"]) if out.get("event") == "decided" else None
+    record_fields = dict(extra)
+    match = DECISION_LINE.match(record_fields["line"]) if record_fields.get("event") == "decided" else None
     if match:
-        out["event"] = f"destination.{match['what']}"
-        out |= {name: int(match[name]) for name in ("destination", "route") if match[name] is not None}
-    return out
+        record_fields["event"] = f"destination.{match['what']}"
+        record_fields |= {
+            name: int(match[name]) for name in ("destination", "route") if match[name] is not None
+        }
+    return record_fields
 
 
-def line(name, record):
+def format_record(courier, record):
     """One record as JSON: time (UTC, ISO 8601), level, courier, event, message, then its own fields and a
     fault.
     """
-    told = fields(record["extra"])
-    out = {
+    extra = event_fields(record["extra"])
+    record_fields = {
         "time": record["time"].astimezone(timezone.utc).isoformat(timespec="milliseconds"),
         "level": record["level"].name,
-        "courier": name,
-        "event": told.pop("event", "other"),
+        "courier": courier,
+        "event": extra.pop("event", "other"),
         "message": record["message"],
     }
-    out |= {key: value for key, value in told.items() if key not in out}
+    record_fields |= {key: value for key, value in extra.items() if key not in record_fields}
     if record["exception"] is not None:
-        out["exception"] = repr(record["exception"].value)
-    return json.dumps(out, default=str, ensure_ascii=False)
+        record_fields["exception"] = repr(record["exception"].value)
+    return json.dumps(record_fields, default=str, ensure_ascii=False)
--- a/calicopin/lifecycle/nodes.py
+++ b/calicopin/lifecycle/nodes.py
@@ -2,16 +2,18 @@
 
 from calicopin.subscription.messages import MOST_WORD
 
-MOST_NODES = 1000
-LONGEST_AGE = 366 * 24 * 3600.0  # seconds
-AGE = 24 * 3600.0  # seconds: how old a list in the folder may be at a start, unless the file says otherwise
+MAX_NODES = 1000
+MAX_LIST_AGE_S = 366 * 24 * 3600.0  # seconds
+DEFAULT_LIST_AGE_S = (
+    24 * 3600.0
+)  # seconds: how old a list in the folder may be at a start, unless the file says otherwise
 
 
-def subscription_told(told: dict, path: str) -> dict:
+def parse_subscription(configuration: dict, path: str) -> dict:
     """The fields of a `Post` for subscriptions. Raises ValueError with the place of what cannot be read."""
-    nodes, fleet = told.get("nodes") or [], told.get("fleet") or ""
-    if not isinstance(nodes, list) or len(nodes) > MOST_NODES:
-        raise ValueError(f"{path}: nodes: is no list of at most {MOST_NODES} addresses")
+    nodes, fleet = configuration.get("nodes") or [], configuration.get("fleet") or ""
+    if not isinstance(nodes, list) or len(nodes) > MAX_NODES:
+        raise ValueError(f"{path}: nodes: is no list of at most {MAX_NODES} addresses")
     for number, node in enumerate(nodes):
         _check_address(node, f"{path}: nodes[{number}]")
         if node in nodes[:number]:
@@ -24,23 +26,27 @@
         )
     if not nodes:
         return {}
-    return {"nodes": tuple(nodes), "fleet": fleet, "max_age": _age(told.get("list_age", AGE), path)}
+    return {
+        "nodes": tuple(nodes),
+        "fleet": fleet,
+        "max_age": _list_age_ms(configuration.get("list_age", DEFAULT_LIST_AGE_S), path),
+    }
 
 
 def _check_address(node, place: str) -> None:
-    from calicopin.lifecycle.start import address
+    from calicopin.lifecycle.start import check_address
 
     try:
         if not isinstance(node, str):
             raise ValueError("is no word")
-        address(node)
+        check_address(node)
     except (OSError, ValueError) as fault:
         raise ValueError(f"{place}: {node!r:.60} is no address as 127.0.0.1:5000: {fault}") from None
 
 
-def _age(seconds, path: str) -> float:
+def _list_age_ms(seconds, path: str) -> float:
     """In milliseconds."""
-    told = isinstance(seconds, (int, float)) and not isinstance(seconds, bool)
-    if not told or not 0 < seconds <= LONGEST_AGE:
+    is_number = isinstance(seconds, (int, float)) and not isinstance(seconds, bool)
+    if not is_number or not 0 < seconds <= MAX_LIST_AGE_S:
         raise ValueError(f"{path}: list_age: {seconds!r:.40} is no number of seconds over 0 and up to a year")
     return seconds * 1000.0
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -8,7 +8,7 @@
 
 PATIENCE = 3000.0  # ms: a new configuration counts as told 4 s behind its signal
 
-LASTING = (
+RESTART_ONLY = (
     "name",
     "listen",
     "folder",
@@ -21,41 +21,41 @@
 class Renewal:
     """Hears the signals. What a new file says of discovery, descriptors and disk holds at once."""
 
-    def __init__(self, loop, signal_reader, post, again, stop, discovery, clients, runtime):
-        self.loop, self.signal_reader, self.post, self.again, self.stop = (
+    def __init__(self, loop, signal_reader, post, read_configuration, stop, discovery, clients, runtime):
+        self.loop, self.signal_reader, self.post, self.read_configuration, self.stop = (
             loop,
             signal_reader,
             post,
-            again,
+            read_configuration,
             stop,
         )
         self.discovery, self.clients, self.runtime, self.renewed = discovery, clients, runtime, False
         self.subscribes = bool(post.nodes)
-        self.try_again_at, self.try_until = FOREVER, -FOREVER  # ms: a reload that the system refused
+        self.retry_at, self.retry_deadline = FOREVER, -FOREVER  # ms: a reload that the system refused
 
     def wait(self):
         """A coroutine that waits for signals: a stop is passed on, SIGHUP reads the configuration again."""
         while True:
-            yield Until(self.try_again_at, self.signal_reader.fd, READ)
-            signs = self.signal_reader.heard()
-            if signs.intersection(self.signal_reader.STOPS):
-                self.stop.asked.set()
-            if signs.difference(self.signal_reader.STOPS):
-                self.try_until = self.loop.now() + PATIENCE
-                self.try_again_at = self.loop.now()
-            if self.loop.now() >= self.try_again_at and not self.stop.retired:
+            yield Until(self.retry_at, self.signal_reader.fd, READ)
+            signals = self.signal_reader.heard()
+            if signals.intersection(self.signal_reader.STOPS):
+                self.stop.requested.set()
+            if signals.difference(self.signal_reader.STOPS):
+                self.retry_deadline = self.loop.now() + PATIENCE
+                self.retry_at = self.loop.now()
+            if self.loop.now() >= self.retry_at and not self.stop.retired:
                 # retired: another process has heard it
-                self.try_again_at = FOREVER
+                self.retry_at = FOREVER
                 self.renew()
 
-    def relist(self, post, old):
+    def apply_partner_list(self, post, old):
         """The partners of an operator's file, all of them: it was checked as a whole."""
-        if post.watched and self.discovery is not None:
-            self.discovery.path = post.watched
+        if post.partner_file and self.discovery is not None:
+            self.discovery.path = post.partner_file
             self.discovery.take()
         elif post.known != old.known:
             _, _, places = read(post.known)
-            self.runtime.listed(places, True)
+            self.runtime.update_list(places, True)
 
     def limit_disk(self, disk):
         """So many bytes may the folder hold; the list in it has its part where destinations are subscribed
@@ -70,15 +70,15 @@
     def renew(self):
         """A file that cannot be read changes nothing; where only the moment is to blame it is read again."""
         try:
-            post = self.again()
+            post = self.read_configuration()
         except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as fault:
             logger.error(
                 "SIGHUP: the configuration cannot be read and changes nothing: {fault!r}",
                 event="reload.refused",
                 fault=fault,
             )
-            if isinstance(fault, OSError) and self.loop.now() < self.try_until:
-                self.try_again_at = self.loop.now() + AGAIN
+            if isinstance(fault, OSError) and self.loop.now() < self.retry_deadline:
+                self.retry_at = self.loop.now() + AGAIN
             return
         old, self.post, self.renewed = self.post, post, True
         logger.info(
@@ -96,7 +96,7 @@
         elif post.notices and old.notices:
             self.runtime.notices.move(post.notices)
         if post.sheet and not (post.discovery or old.discovery or self.subscribes or post.nodes):
-            self.relist(post, old)
+            self.apply_partner_list(post, old)
         if post.descriptors != old.descriptors:
             budget = Budget(post.descriptors, old.terms["familyInfo"]["workers"], bool(old.admin))
             self.clients.budget, self.runtime.lines.most = budget, budget.endpoints
@@ -114,12 +114,14 @@
                 now=post.disk,
                 before=old.disk,
             )
-        waits = [name for name in LASTING if getattr(post, name) != getattr(old, name)]
-        waits += ["nodes"] if bool(post.nodes) != self.subscribes else []
-        waits += sorted(
+        restart_keys = [name for name in RESTART_ONLY if getattr(post, name) != getattr(old, name)]
+        restart_keys += ["nodes"] if bool(post.nodes) != self.subscribes else []
+        restart_keys += sorted(
             name for name in {**old.terms, **post.terms} if post.terms.get(name) != old.terms.get(name)
         )
-        if waits:
+        if restart_keys:
             logger.warning(
-                "SIGHUP: {keys} changed and needs a restart", event="reload.restart", keys=", ".join(waits)
+                "SIGHUP: {keys} changed and needs a restart",
+                event="reload.restart",
+                keys=", ".join(restart_keys),
             )
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -12,17 +12,17 @@
 from calicopin.wire.loop import FOREVER, Until
 
 SWEEP = 1000.0
-REPORT = 10000.0
+REPORT_INTERVAL_MS = 10000.0
 # ms for which a start awaits its first list before it calls anyone by the list that it knows: an agent
 # answers at once, but a busy machine may let it wait; so long is enough for two tries of `wire.discovery`
-FIRST_LIST = 1000.0
+FIRST_LIST_TIMEOUT_MS = 1000.0
 AGAIN = 50.0  # after a fault of the disk or of our own
 # ms for which a new message waits for a journal that refuses: a fault that is over by then refuses none
 HOLD = 4.0 * AGAIN
 LAST_WORD = 20.0 + AGAIN  # ms before a message's time is up: its client still hears that it was not taken on
 
 
-def invariant_broken(invariant, what):
+def log_broken_invariant(invariant, what):
     """One line for a broken invariant."""
     logger.error(
         "invariant broken: {invariant}: {what}",
@@ -39,23 +39,27 @@
         self.loop, self.facade, self.journal, self.lines = loop, facade, journal, lines
         self.connect_timeout, self.notices, self.current = connect_timeout, None, False
         self.subscribed = None  # with discovery nodes: a `lifecycle.subscribed.Subscribed`
-        self.agent = None  # where it is told: nothing is decided before its first call for the list has ended
-        self.list_awaited = None  # until when no call is made, since no list was heard
+        self.list_agent = (
+            None  # where it is told: nothing is decided before its first call for the list has ended
+        )
+        self.list_deadline = None  # until when no call is made, since no list was heard
         self.waiting, self.calls, self.given_up, self.calling, self.refusing = [], [], [], True, False
-        self.unheard = set()  # ids of texts that were taken on and whose 202 is not out
+        self.unacknowledged = set()  # ids of texts that were taken on and whose 202 is not out
         self.flights, self.ledger = {}, ledger
         # turns in a row that ended by a fault, and since when: until one succeeds nothing is taken on
-        self.stuck, self.stuck_since = 0, 0.0
-        self.guard = SendGuard(facade.module.fail_back.cold, invariant_broken)
-        self.restored = None  # (texts, routes) of the last process, until the decisions have heard of them
+        self.stuck, self.first_failure_at = 0, 0.0
+        self.guard = SendGuard(facade.module.fail_back.cold, log_broken_invariant)
+        self.restored_state = (
+            None  # (texts, routes) of the last process, until the decisions have heard of them
+        )
         loop.turn = self.turn
 
-    def await_list(self, agent):
+    def await_first_list(self, agent):
         """Guards drains against a start: what came since the last process is told already, and the list that
-        is known is old. Nothing is called before the agent's first answer, or `FIRST_LIST` ms without one;
+        is known is old. Nothing is called before the agent's first answer, or `FIRST_LIST_TIMEOUT_MS` ms without one;
         what is taken on meanwhile ends in its time.
         """
-        self.agent, self.list_awaited = agent, self.loop.now() + FIRST_LIST
+        self.list_agent, self.list_deadline = agent, self.loop.now() + FIRST_LIST_TIMEOUT_MS
         self.facade.pause_calls(True)
 
     def restore(self):
@@ -73,22 +77,22 @@
                 routes=len(journal.routes.states),
                 interrupted=len(journal.interrupted),
             )
-        back = list(self.journal.texts.values())
-        self.restored = back, dict(journal.routes.states)
-        for text in back:
+        texts = list(self.journal.texts.values())
+        self.restored_state = texts, dict(journal.routes.states)
+        for text in texts:
             if text.verdict is not None:
                 self.notices.owe(text)
             else:
                 self.facade.hand_in(text, restored=True)
-        if back:
+        if texts:
             logger.info(
                 "{texts} texts restored, {ran} of them may have run",
                 event="restored",
-                texts=len(back),
-                ran=sum(text.ran_at is not None for text in back),
+                texts=len(texts),
+                ran=sum(text.ran_at is not None for text in texts),
             )
 
-    def inherit(self, taker):
+    def restore_from_handover(self, taker):
         """Goes on where another process was."""
         for text in taker.read(self.facade, self.journal, self.loop.now()):
             self.notices.owe(text)
@@ -108,28 +112,28 @@
         if self.journal.knows(text.ident):
             call_log.refused(text, 409, "its id is known")
             return 409, 0.0
-        if (refusal := self.no_destination(text)) is not None:
+        if (refusal := self.destination_refusal(text)) is not None:
             call_log.refused(text, refusal[0], "its destination is not listed")
             self.ledger.refused(text, again=refusal[0] == 503)
             return refusal
-        if why := self.closed_to(text):
+        if why := self.refusal_reason(text):
             call_log.refused(text, 503, why)
             self.ledger.refused(text, again=True)
-            return 503, self.come_again(text)
+            return 503, self.retry_after(text)
         self.journal.taken(text)
         call_log.taken(text, self.loop.now())
         self.facade.hand_in(text)
         self.ledger.taken += 1
         return None
 
-    def no_destination(self, text):
+    def destination_refusal(self, text):
         """The status and the wait that refuse a text whose destination is not known; None where it is."""
         if self.subscribed is not None:
-            status = self.subscribed.refusal(text.dest)
+            status = self.subscribed.refusal_status(text.dest)
             return status and (status, self.facade.advice(text) if status == 503 else 0.0)
         return None if self.facade.serves(text.dest) else ((404 if self.current else 503), 0.0)
 
-    def closed_to(self, text):
+    def refusal_reason(self, text):
         """Why nothing more is taken on, or there is no room for this text; "" where it may be."""
         if self.refusing:
             return "the courier ends"
@@ -142,27 +146,27 @@
     def first_answer(self, text):
         """What a text has to wait for before it can be taken on or refused: the first answer on its
         destination. None where that is known, and where the text is refused in any case."""
-        if self.subscribed is None or self.closed_to(text) or self.journal.knows(text.ident):
+        if self.subscribed is None or self.refusal_reason(text) or self.journal.knows(text.ident):
             return None
         return self.subscribed.first_answer(text.dest)
 
     def waited(self, event):
         """A text that waited for the event is decided on now, or its client has left."""
-        self.subscribed.waited(event)
+        self.subscribed.stop_waiting_for(event)
 
     def stop_waiting(self):
         """Nothing more is taken on: texts that wait for a first answer are refused."""
         if self.subscribed is not None:
             self.subscribed.stop_waiting()
 
-    def come_again(self, text):
+    def retry_after(self, text):
         """The milliseconds after which a message that is turned away may come again (0: none told)."""
         return max(self.facade.advice(text), HOLD if self.stuck else 0.0)
 
     def kept(self, text):
         """An event that is set once the message is in the journal, or is refused."""
         event = Kept(self.loop, text)
-        self.unheard.add(text.ident)
+        self.unacknowledged.add(text.ident)
         self.waiting.append(event)
         return event
 
@@ -172,17 +176,17 @@
 
     def withdraw(self, text):
         """The client is gone before its answer: the text is ended without one."""
-        self.unheard.discard(text.ident)
+        self.unacknowledged.discard(text.ident)
         if text in self.given_up:  # it has ended already, with a notice that nobody waits for
             self.given_up.remove(text)
-            self.over(text)
+            self.complete(text)
         self.facade.withdraw(text)
 
     def answered(self, text):
         """The text's 202 is out: from here on a notice of it means something."""
-        self.unheard.discard(text.ident)
+        self.unacknowledged.discard(text.ident)
 
-    def listed(self, places, whole):
+    def update_list(self, places, whole):
         """News of discovery's.
 
         Guards all texts against an agent that has no list yet and says so with an empty one.
@@ -200,28 +204,28 @@
             if whole or self.lines.listed is None:
                 self.lines.list(now_listed.values())
             else:
-                gone = [place for place in former.values() if place is not None]
-                self.lines.change(gone, [now_listed[number] for number in former if number in now_listed])
+                removed = [place for place in former.values() if place is not None]
+                self.lines.change(removed, [now_listed[number] for number in former if number in now_listed])
 
     def released(self, destination):
         """The subscription to a destination was given up."""
-        gone = self.facade.release(destination)
+        removed = self.facade.release(destination)
         if self.lines.listed is not None:
-            self.lines.change(gone, [])
+            self.lines.change(removed, [])
 
     # The turn.
 
     def turn(self):
         """Decides on all that a pass brought; a fault in that is logged and the courier serves on."""
         try:
-            due = self.decide() if self.agent is None or self.agent.tried else FOREVER
-            self.note_down()
+            due = self.decide() if self.list_agent is None or self.list_agent.tried else FOREVER
+            self.journal_decisions()
         except Exception as fault:
-            return self.held_up(fault)
+            return self.handle_failed_turn(fault)
         if self.stuck:
             logger.info("turns go on, {turns} ended by a fault", event="turn.again", turns=self.stuck)
             self.stuck, due = 0, self.loop.now()
-            self.facade.pause_calls(self.list_awaited is not None)
+            self.facade.pause_calls(self.list_deadline is not None)
         while place := self.facade.given_back():
             self.lines.give_back(place)
         while line := self.facade.said():
@@ -229,33 +233,33 @@
         waiting, self.waiting = self.waiting, []
         for event in waiting:
             event.set()
-        self.tell_ends(lambda text: True)
+        self.queue_notices(lambda text: True)
         calls, self.calls = self.calls, []
-        begun = [self.begin(call) for call in calls]
-        return due if all(begun) else self.loop.now()
+        started = [self.start_call(call) for call in calls]
+        return due if all(started) else self.loop.now()
 
-    def held_up(self, fault):
+    def handle_failed_turn(self, fault):
         """A turn ended by a fault: what was decided in it is not in the journal. Nothing goes out, nothing
         more is taken on, and what nothing could send any more after a restart is told its end in time. When
         the next turn is due."""
         now = self.loop.now()
         if not self.stuck:
-            self.stuck_since = now
+            self.first_failure_at = now
             self.facade.pause_calls(True)
         self.stuck += 1
-        self.tell_of(fault)
+        self.log_failed_turn(fault)
         # guards memories of references, waits and validity periods against calls that the journal held up:
         # each is decided anew. It costs a submit of the text's allowance.
-        late, self.calls = self.calls, []
-        for call in late:
+        delayed, self.calls = self.calls, []
+        for call in delayed:
             self.facade.report(call, Answer(Far.CALLED_OFF), 0.0)
-        self.refuse_new(now)
+        self.refuse_unjournalled(now)
         # ends that could not be written are told once the time of their messages is up: nothing sends those
         # after a restart; others wait for the journal: a restart might send them behind their end
-        self.tell_ends(lambda text: now >= text.until)
+        self.queue_notices(lambda text: now >= text.until)
         return now + AGAIN
 
-    def tell_of(self, fault):
+    def log_failed_turn(self, fault):
         """Guards the log against a disk that refuses for long."""
         if isinstance(fault, OSError):
             self.loop.faults.tell_refusal(
@@ -269,25 +273,25 @@
                 "turn.fault", "a turn ended by a fault, {turns} in a row", fault, turns=self.stuck
             )
 
-    def refuse_new(self, now):
+    def refuse_unjournalled(self, now):
         """Messages that wait to be written are refused: at once where the journal surely does not hold them
         after a kill, else only when their time is nearly up, since a restart might still send them."""
-        over = now >= self.stuck_since + HOLD and not self.journal.torn
+        window_passed = now >= self.first_failure_at + HOLD and not self.journal.torn
         waiting, self.waiting = self.waiting, []
         for event in waiting:
-            if over or now >= event.text.until - LAST_WORD:
+            if window_passed or now >= event.text.until - LAST_WORD:
                 self.withdraw(event.text)
-                event.refuse(self.come_again(event.text))
+                event.refuse(self.retry_after(event.text))
             else:
                 self.waiting.append(event)
 
-    def tell_ends(self, due):
+    def queue_notices(self, is_due):
         """Owes the notices of texts that were given up, as far as they are `due` and their 202 is out: before
         it a notice would count for nothing.
         """
         given_up, self.given_up = self.given_up, []
         for text in given_up:
-            if due(text) and text.ident not in self.unheard:
+            if is_due(text) and text.ident not in self.unacknowledged:
                 self.notices.owe(text)
             else:
                 self.given_up.append(text)
@@ -295,15 +299,15 @@
     def decide(self):
         """The decisions on all that came in; when the next ones are due."""
         now = self.loop.now()
-        if self.list_awaited is not None and (self.agent.answered or now >= self.list_awaited):
-            self.list_awaited = None
+        if self.list_deadline is not None and (self.list_agent.answered or now >= self.list_deadline):
+            self.list_deadline = None
             self.facade.pause_calls(bool(self.stuck))
         due = self.facade.tick(now)
-        if self.list_awaited is not None:
-            due = min(due, self.list_awaited)
-        if self.restored is not None:
-            self.guard.started(self.facade.unknown(*self.restored, now))
-            self.restored = None
+        if self.list_deadline is not None:
+            due = min(due, self.list_deadline)
+        if self.restored_state is not None:
+            self.guard.started(self.facade.unknown(*self.restored_state, now))
+            self.restored_state = None
         for name in self.facade.overran():
             self.guard.overran(name)
         return due
@@ -313,7 +317,7 @@
         """How many calls are out."""
         return len(self.flights)
 
-    def begin(self, call):
+    def start_call(self, call):
         """Sends a call, as far as the guard lets it go; its time-out counts from now, but no call is out
         beyond the time of its first text, however long the turn took. Whether it was sent.
         """
@@ -323,24 +327,26 @@
             return False
         call_log.call_sent(call)
         flight = Flight(call, min(now + call.timeout, call.valid_until))
-        self.fly(
+        self.spawn_call(
             flight,
-            lambda written, tell: submit(
-                self.loop, self.lines, flight, self.connect_timeout, self.facade.still, written, tell
+            lambda on_written, report: submit(
+                self.loop, self.lines, flight, self.connect_timeout, self.facade.still, on_written, report
             ),
         )
         return True
 
-    def go_on(self, flight, line, heard):
+    def go_on(self, flight, line, received):
         """A call that another process began."""
-        self.fly(flight, lambda written, tell: go_on(self.loop, self.lines, flight, line, heard, tell))
+        self.spawn_call(
+            flight, lambda on_written, report: go_on(self.loop, self.lines, flight, line, received, report)
+        )
 
-    def fly(self, flight, talk):
+    def spawn_call(self, flight, exchange):
         """Runs a call's talk with its endpoint as a coroutine, to its outcome."""
         self.flights[flight] = True
-        flight.task = self.loop.spawn(self.carry(flight, talk))
+        flight.task = self.loop.spawn(self.run_call(flight, exchange))
 
-    def note_down(self):
+    def journal_decisions(self):
         """What was decided goes out only once the journal holds it."""
         facade, journal, now = self.facade, self.journal, self.loop.now()
         while back := facade.back():
@@ -353,7 +359,7 @@
             self.ledger.ended(end)
             if end.verdict is None:
                 call_log.ended(end, now)
-                self.over(end.text)
+                self.complete(end.text)
             else:
                 call_log.given_up(end)
                 journal.given_up(end.text, end.verdict, end.wait)
@@ -367,23 +373,23 @@
                 journal.route(dest, endpoint, state)
         journal.flush()
 
-    def carry(self, flight, talk):
+    def run_call(self, flight, exchange):
         """One call; whatever happens in it, its texts get an outcome."""
         call, started = flight.call, flight.began or self.loop.now()
         answer = Answer(Far.SENT)  # a fault leaves open how far it came
         collected = False
 
-        def written():
+        def on_written():
             self.ledger.forwards += len(call.texts)
 
-        def tell(early):
+        def report(result):
             elapsed = self.loop.now() - started
             if not call.told:
-                call_log.call_failed(call, early, elapsed)
-            self.facade.report(call, early, elapsed)
+                call_log.call_failed(call, result, elapsed)
+            self.facade.report(call, result, elapsed)
 
         try:
-            answer = yield from talk(written, tell)
+            answer = yield from exchange(on_written, report)
         except GeneratorExit:
             # called off, with what is known of it; or collected with its loop, at any moment of other work
             answer, collected = Answer(flight.far), not flight.task.over
@@ -395,10 +401,10 @@
         finally:
             del self.flights[flight]
             if not flight.given and not collected:
-                tell(answer)
+                report(answer)
                 self.guard.call_ended(call)
 
-    def figures(self):
+    def statistics(self):
         """What `GET /admin/stats` answers: the ledger, what is taken and not ended, and the list."""
         return self.ledger.told() | dict(
             outstanding=len(self.facade.texts),
@@ -410,7 +416,7 @@
         """What `GET /-/status` answers: the figures, what is held, and every destination."""
         ledger = self.ledger
         return json.dumps(
-            self.figures()
+            self.statistics()
             | dict(
                 taken=ledger.taken,
                 turned_away=ledger.turned_away,
@@ -430,27 +436,27 @@
     def told(self, text):
         """The platform has heard a notice."""
         self.ledger.noticed += 1
-        self.over(text)
+        self.complete(text)
 
-    def over(self, text):
+    def complete(self, text):
         """Nothing is owed for the text any more."""
         self.journal.over(text, self.loop.now())
 
-    def keep_house(self):
+    def run_housekeeping(self):
         """Closes idle connections in time and says how late the loop ran."""
-        report = self.loop.now() + REPORT
+        report_at = self.loop.now() + REPORT_INTERVAL_MS
         while True:
             yield Until(self.loop.now() + SWEEP)
             self.lines.sweep(self.loop.now())
-            if self.loop.now() >= report:
-                line = (
+            if self.loop.now() >= report_at:
+                message = (
                     "loop at most {late_ms:.1f} ms late; {taken} taken, {turned_away} turned away, "
                     "{given_up} given up, "
                     "{held} held, {out} out"
                 )
                 ledger = self.ledger
                 logger.info(
-                    line,
+                    message,
                     event="figures",
                     late_ms=self.loop.lateness,
                     taken=ledger.taken,
@@ -459,4 +465,4 @@
                     held=len(self.facade.texts),
                     out=self.out,
                 )
-                self.loop.lateness, report = 0.0, self.loop.now() + REPORT
+                self.loop.lateness, report_at = 0.0, self.loop.now() + REPORT_INTERVAL_MS
--- a/calicopin/lifecycle/signals.py
+++ b/calicopin/lifecycle/signals.py
@@ -14,15 +14,15 @@
     STOPS = (signal.SIGTERM, signal.SIGINT)
 
     def __init__(self):
-        self.signs = set()
-        for sign in (signal.SIGHUP, *self.STOPS):
-            signal.signal(sign, lambda number, _: self.signs.add(number))
+        self.received = set()
+        for signal_number in (signal.SIGHUP, *self.STOPS):
+            signal.signal(signal_number, lambda number, _: self.received.add(number))
         from calicopin.system import HERE, patiently  # behind the handlers: reading it in takes a while
 
-        self.fd, mouth = patiently(HERE, os.pipe2, os.O_NONBLOCK | os.O_CLOEXEC)
-        signal.set_wakeup_fd(mouth, warn_on_full_buffer=False)
-        if self.signs:  # it came before there was a pipe for it
-            os.write(mouth, b"\0")
+        self.fd, write_fd = patiently(HERE, os.pipe2, os.O_NONBLOCK | os.O_CLOEXEC)
+        signal.set_wakeup_fd(write_fd, warn_on_full_buffer=False)
+        if self.received:  # it came before there was a pipe for it
+            os.write(write_fd, b"\0")
 
     def heard(self):
         """The signals that came since the last call, each once."""
@@ -31,5 +31,5 @@
                 pass
         except BlockingIOError:
             pass
-        signs, self.signs = self.signs, set()
-        return signs
+        received, self.received = self.received, set()
+        return received
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -15,7 +15,7 @@
 from calicopin.lifecycle.renewal import Renewal
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.stop import Stop
+from calicopin.lifecycle.stop import Shutdown
 from calicopin.state.connections import Budget, Lines
 from calicopin.state.journal import Journal
 from calicopin.state.ledger import Ledger
@@ -45,29 +45,29 @@
     known: dict
     terms: dict
     sheet: object = None  # an operator's own file, where there is one
-    watched: str = ""  # a file with the list of partners
+    partner_file: str = ""  # a file with the list of partners
     notices: str = ""
     status: bool = False
     log: str = "lines"
     store: str = "file"
     admin: str = ""  # a second address, where operators call
-    passed: str = (
+    listening_socket: str = (
         ""  # the number of a descriptor: the clients' listening socket, which every process inherits
     )
-    meeting: str = ""  # a folder that this process and the one that follows it both see
+    handover_folder: str = ""  # a folder that this process and the one that follows it both see
     durable: bool = False  # a 202 outlasts the machine's loss of power too
     nodes: tuple = ()  # discovery nodes: where there are some, destinations are subscribed to
     fleet: str = ""  # as the nodes name what they serve
     max_age: float = 0.0  # milliseconds: of the list in the folder, at a start
 
 
-def address(word):
+def check_address(value):
     """An address as it is told; OSError or ValueError where it is none."""
-    host, _, port = word.rpartition(":")
+    host, _, port = value.rpartition(":")
     socket.inet_aton(host)
     if not 0 < int(port) < 65536:
-        raise ValueError(f"no port: {word[:40]!r}")
-    return word
+        raise ValueError(f"no port: {value[:40]!r}")
+    return value
 
 
 def posted(environ, renewed=False, system=HERE):
@@ -75,56 +75,58 @@
     file was replaced, its discovery stands before the variable.
     """
     path, sheet = environ["LB_CONFIG"], None
-    second, passed, meeting = (
+    admin_address, listening_socket, handover_folder = (
         environ.get(name, "") for name in ("LB_ADMIN_ADDR", "LB_PASSED_SOCKET", "TMPDIR")
     )
     if path.endswith(".toml"):  # only then is the reader of operators' files read in
         from calicopin.configuration.posting import platform_form
 
-        told, sheet = platform_form(path, environ)
+        configuration, sheet = platform_form(path, environ)
         environ = {}
     else:
-        told = json.loads(system.read(path))
-        if "settings" in told:
-            check(told["settings"])
+        configuration = json.loads(system.read(path))
+        if "settings" in configuration:
+            check(configuration["settings"])
     subscription = {}
-    if not {"nodes", "fleet", "list_age"}.isdisjoint(told):
-        from calicopin.lifecycle.nodes import subscription_told
-
-        subscription = subscription_told(told, path)
-    discovery = environ.get("LB_DISCOVERY"), told.get("discovery")
-    first, other = reversed(discovery) if renewed else discovery
-    second = second or told.get("admin_addr")
-    limits, seed = told.get("limits", {}), str(told.get("seed", ""))
+    if not {"nodes", "fleet", "list_age"}.isdisjoint(configuration):
+        from calicopin.lifecycle.nodes import parse_subscription
+
+        subscription = parse_subscription(configuration, path)
+    discovery_addresses = environ.get("LB_DISCOVERY"), configuration.get("discovery")
+    preferred, fallback = reversed(discovery_addresses) if renewed else discovery_addresses
+    admin_address = admin_address or configuration.get("admin_addr")
+    limits, seed = configuration.get("limits", {}), str(configuration.get("seed", ""))
     try:
         seed = int(seed, 16)
     except ValueError:
         seed = zlib.crc32(seed.encode())
     return Post(
-        name=told.get("name") or environ.get("LB_NAME", "courier"),
-        listen=environ.get("LB_LISTEN") or told["listen"],
-        discovery=address(first or other) if first or other or not (sheet or subscription) else "",
-        admin=address(second) if second else "",
-        passed=passed,
-        meeting=meeting,
-        folder=environ.get("LB_STATE") or told["state"],
+        name=configuration.get("name") or environ.get("LB_NAME", "courier"),
+        listen=environ.get("LB_LISTEN") or configuration["listen"],
+        discovery=check_address(preferred or fallback)
+        if preferred or fallback or not (sheet or subscription)
+        else "",
+        admin=check_address(admin_address) if admin_address else "",
+        listening_socket=listening_socket,
+        handover_folder=handover_folder,
+        folder=environ.get("LB_STATE") or configuration["state"],
         seed=seed,
         descriptors=int(limits.get("sockets") or 1024),
         disk=int(float(limits.get("disk_mb") or 3) * 1e6),
-        known=told.get("known") or {"version": 0, "full": True, "servers": []},
-        terms=told["settings"],
+        known=configuration.get("known") or {"version": 0, "full": True, "servers": []},
+        terms=configuration["settings"],
         sheet=sheet,
-        watched=told.get("watched", ""),
-        notices=told.get("notices", ""),
-        status=bool(told.get("status")),
-        log=told.get("log", "lines"),
-        store=told.get("store", "file"),
-        durable=told.get("durability") == "machine",
+        partner_file=configuration.get("watched", ""),
+        notices=configuration.get("notices", ""),
+        status=bool(configuration.get("status")),
+        log=configuration.get("log", "lines"),
+        store=configuration.get("store", "file"),
+        durable=configuration.get("durability") == "machine",
         **subscription,
     )
 
 
-def listed(known):
+def initial_list(known):
     """(version, places) of the list known at a start; one that cannot be read holds nothing: discovery has
     the whole of it.
     """
@@ -138,110 +140,133 @@
     return version, places
 
 
-def build(post, loop, signal_reader, again, lock=None, taker=None):
+def build(post, loop, signal_reader, read_configuration, lock=None, taker=None):
     """The parts of one courier; what was journalled is handed in before any client is heard.
 
-    `again` reads once more what the platform tells. `lock` is the folder's, `taker` holds what another
+    `read_configuration` reads once more what the platform tells. `lock` is the folder's, `taker` holds what another
     process gives instead of it.
     """
     terms = post.terms
     ceilings = terms["ceilings"]
-    connect = (ceilings.get("connectTimeout") or 1.0) * 1000.0
-    idle = (ceilings.get("idleClose") or 10.0) * 1000.0
-    lasting = max(grade["giveUp"] for grade in terms["grades"]) * 1000.0
+    connect_timeout = (ceilings.get("connectTimeout") or 1.0) * 1000.0
+    idle_timeout = (ceilings.get("idleClose") or 10.0) * 1000.0
+    longest_validity = max(grade["giveUp"] for grade in terms["grades"]) * 1000.0
     budget = Budget(post.descriptors, terms["familyInfo"]["workers"], bool(post.admin))
     disk = post.disk
     if post.nodes:
         from calicopin.state.known_list import journal_bytes
 
         disk = journal_bytes(disk)
-    system, out = loop.system, taker.flying if taker else None
-    offset, boot = system.wall() - loop.now(), patiently(system, system.boot)
+    system, in_flight = loop.system, taker.flying if taker else None
+    wall_clock_offset, boot = system.wall() - loop.now(), patiently(system, system.boot)
     if post.store == "segments":
         from calicopin.store.segments import Segments
 
         journal = patiently(
             system,
-            lambda: Segments(post.folder, disk, offset, system, lasting, boot, post.durable, out, loop.now),
+            lambda: Segments(
+                post.folder,
+                disk,
+                wall_clock_offset,
+                system,
+                longest_validity,
+                boot,
+                post.durable,
+                in_flight,
+                loop.now,
+            ),
         )
     else:
         journal = patiently(
-            system, lambda: Journal(post.folder, disk, offset, system, lasting, boot, out, loop.now)
+            system,
+            lambda: Journal(
+                post.folder, disk, wall_clock_offset, system, longest_validity, boot, in_flight, loop.now
+            ),
         )
     facade = Facade(post.seed, terms, budget.calls, loop.now(), journal.again and not taker)
-    lines = Lines(budget.endpoints, max(idle / 2.0, idle - connect))  # an opening's time clear of the limit
+    lines = Lines(
+        budget.endpoints, max(idle_timeout / 2.0, idle_timeout - connect_timeout)
+    )  # an opening's time clear of the limit
     runtime = Runtime(
-        loop, facade, journal, lines, connect, Ledger(grade["name"] for grade in terms["grades"])
+        loop, facade, journal, lines, connect_timeout, Ledger(grade["name"] for grade in terms["grades"])
+    )
+    notice_address = post.discovery or post.notices
+    runtime.notices = (
+        Notices(loop, notice_address, runtime.told) if notice_address else NoticeLines(loop, runtime.told)
     )
-    teller = post.discovery or post.notices
-    runtime.notices = Notices(loop, teller, runtime.told) if teller else NoticeLines(loop, runtime.told)
-    wait = longest_wait((terms["rules"].get("askWithin") or 10.0) * 1000.0)
+    long_poll_timeout = longest_wait((terms["rules"].get("askWithin") or 10.0) * 1000.0)
     if taker:
         version, places = taker.told["version"], ()
-        runtime.inherit(taker)
+        runtime.restore_from_handover(taker)
     if post.nodes:
-        from calicopin.lifecycle.subscribed import subscribe
+        from calicopin.lifecycle.subscribed import build_subscription
 
-        runtime.subscribed = subscribe(post, loop, runtime, wait, facade.places.values() if taker else None)
+        runtime.subscribed = build_subscription(
+            post, loop, runtime, long_poll_timeout, facade.places.values() if taker else None
+        )
     if not taker:
-        version, places = (None, runtime.subscribed.places()) if post.nodes else listed(post.known)
+        version, places = (None, runtime.subscribed.places()) if post.nodes else initial_list(post.known)
         facade.listed(places, True)
         runtime.restore()
     if post.nodes:
-        discovery = runtime.subscribed.begin()
-        runtime.agent = None if taker else discovery  # what another process knew was heard until now
+        discovery = runtime.subscribed.start()
+        runtime.list_agent = None if taker else discovery  # what another process knew was heard until now
     elif post.discovery:
-        told = pushed(terms)
-        anew = told and not taker  # its list is old, and the agent has the whole of it
+        is_pushed = pushed(terms)
+        fetch_all = is_pushed and not taker  # its list is old, and the agent has the whole of it
         discovery = Discovery(
             loop,
             post.discovery,
-            None if anew else version,
-            wait,
-            runtime.listed,
+            None if fetch_all else version,
+            long_poll_timeout,
+            runtime.update_list,
             terms["groupSize"],
             post.seed,
             spread=bool(places),
-            pushed=told,
+            pushed=is_pushed,
         )
-        if anew:
-            runtime.await_list(discovery)
+        if fetch_all:
+            runtime.await_first_list(discovery)
     else:
         from calicopin.configuration.posting import lister
 
         runtime.current = True
-        discovery = ListFile(loop, post.watched, lister(post.sheet), runtime.listed) if post.watched else None
+        discovery = (
+            ListFile(loop, post.partner_file, lister(post.sheet), runtime.update_list)
+            if post.partner_file
+            else None
+        )
     if not taker:
         runtime.turn()
     products = {grade["name"]: number for number, grade in enumerate(terms["grades"])}
-    listener = loop.system.passed(post.passed) if post.passed else None
+    listener = loop.system.passed(post.listening_socket) if post.listening_socket else None
     clients = Clients(loop, post.listen, products, budget, runtime, listener)
     clients.status = runtime.status if post.status else None
-    stop = Stop(loop, runtime, clients)
+    stop = Shutdown(loop, runtime, clients)
     if post.admin:
         AdminServer(
             loop,
             post.admin,
             {
                 "/admin/health": ("GET", lambda: {"serving": True}),
-                "/admin/stats": ("GET", runtime.figures),
+                "/admin/stats": ("GET", runtime.statistics),
                 "/admin/quiesce": ("POST", stop.quiesce),
                 "/admin/resume": ("POST", stop.resume),
             },
             budget.admin - 1,
         )
-    renewal = Renewal(loop, signal_reader, post, again, stop, discovery, clients, runtime)
+    renewal = Renewal(loop, signal_reader, post, read_configuration, stop, discovery, clients, runtime)
     if taker:
         lock = taker.take(loop, runtime, clients)
         journal.begin()
         if taker.told["drained"] is not None:
             stop.begin_drain(taker.told["drained"])
-    if post.passed:
+    if post.listening_socket:
         from calicopin.handover.giver import Giver
         from calicopin.handover.meeting import Place
 
         Giver(
-            Place(post.meeting or post.folder, post.folder),
+            Place(post.handover_folder or post.folder, post.folder),
             lock,
             loop.system.again,
             loop,
@@ -251,8 +276,8 @@
             renewal,
             stop,
         )
-    for begin in (runtime.keep_house, clients.keep_house, stop.wait, renewal.wait):
-        loop.keep(begin)
+    for coroutine in (runtime.run_housekeeping, clients.keep_house, stop.wait_for_request, renewal.wait):
+        loop.keep(coroutine)
     return runtime
 
 
@@ -265,9 +290,9 @@
             f"{environ.get('LB_CONFIG', 'LB_CONFIG')}: what it tells cannot be read: {fault!r}"
         ) from None
     lock = taker = None
-    if post.passed:
-        system.passed(post.passed).detach()  # one that is none is told before anything is taken
-        lock, taker, post = follow(post, environ, signal_reader, system)
+    if post.listening_socket:
+        system.passed(post.listening_socket).detach()  # one that is none is told before anything is taken
+        lock, taker, post = acquire_folder(post, environ, signal_reader, system)
         if post is None:
             return
     elif post.sheet:  # the platform gives each courier a folder of its own
@@ -283,7 +308,7 @@
         )
         system.again()
     if post.log == "json":
-        log_as_json(post.name, log_level(environ))
+        use_json_log(post.name, log_level(environ))
     system.settle()
     logger.info(
         "{name} ready on {listen}, {endpoints} endpoints known",
@@ -301,7 +326,7 @@
     )
 
 
-def follow(post, environ, signal_reader, system):
+def acquire_folder(post, environ, signal_reader, system):
     """(lock, what another process gives, the post): waits until the folder is free or the one that holds
     it gives it. A post of None where a signal comes first.
     """
@@ -310,7 +335,7 @@
 
     try:
         lock, taker = begin(
-            Place(post.meeting or post.folder, post.folder), post.folder, signal_reader, system
+            Place(post.handover_folder or post.folder, post.folder), post.folder, signal_reader, system
         )
     except StoppedError:
         logger.info("{name} ends before it has taken anything", event="stopped", name=post.name, texts=0)
@@ -322,19 +347,19 @@
 
 def log_level(environ):
     """The least level that is logged, from `LB_LOG_LEVEL`; ValueError where that is none."""
-    word = environ.get("LB_LOG_LEVEL", "") or "INFO"
-    if word not in LOG_LEVELS:
-        raise ValueError(f"LB_LOG_LEVEL: {word[:40]!r} is none of {', '.join(LOG_LEVELS)}")
-    return word
+    value = environ.get("LB_LOG_LEVEL", "") or "INFO"
+    if value not in LOG_LEVELS:
+        raise ValueError(f"LB_LOG_LEVEL: {value[:40]!r} is none of {', '.join(LOG_LEVELS)}")
+    return value
 
 
-def log_as_json(name, level="INFO"):
+def use_json_log(name, level="INFO"):
     """One JSON object a line in place of plain ones. A log that cannot be written never stops the courier."""
-    from calicopin.lifecycle.events import line
+    from calicopin.lifecycle.events import format_record
 
     def write(message):
         try:
-            sys.stderr.write(line(name, message.record) + "\n")
+            sys.stderr.write(format_record(name, message.record) + "\n")
         except (OSError, ValueError):
             pass
 
--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -4,21 +4,21 @@
 
 from loguru import logger
 
-from calicopin.lifecycle.leave import DRAIN, RETIRED, STOP, Leave
+from calicopin.lifecycle.leave import DRAIN_STEPS, RETIRED_STEPS, STOP_STEPS, StepSequence
 from calicopin.wire.loop import Event, Until
 
-STEP = 20.0
+POLL_INTERVAL_MS = 20.0
 
 
-class Stop:
-    """`asked` rings for the stop.
+class Shutdown:
+    """`requested` is set for the stop.
 
     A courier that was quiesced stays so until it is told to resume, or ends.
     """
 
     def __init__(self, loop, runtime, clients):
         self.loop, self.runtime, self.clients = loop, runtime, clients
-        self.asked, self.drain, self.stopping, self.task = Event(loop), None, False, None
+        self.requested, self.drain, self.stopping, self.task = Event(loop), None, False, None
         self.retired = False  # another process serves in its place
 
     def busy(self):
@@ -30,27 +30,27 @@
             notices=runtime.notices.owed,
             calls=runtime.out,
         )
-        return frozenset(name for name, what in under_way.items() if what)
+        return frozenset(name for name, pending in under_way.items() if pending)
 
-    def walk(self, leave):
+    def run_steps(self, sequence):
         """Through the steps, to the end of the last."""
         now = self.loop.now
-        while step := leave.at(now(), self.busy()):
-            self.clients.leaving, self.runtime.calling = True, step.calling
-            self.runtime.refusing = self.runtime.refusing or step.refusing
+        while step := sequence.step_at(now(), self.busy()):
+            self.clients.leaving, self.runtime.calling = True, step.makes_calls
+            self.runtime.refusing = self.runtime.refusing or step.refuses_messages
             if self.runtime.refusing:
                 self.runtime.stop_waiting()
-            if not step.listening:
+            if not step.accepts_connections:
                 self.clients.stop_listening()
-            if step.closing:
+            if step.closes_connections:
                 self.clients.close_between_requests()
-            if step.emptying and self.runtime.facade.texts:
+            if step.hands_back and self.runtime.facade.texts:
                 self.runtime.facade.hand_back()
-            yield Until(now() + STEP)
+            yield Until(now() + POLL_INTERVAL_MS)
 
-    def wait(self):
+    def wait_for_request(self):
         """Waits until it is asked to, then leaves in order."""
-        yield Until(event=self.asked)
+        yield Until(event=self.requested)
         runtime = self.runtime
         logger.info(
             "SIGTERM: {held} texts held, {out} calls out",
@@ -60,7 +60,9 @@
         )
         self.stopping = True
         self.end_drain()
-        yield from self.walk(Leave(RETIRED if self.retired else STOP, self.loop.now()))
+        yield from self.run_steps(
+            StepSequence(RETIRED_STEPS if self.retired else STOP_STEPS, self.loop.now())
+        )
         # guards the last turn's texts where the process stood still through the steps: one turn keeps what
         # was taken on and its answers go out, and what is read from here on is refused, since nothing would
         # keep it
@@ -79,7 +81,7 @@
 
     def quiesce(self):
         """Empties the courier; once more changes nothing."""
-        self.check()
+        self.refuse_if_retired()
         if self.drain is None and not self.stopping:
             logger.info(
                 "quiesced: {held} texts held, {out} calls out",
@@ -88,30 +90,30 @@
                 out=self.runtime.out,
             )
             self.begin_drain(self.loop.now())
-        return self.told()
+        return self.status()
 
-    def check(self):
+    def refuse_if_retired(self):
         """ValueError where another process has taken all over."""
         if self.retired:
             raise ValueError("all was handed over to a newer process: call that one")
 
     def begin_drain(self, began):
         """Walks through the steps of a drain; `began` in ms of the loop's clock."""
-        self.drain, self.clients.leaving = Leave(DRAIN, began), True
-        self.task = self.loop.keep(lambda: self.walk(self.drain))
+        self.drain, self.clients.leaving = StepSequence(DRAIN_STEPS, began), True
+        self.task = self.loop.keep(lambda: self.run_steps(self.drain))
 
     def resume(self):
         """Back to work, at any moment of a drain; without one it changes nothing."""
-        self.check()
+        self.refuse_if_retired()
         if self.drain is not None:
             logger.info("resumed: {held} texts held", event="resumed", held=len(self.runtime.facade.texts))
             self.end_drain()
             self.clients.leaving = self.clients.closing = self.runtime.refusing = False
-        return self.told()
+        return self.status()
 
-    def told(self):
+    def status(self):
         """What the calls at the admin address answer."""
-        step = self.drain and self.drain.at(self.loop.now(), self.busy())
+        step = self.drain and self.drain.step_at(self.loop.now(), self.busy())
         return {
             "quiesced": self.drain is not None,
             "step": step.name if step else "stopping" if self.stopping else "at work",
--- a/calicopin/lifecycle/subscribed.py
+++ b/calicopin/lifecycle/subscribed.py
@@ -38,11 +38,11 @@
     nodes: tuple[str, ...]
     fleet: str
     courier: str
-    wait: float
+    long_poll_timeout: float
     seed: int
-    max_age: float  # of the list in the folder, at a start
+    max_list_age: float  # of the list in the folder, at a start
     folder: str
-    disk: int
+    disk_bytes: int
 
 
 class Subscribed:
@@ -53,15 +53,17 @@
 
     def __init__(self, loop, settings: SubscriptionSettings, runtime, places: Iterable[Place] | None):
         self.loop, self.runtime, self.facade = loop, runtime, runtime.facade
-        self.known_list = KnownList(loop, settings.folder, settings.fleet, settings.max_age, settings.disk)
-        self.waiting: dict[FirstAnswer, int] = {}  # messages that wait for a first answer: their destinations
-        self.waiting_for: Counter[int] = Counter()  # by destination
-        self.heard_at = None  # when a node answered last
-        self.restored = self.known_list.read() if places is None else by_destination(places)
+        self.known_list = KnownList(
+            loop, settings.folder, settings.fleet, settings.max_list_age, settings.disk_bytes
+        )
+        self.pending: dict[FirstAnswer, int] = {}  # messages that wait for a first answer: their destinations
+        self.pending_by_destination: Counter[int] = Counter()  # by destination
+        self.last_answer_at = None  # when a node answered last
+        self.initial_endpoints = self.known_list.read() if places is None else by_destination(places)
         self.settings = settings
         self.subscriber = self.task = None
 
-    def begin(self) -> Subscriber:
+    def start(self) -> Subscriber:
         """The subscription, with all that the last process knew or held."""
         settings = self.settings
         self.subscriber = Subscriber(
@@ -69,18 +71,18 @@
             list(settings.nodes),
             settings.fleet,
             settings.courier,
-            settings.wait,
+            settings.long_poll_timeout,
             self.heard,
             settings.seed,
-            self.restored,
+            self.initial_endpoints,
             self.in_use,
             self.released,
         )
         self.known_list.known = self.subscriber.subscribed
         for text in self.facade.texts.values():
-            self.refusal(text.dest)
+            self.refusal_status(text.dest)
         for destination in self.facade.destinations():
-            if destination not in self.restored and not self.in_use(destination):
+            if destination not in self.initial_endpoints and not self.in_use(destination):
                 self.facade.release(destination)
         self.task = self.loop.keep(self.known_list.keep)
         return self.subscriber
@@ -92,11 +94,11 @@
 
     def places(self) -> list[Place]:
         """The endpoints that the last process knew."""
-        return [place for places in self.restored.values() for place in places]
+        return [place for places in self.initial_endpoints.values() for place in places]
 
     # What clients ask.
 
-    def refusal(self, destination: int) -> int | None:
+    def refusal_status(self, destination: int) -> int | None:
         """The status that refuses a message for the destination, None where it is known. Subscribes to it."""
         try:
             return REFUSALS[self.subscriber.use(destination)]
@@ -113,36 +115,36 @@
         if standing is not Standing.WAITING:
             return None
         event = FirstAnswer(self.loop)
-        self.waiting[event] = destination
-        self.waiting_for[destination] += 1
+        self.pending[event] = destination
+        self.pending_by_destination[destination] += 1
         self.facade.awaited += 1
         self.subscriber.settled(destination, event)
         return event
 
-    def waited(self, event: FirstAnswer) -> None:
+    def stop_waiting_for(self, event: FirstAnswer) -> None:
         """Nobody waits for the event any longer."""
-        if (destination := self.waiting.pop(event, None)) is not None:
+        if (destination := self.pending.pop(event, None)) is not None:
             self.subscriber.unsettled(destination, event)
             self.facade.awaited -= 1
-            self.waiting_for[destination] -= 1
-            if not self.waiting_for[destination]:
-                del self.waiting_for[destination]
+            self.pending_by_destination[destination] -= 1
+            if not self.pending_by_destination[destination]:
+                del self.pending_by_destination[destination]
 
     def stop_waiting(self) -> None:
         """Nothing more is taken on: who waits is answered now."""
-        for event in list(self.waiting):
+        for event in list(self.pending):
             event.set()
 
     # What the subscription asks and tells.
 
     def in_use(self, destination: int) -> bool:
         """Whether a message for the destination is held or waits to be."""
-        return destination in self.waiting_for or self.facade.in_use(destination)
+        return destination in self.pending_by_destination or self.facade.in_use(destination)
 
     def heard(self, places: list[Place], whole: bool) -> None:
         """News of a node's."""
-        self.heard_at = self.loop.now()
-        self.runtime.listed(places, whole)
+        self.last_answer_at = self.loop.now()
+        self.runtime.update_list(places, whole)
         self.known_list.confirmed()
         if places or whole:
             self.known_list.changed()
@@ -161,9 +163,9 @@
         return dict(
             node=subscriber.nodes.current,
             destinations=len(subscriber.interest),
-            waiting=len(self.waiting),
+            waiting=len(self.pending),
             lease=subscriber.version is not None,
-            heard_ms=None if self.heard_at is None else round(now - self.heard_at, 1),
+            heard_ms=None if self.last_answer_at is None else round(now - self.last_answer_at, 1),
             calls=figures.calls,
             resyncs=figures.resyncs,
             node_changes=figures.node_changes,
@@ -180,16 +182,18 @@
     return table
 
 
-def subscribe(post, loop, runtime, wait: float, places: Iterable[Place] | None) -> Subscribed:
+def build_subscription(
+    post, loop, runtime, long_poll_timeout: float, places: Iterable[Place] | None
+) -> Subscribed:
     """As a courier's configuration says; `places` is what another process handed over."""
     settings = SubscriptionSettings(
         nodes=post.nodes,
         fleet=post.fleet,
         courier=post.name,
-        wait=wait,
+        long_poll_timeout=long_poll_timeout,
         seed=post.seed,
-        max_age=post.max_age,
+        max_list_age=post.max_age,
         folder=post.folder,
-        disk=post.disk,
+        disk_bytes=post.disk,
     )
     return Subscribed(loop, settings, runtime, places)
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -10,11 +10,11 @@
 from helper import Clock, Listener, answer, client, spin, terms
 
 from calicopin import decisions
-from calicopin.lifecycle.leave import LAST_CALL, LAST_TEXT, LEAVE, LISTEN
-from calicopin.lifecycle.runtime import FIRST_LIST
+from calicopin.lifecycle.leave import LAST_ACCEPT_MS, LAST_CALL_MS, STOP_LIMIT_MS, UNREADY_MS
+from calicopin.lifecycle.runtime import FIRST_LIST_TIMEOUT_MS
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import listed, posted
-from calicopin.lifecycle.stop import STEP
+from calicopin.lifecycle.start import initial_list, posted
+from calicopin.lifecycle.stop import POLL_INTERVAL_MS
 from calicopin.state.connections import Budget
 from calicopin.state.texts import Text
 
@@ -154,7 +154,7 @@
     with pytest.raises(BlockingIOError):
         house.endpoint.sock.accept()
     if trouble == "silent":
-        house.pass_time(FIRST_LIST - 1.0)
+        house.pass_time(FIRST_LIST_TIMEOUT_MS - 1.0)
         with pytest.raises(BlockingIOError):
             house.endpoint.sock.accept()
         house.loop.now.now += 1.0
@@ -207,7 +207,7 @@
         {"version": 1, "full": True, "servers": [house.known["servers"][0]] * 2},
         {"version": 1, "full": True, "servers": [{}]},
     ):
-        assert listed(known) == (None, [])
+        assert initial_list(known) == (None, [])
 
 
 def test_an_endpoint_that_left_is_forgotten_with_its_connections(tmp_path):
@@ -220,10 +220,10 @@
     spin(house.loop, lambda: house.runtime.lines.count)
     facade = house.runtime.facade
     for number in range(200):
-        house.runtime.listed(
+        house.runtime.update_list(
             [place(f"t-{number}", house.endpoint.address), place("s-1", ready=False, left=True)], False
         )
-        house.runtime.listed([place(f"t-{number}", ready=False, left=True)], False)
+        house.runtime.update_list([place(f"t-{number}", ready=False, left=True)], False)
         house.loop.now.now += 1000.0
         house.loop.once(house.loop.now())
     assert not house.runtime.lines.count and not peer.wait_end() and not facade.places
@@ -298,11 +298,11 @@
     assert house.post("a") == b"202"
     for _ in range(2):
         os.kill(os.getpid(), signal.SIGTERM)
-        spin(house.loop, lambda: any(at == house.loop.now() + STEP for at, *_ in house.loop.due))
+        spin(house.loop, lambda: any(at == house.loop.now() + POLL_INTERVAL_MS for at, *_ in house.loop.due))
     assert house.loop.running and house.post("b") == b"202", "what still comes is served"
     with pytest.raises(BlockingIOError):
         house.endpoint.sock.accept()
-    house.loop.now.now += LEAVE + 1.0
+    house.loop.now.now += STOP_LIMIT_MS + 1.0
     spin(house.loop, lambda: not house.loop.running)
     assert {ident: text.tries for ident, text in house.runtime.journal.texts.items()} == {"a": 0, "b": 0}
     house.kill()
@@ -320,22 +320,22 @@
     peer = house.endpoint.meet()
     peer.wait(b"\xfe\xfe\xfe")
     os.kill(os.getpid(), signal.SIGTERM)
-    spin(house.loop, lambda: any(at == house.loop.now() + STEP for at, *_ in house.loop.due))
+    spin(house.loop, lambda: any(at == house.loop.now() + POLL_INTERVAL_MS for at, *_ in house.loop.due))
     assert house.post("b") == b"202", "what still comes is served"
     peer2 = client(house.loop, house.listen)
     peer2.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     assert peer2.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 503")
-    house.loop.now.now += LISTEN + 1.0
+    house.loop.now.now += UNREADY_MS + 1.0
     assert house.post("c") == b"202"
     peer.say(answer(200))
     spin(house.loop, lambda: set(house.runtime.journal.texts) == {"b", "c"})
-    house.loop.now.now += LAST_CALL - LISTEN
+    house.loop.now.now += LAST_CALL_MS - UNREADY_MS
     spin(house.loop, lambda: not house.runtime.calling)
     out = house.runtime.out
     assert house.post("d") == b"202" and house.runtime.out == out, "taken on for the time after the restart"
-    house.loop.now.now += LAST_TEXT - LAST_CALL
+    house.loop.now.now += LAST_ACCEPT_MS - LAST_CALL_MS
     assert not peer2.wait_end() and refused(house)
-    house.loop.now.now += LEAVE
+    house.loop.now.now += STOP_LIMIT_MS
     spin(house.loop, lambda: not house.loop.running)
     assert set(house.runtime.journal.texts) == {"b", "c", "d"}
 
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -17,8 +17,8 @@
 
 from calicopin.facade import Answer, Far, how
 from calicopin.interface import How
-from calicopin.lifecycle.leave import LAST_TEXT, LEAVE
-from calicopin.lifecycle.stop import STEP
+from calicopin.lifecycle.leave import LAST_ACCEPT_MS, STOP_LIMIT_MS
+from calicopin.lifecycle.stop import POLL_INTERVAL_MS
 from calicopin.state.connections import Lines
 from calicopin.wire.asking import TOLD, Asking, longest_pause, longest_wait
 from calicopin.wire.clients import LINGER, NEW, PATIENCE, TURNED_AWAY, Clients
@@ -124,7 +124,7 @@
     house.resting.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     house.resting.wait(b"\r\n\r\n")
     os.kill(os.getpid(), signal.SIGTERM)
-    passed(house, LAST_TEXT - 100.0)
+    passed(house, LAST_ACCEPT_MS - 100.0)
     return house
 
 
@@ -132,7 +132,7 @@
     """So much later the walk through the steps of the stop has come to its next pause."""
     spin(house.loop, lambda: house.clients.leaving)
     house.loop.now.now += time
-    spin(house.loop, lambda: any(at == house.loop.now() + STEP for at, *_ in house.loop.due))
+    spin(house.loop, lambda: any(at == house.loop.now() + POLL_INTERVAL_MS for at, *_ in house.loop.due))
 
 
 def begun(house, ident):
@@ -152,8 +152,8 @@
     never heard a word.
     """
     last, late = begun(house, "last"), begun(house, "late")
-    passed(house, LEAVE - LAST_TEXT + 99.0)
-    house.loop.now.now += STEP
+    passed(house, STOP_LIMIT_MS - LAST_ACCEPT_MS + 99.0)
+    house.loop.now.now += POLL_INTERVAL_MS
     last.say(b"c")
     house.loop.once(house.loop.now())
     assert house.loop.running and set(house.runtime.journal.texts) == {"last"}
@@ -165,8 +165,8 @@
 
 def test_a_request_that_is_not_whole_at_the_end_is_refused_and_not_left_without_a_word(house):
     half, silent = begun(house, "half"), client(house.loop, house.listen)
-    passed(house, LEAVE - LAST_TEXT + 99.0)
-    house.loop.now.now += STEP
+    passed(house, STOP_LIMIT_MS - LAST_ACCEPT_MS + 99.0)
+    house.loop.now.now += POLL_INTERVAL_MS
     spin(house.loop, lambda: not house.loop.running)
     assert (
         half.wait_end().startswith(b"HTTP/1.1 503")
@@ -181,8 +181,8 @@
     house.runtime.journal.flush = lambda: os.write(-1, b"")
     peer.say(b"c")
     spin(house.loop, lambda: house.runtime.stuck)
-    passed(house, LEAVE - LAST_TEXT + 99.0)
-    house.loop.now.now += STEP
+    passed(house, STOP_LIMIT_MS - LAST_ACCEPT_MS + 99.0)
+    house.loop.now.now += POLL_INTERVAL_MS
     spin(house.loop, lambda: not house.loop.running)
     assert peer.wait_end().startswith(b"HTTP/1.1 503")
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -161,16 +161,16 @@
     assert house.post("waits") == b"202"
     assert house.call("quiesce", "POST")[1]["step"] == "unready" and house.ready() == 503
     assert house.post("still") == b"202", "clients that have not heard yet are served"
-    house.pass_time(leave.LISTEN)
+    house.pass_time(leave.UNREADY_MS)
     idle.wait_end()
     peer = client(house.loop, house.listen)
     peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     assert b"503" in peer.wait_end(), "and its connection is given back"
-    house.pass_time(leave.QUIET - leave.LISTEN)
+    house.pass_time(leave.DRAIN_ACCEPT_MS - leave.UNREADY_MS)
     assert house.post("refused") == b"503" and set(house.runtime.facade.texts)
     silent = client(house.loop, house.listen)
     house.pass_time(0.0)
-    house.pass_time(leave.HAND_BACK - leave.QUIET)
+    house.pass_time(leave.DRAIN_HAND_BACK_MS - leave.DRAIN_ACCEPT_MS)
     silent.wait_end()
     spin(house.loop, lambda: house.pass_time(20.0) or not house.runtime.facade.texts)
     assert (
@@ -187,7 +187,7 @@
     )
 
 
-@pytest.mark.parametrize("passed", [0.0, leave.LISTEN, leave.QUIET, leave.HAND_BACK])
+@pytest.mark.parametrize("passed", [0.0, leave.UNREADY_MS, leave.DRAIN_ACCEPT_MS, leave.DRAIN_HAND_BACK_MS])
 def test_a_drain_ends_at_any_moment_with_resume(house, passed):
     house.call("quiesce", "POST")
     house.pass_time(passed)
@@ -209,34 +209,38 @@
     peer = house.endpoint.meet()
     peer.wait(b"\xfe\xfe\xfe")
     house.call("quiesce", "POST")
-    house.pass_time(leave.LISTEN)
-    house.pass_time(leave.HAND_BACK)
+    house.pass_time(leave.UNREADY_MS)
+    house.pass_time(leave.DRAIN_HAND_BACK_MS)
     house.pass_time(20.0)
     assert house.stats()["outstanding"] == 1 and not peer.hear()
 
 
 def test_the_steps_of_a_stop_and_of_a_drain():
     """By the time that has passed and what is under way."""
-    stop, idle = leave.Leave(leave.STOP, 100.0), frozenset()
+    stop, idle = leave.StepSequence(leave.STOP_STEPS, 100.0), frozenset()
     assert (
-        stop.at(100.0 + leave.LISTEN - 1.0, idle).name == "unready"
-        and stop.at(100.0 + leave.LISTEN, idle) is None
+        stop.step_at(100.0 + leave.UNREADY_MS - 1.0, idle).name == "unready"
+        and stop.step_at(100.0 + leave.UNREADY_MS, idle) is None
     )
-    stop, busy = leave.Leave(leave.STOP, 0.0), frozenset({"clients", "texts", "calls"})
-    names = [stop.at(at, busy).name for at in (0.0, 600.0, leave.LAST_CALL, leave.LAST_TEXT)]
+    stop, busy = leave.StepSequence(leave.STOP_STEPS, 0.0), frozenset({"clients", "texts", "calls"})
+    names = [stop.step_at(at, busy).name for at in (0.0, 600.0, leave.LAST_CALL_MS, leave.LAST_ACCEPT_MS)]
     assert (
-        names == ["unready", "finishing", "calling no more", "closing"] and stop.at(leave.LEAVE, busy) is None
+        names == ["unready", "finishing", "calling no more", "closing"]
+        and stop.step_at(leave.STOP_LIMIT_MS, busy) is None
     )
-    drain = leave.Leave(leave.DRAIN, 0.0)
-    assert [drain.at(at, busy).emptying for at in (0.0, leave.QUIET, leave.HAND_BACK, 1e9)] == [
+    drain = leave.StepSequence(leave.DRAIN_STEPS, 0.0)
+    assert [
+        drain.step_at(at, busy).hands_back
+        for at in (0.0, leave.DRAIN_ACCEPT_MS, leave.DRAIN_HAND_BACK_MS, 1e9)
+    ] == [
         False,
         False,
         True,
         True,
     ]
     assert (
-        leave.Leave(leave.DRAIN, 0.0).at(leave.QUIET, idle).name == "empty"
-        and leave.HAND_BACK < 4000.0 - 500.0
+        leave.StepSequence(leave.DRAIN_STEPS, 0.0).step_at(leave.DRAIN_ACCEPT_MS, idle).name == "empty"
+        and leave.DRAIN_HAND_BACK_MS < 4000.0 - 500.0
     )
 
 
@@ -256,7 +260,7 @@
     import signal
 
     house.call("quiesce", "POST")
-    house.pass_time(leave.LISTEN)
+    house.pass_time(leave.UNREADY_MS)
     os.kill(os.getpid(), signal.SIGTERM)
     house.pass_time(0.0)
     assert house.call("resume", "POST")[1]["step"] == "stopping" and house.ready() == 503
