--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -89,7 +89,7 @@
             check(configuration["settings"])
     subscription = {}
     if not {"nodes", "fleet", "list_age"}.isdisjoint(configuration):
-        from calicopin.lifecycle.nodes import parse_subscription
+        from calicopin.lifecycle.node_settings import parse_subscription
 
         subscription = parse_subscription(configuration, path)
     discovery_addresses = environ.get("LB_DISCOVERY"), configuration.get("discovery")
@@ -355,7 +355,7 @@
 
 def use_json_log(name, level="INFO"):
     """One JSON object a line in place of plain ones. A log that cannot be written never stops the courier."""
-    from calicopin.lifecycle.events import format_record
+    from calicopin.lifecycle.json_log import format_record
 
     def write(message):
         try:
--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -1,10 +1,10 @@
 """Leaving on sockets: SIGTERM and the operators' call to quiesce walk through the steps of
-`lifecycle/leave.py`.
+`lifecycle/shutdown_steps.py`.
 """
 
 from loguru import logger
 
-from calicopin.lifecycle.leave import DRAIN_STEPS, RETIRED_STEPS, STOP_STEPS, StepSequence
+from calicopin.lifecycle.shutdown_steps import DRAIN_STEPS, RETIRED_STEPS, STOP_STEPS, StepSequence
 from calicopin.wire.loop import Event, Until
 
 POLL_INTERVAL_MS = 20.0
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -10,8 +10,8 @@
 from helper import Clock, Listener, answer, client, spin, terms
 
 from calicopin import decisions
-from calicopin.lifecycle.leave import LAST_ACCEPT_MS, LAST_CALL_MS, STOP_LIMIT_MS, UNREADY_MS
 from calicopin.lifecycle.runtime import FIRST_LIST_TIMEOUT_MS
+from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, LAST_CALL_MS, STOP_LIMIT_MS, UNREADY_MS
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.start import initial_list, posted
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -17,7 +17,7 @@
 
 from calicopin.facade import Answer, Far, how
 from calicopin.interface import How
-from calicopin.lifecycle.leave import LAST_ACCEPT_MS, STOP_LIMIT_MS
+from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, STOP_LIMIT_MS
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
 from calicopin.state.connections import Lines
 from calicopin.wire.asking import TOLD, Asking, longest_pause, longest_wait
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -12,7 +12,7 @@
 from helper import answer, free_address, spin
 from loguru import logger
 
-from calicopin.lifecycle import events
+from calicopin.lifecycle import json_log
 from calicopin.lifecycle.start import log_level
 
 
@@ -40,11 +40,11 @@
 
 
 def test_the_decisions_lines_tell_their_destination_as_a_field():
-    told = events.event_fields(
+    told = json_log.event_fields(
         {"event": "decided", "line": "destination 5 route 3 out: 5 failures in 460 ms, last unreached"}
     )
     assert (told["event"], told["destination"], told["route"]) == ("destination.out", 5, 3)
-    assert events.event_fields({"event": "decided", "line": "something else"})["event"] == "decided"
+    assert json_log.event_fields({"event": "decided", "line": "something else"})["event"] == "decided"
 
 
 def test_every_event_of_the_program_is_on_its_page():
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -204,7 +204,7 @@
 RUN_PARTS = (
     "__main__",
     "lifecycle.start",
-    "lifecycle.leave",
+    "lifecycle.shutdown_steps",
     "store.segments",
     "handover.giver",
     "handover.taker",
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -8,7 +8,7 @@
 from courier_helper import CourierFixture
 from helper import Clock, answer, client, free_address, spin
 
-from calicopin.lifecycle import leave
+from calicopin.lifecycle import shutdown_steps
 from calicopin.lifecycle.start import build
 
 
@@ -161,16 +161,16 @@
     assert house.post("waits") == b"202"
     assert house.call("quiesce", "POST")[1]["step"] == "unready" and house.ready() == 503
     assert house.post("still") == b"202", "clients that have not heard yet are served"
-    house.pass_time(leave.UNREADY_MS)
+    house.pass_time(shutdown_steps.UNREADY_MS)
     idle.wait_end()
     peer = client(house.loop, house.listen)
     peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     assert b"503" in peer.wait_end(), "and its connection is given back"
-    house.pass_time(leave.DRAIN_ACCEPT_MS - leave.UNREADY_MS)
+    house.pass_time(shutdown_steps.DRAIN_ACCEPT_MS - shutdown_steps.UNREADY_MS)
     assert house.post("refused") == b"503" and set(house.runtime.facade.texts)
     silent = client(house.loop, house.listen)
     house.pass_time(0.0)
-    house.pass_time(leave.DRAIN_HAND_BACK_MS - leave.DRAIN_ACCEPT_MS)
+    house.pass_time(shutdown_steps.DRAIN_HAND_BACK_MS - shutdown_steps.DRAIN_ACCEPT_MS)
     silent.wait_end()
     spin(house.loop, lambda: house.pass_time(20.0) or not house.runtime.facade.texts)
     assert (
@@ -187,7 +187,10 @@
     )
 
 
-@pytest.mark.parametrize("passed", [0.0, leave.UNREADY_MS, leave.DRAIN_ACCEPT_MS, leave.DRAIN_HAND_BACK_MS])
+@pytest.mark.parametrize(
+    "passed",
+    [0.0, shutdown_steps.UNREADY_MS, shutdown_steps.DRAIN_ACCEPT_MS, shutdown_steps.DRAIN_HAND_BACK_MS],
+)
 def test_a_drain_ends_at_any_moment_with_resume(house, passed):
     house.call("quiesce", "POST")
     house.pass_time(passed)
@@ -209,29 +212,35 @@
     peer = house.endpoint.meet()
     peer.wait(b"\xfe\xfe\xfe")
     house.call("quiesce", "POST")
-    house.pass_time(leave.UNREADY_MS)
-    house.pass_time(leave.DRAIN_HAND_BACK_MS)
+    house.pass_time(shutdown_steps.UNREADY_MS)
+    house.pass_time(shutdown_steps.DRAIN_HAND_BACK_MS)
     house.pass_time(20.0)
     assert house.stats()["outstanding"] == 1 and not peer.hear()
 
 
 def test_the_steps_of_a_stop_and_of_a_drain():
     """By the time that has passed and what is under way."""
-    stop, idle = leave.StepSequence(leave.STOP_STEPS, 100.0), frozenset()
+    stop, idle = shutdown_steps.StepSequence(shutdown_steps.STOP_STEPS, 100.0), frozenset()
     assert (
-        stop.step_at(100.0 + leave.UNREADY_MS - 1.0, idle).name == "unready"
-        and stop.step_at(100.0 + leave.UNREADY_MS, idle) is None
+        stop.step_at(100.0 + shutdown_steps.UNREADY_MS - 1.0, idle).name == "unready"
+        and stop.step_at(100.0 + shutdown_steps.UNREADY_MS, idle) is None
     )
-    stop, busy = leave.StepSequence(leave.STOP_STEPS, 0.0), frozenset({"clients", "texts", "calls"})
-    names = [stop.step_at(at, busy).name for at in (0.0, 600.0, leave.LAST_CALL_MS, leave.LAST_ACCEPT_MS)]
+    stop, busy = (
+        shutdown_steps.StepSequence(shutdown_steps.STOP_STEPS, 0.0),
+        frozenset({"clients", "texts", "calls"}),
+    )
+    names = [
+        stop.step_at(at, busy).name
+        for at in (0.0, 600.0, shutdown_steps.LAST_CALL_MS, shutdown_steps.LAST_ACCEPT_MS)
+    ]
     assert (
         names == ["unready", "finishing", "calling no more", "closing"]
-        and stop.step_at(leave.STOP_LIMIT_MS, busy) is None
+        and stop.step_at(shutdown_steps.STOP_LIMIT_MS, busy) is None
     )
-    drain = leave.StepSequence(leave.DRAIN_STEPS, 0.0)
+    drain = shutdown_steps.StepSequence(shutdown_steps.DRAIN_STEPS, 0.0)
     assert [
         drain.step_at(at, busy).hands_back
-        for at in (0.0, leave.DRAIN_ACCEPT_MS, leave.DRAIN_HAND_BACK_MS, 1e9)
+        for at in (0.0, shutdown_steps.DRAIN_ACCEPT_MS, shutdown_steps.DRAIN_HAND_BACK_MS, 1e9)
     ] == [
         False,
         False,
@@ -239,8 +248,11 @@
         True,
     ]
     assert (
-        leave.StepSequence(leave.DRAIN_STEPS, 0.0).step_at(leave.DRAIN_ACCEPT_MS, idle).name == "empty"
-        and leave.DRAIN_HAND_BACK_MS < 4000.0 - 500.0
+        shutdown_steps.StepSequence(shutdown_steps.DRAIN_STEPS, 0.0)
+        .step_at(shutdown_steps.DRAIN_ACCEPT_MS, idle)
+        .name
+        == "empty"
+        and shutdown_steps.DRAIN_HAND_BACK_MS < 4000.0 - 500.0
     )
 
 
@@ -260,7 +272,7 @@
     import signal
 
     house.call("quiesce", "POST")
-    house.pass_time(leave.UNREADY_MS)
+    house.pass_time(shutdown_steps.UNREADY_MS)
     os.kill(os.getpid(), signal.SIGTERM)
     house.pass_time(0.0)
     assert house.call("resume", "POST")[1]["step"] == "stopping" and house.ready() == 503
