--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -1,4 +1,6 @@
-"""One courier at work: store, decisions and wire, joined by a turn after each pass of the loop."""
+"""One running courier: connects the journal, the decisions and the network by a turn after each pass of the
+event loop. Times are milliseconds of the loop's clock.
+"""
 
 import json
 
@@ -11,19 +13,21 @@
 from calicopin.wire.endpoints import Flight, go_on, submit
 from calicopin.wire.loop import FOREVER, Until
 
-SWEEP = 1000.0
+SWEEP = 1000.0  # ms between two passes over idle connections
 REPORT_INTERVAL_MS = 10000.0
-# ms for which a start awaits its first list before it calls anyone by the list that it knows: an agent
-# answers at once, but a busy machine may let it wait; so long is enough for two tries of `wire.discovery`
+# A start waits this long for its first list before it makes calls by the list in its configuration. An agent
+# answers at once, but may be late on a busy machine; this leaves time for two requests of `wire.discovery`.
 FIRST_LIST_TIMEOUT_MS = 1000.0
-AGAIN = 50.0  # after a fault of the disk or of our own
-# ms for which a new message waits for a journal that refuses: a fault that is over by then refuses none
+AGAIN = 50.0  # ms until a turn that failed is repeated
+# ms that a new message waits for a journal that cannot be written; a shorter disk fault refuses no message
 HOLD = 4.0 * AGAIN
-LAST_WORD = 20.0 + AGAIN  # ms before a message's time is up: its client still hears that it was not taken on
+LAST_WORD = (
+    20.0 + AGAIN
+)  # ms before the end of a message's validity: time to answer its client with a refusal
 
 
 def log_broken_invariant(invariant, what):
-    """One line for a broken invariant."""
+    """Logs a broken invariant."""
     logger.error(
         "invariant broken: {invariant}: {what}",
         event="invariant.broken",
@@ -33,38 +37,41 @@
 
 
 class Runtime:
-    """One courier: what it holds, what decides and what speaks, with the state that a turn moves on."""
+    """One courier: its journal, decisions and connections, and the state that each turn updates.
+
+    It is the acceptor of `wire.clients.Clients` and takes the list from discovery.
+    """
 
     def __init__(self, loop, facade, journal, lines, connect_timeout, ledger):
         self.loop, self.facade, self.journal, self.lines = loop, facade, journal, lines
         self.connect_timeout, self.notices, self.current = connect_timeout, None, False
-        self.subscribed = None  # with discovery nodes: a `lifecycle.subscribed.Subscribed`
-        self.list_agent = (
-            None  # where it is told: nothing is decided before its first call for the list has ended
-        )
-        self.list_deadline = None  # until when no call is made, since no list was heard
+        self.subscribed = None  # with discovery nodes: a `Subscribed`
+        self.list_agent = None  # if set, no decision is made before its first request for the list has ended
+        self.list_deadline = None  # no call is made before this time or the first list
         self.waiting, self.calls, self.given_up, self.calling, self.refusing = [], [], [], True, False
-        self.unacknowledged = set()  # ids of texts that were taken on and whose 202 is not out
+        self.unacknowledged = set()  # ids of accepted texts whose 202 is not sent yet
         self.flights, self.ledger = {}, ledger
-        # turns in a row that ended by a fault, and since when: until one succeeds nothing is taken on
+        # consecutive failed turns and the time of the first; no message is accepted until a turn succeeds
         self.stuck, self.first_failure_at = 0, 0.0
         self.guard = SendGuard(facade.module.fail_back.cold, log_broken_invariant)
         self.restored_state = (
-            None  # (texts, routes) of the last process, until the decisions have heard of them
+            None  # (texts, routes) of the last process, until they are handed to the decisions
         )
         loop.turn = self.turn
 
     def await_first_list(self, agent):
-        """Guards drains against a start: what came since the last process is told already, and the list that
-        is known is old. Nothing is called before the agent's first answer, or `FIRST_LIST_TIMEOUT_MS` ms without one;
-        what is taken on meanwhile ends in its time.
+        """Makes no call before the agent's first answer, or for `FIRST_LIST_TIMEOUT_MS` without one.
+
+        The list in the configuration is old: an endpoint may have been announced as leaving since it was
+        written. Messages accepted meanwhile keep their validity period.
         """
         self.list_agent, self.list_deadline = agent, self.loop.now() + FIRST_LIST_TIMEOUT_MS
         self.facade.pause_calls(True)
 
     def restore(self):
-        """Owes each text of the last process its one end; what was given up owes just its notice. What that
-        process knew of destinations binds before any of them goes out."""
+        """Takes over the journal of the last process: texts without an end are handed to the decisions, texts
+        that were given up only need their notice. The state of routes is restored before any text is sent.
+        """
         journal = self.journal
         for (dest, endpoint), state in journal.routes.states.items():
             self.facade.restore_route(dest, endpoint, state, journal.continuous)
@@ -72,7 +79,7 @@
             self.facade.interrupted(dest)
         if journal.routes.states or journal.interrupted:
             logger.info(
-                "{routes} routes keep what is known, calls to {interrupted} destinations were cut off",
+                "state of {routes} routes restored, calls to {interrupted} destinations were interrupted",
                 event="restored.routes",
                 routes=len(journal.routes.states),
                 interrupted=len(journal.interrupted),
@@ -93,24 +100,24 @@
             )
 
     def restore_from_handover(self, taker):
-        """Goes on where another process was."""
+        """Takes over the state that another process handed over."""
         for text in taker.read(self.facade, self.journal, self.loop.now()):
             self.notices.owe(text)
         self.current, self.lines.trust = taker.told["current"], taker.told["trust"]
         self.lines.fastest = {(ident, address): best for ident, address, best in taker.told["fastest"]}
 
     def lost(self, call):
-        """A call whose connection did not come over: it may have run."""
+        """A call whose connection was not handed over; the endpoint may have processed it."""
         self.facade.report(call, Answer(Far.SENT), 0.0)
 
-    # What clients ask of the acceptor.
+    # Interface of the acceptor, called by `wire.clients`.
 
     def take(self, text):
-        """None where the text is taken on, else the status that refuses it and the milliseconds after
-        which to come again (0: none told).
+        """Accepts a text and returns None, or returns the HTTP status that refuses it and the milliseconds
+        after which the client may retry (0: no advice).
         """
         if self.journal.knows(text.ident):
-            call_log.refused(text, 409, "its id is known")
+            call_log.refused(text, 409, "a message with this id is known")
             return 409, 0.0
         if (refusal := self.destination_refusal(text)) is not None:
             call_log.refused(text, refusal[0], "its destination is not listed")
@@ -127,74 +134,75 @@
         return None
 
     def destination_refusal(self, text):
-        """The status and the wait that refuse a text whose destination is not known; None where it is."""
+        """The status and the retry delay (ms) for a text with an unknown destination; None if it is known."""
         if self.subscribed is not None:
             status = self.subscribed.refusal_status(text.dest)
             return status and (status, self.facade.advice(text) if status == 503 else 0.0)
         return None if self.facade.serves(text.dest) else ((404 if self.current else 503), 0.0)
 
     def refusal_reason(self, text):
-        """Why nothing more is taken on, or there is no room for this text; "" where it may be."""
+        """The reason why no message, or not this one, can be accepted; "" if it can."""
         if self.refusing:
-            return "the courier ends"
+            return "the courier is stopping or drained"
         if self.stuck:
             return "the journal cannot be written"
         if self.facade.full():
-            return "as many messages are held as the settings allow"
+            return "the limit of held messages is reached"
         return "" if self.journal.room(len(text.body)) else "the journal is full"
 
     def first_answer(self, text):
-        """What a text has to wait for before it can be taken on or refused: the first answer on its
-        destination. None where that is known, and where the text is refused in any case."""
+        """The event that a text has to wait for before it can be accepted or refused: the first answer on its
+        destination. None if the destination is known or the text is refused anyway.
+        """
         if self.subscribed is None or self.refusal_reason(text) or self.journal.knows(text.ident):
             return None
         return self.subscribed.first_answer(text.dest)
 
     def waited(self, event):
-        """A text that waited for the event is decided on now, or its client has left."""
+        """A text no longer waits for the event: it is decided on now, or its client has disconnected."""
         self.subscribed.stop_waiting_for(event)
 
     def stop_waiting(self):
-        """Nothing more is taken on: texts that wait for a first answer are refused."""
+        """Refuses all texts that wait for the first answer on their destination."""
         if self.subscribed is not None:
             self.subscribed.stop_waiting()
 
     def retry_after(self, text):
-        """The milliseconds after which a message that is turned away may come again (0: none told)."""
+        """The milliseconds after which the client of a refused message may retry (0: no advice)."""
         return max(self.facade.advice(text), HOLD if self.stuck else 0.0)
 
     def kept(self, text):
-        """An event that is set once the message is in the journal, or is refused."""
+        """An event that is set once the message is in the journal or is refused."""
         event = Kept(self.loop, text)
         self.unacknowledged.add(text.ident)
         self.waiting.append(event)
         return event
 
     def unanswered(self, request):
-        """A client's connection was closed behind a request that was read and not answered."""
+        """A client's connection was closed after a request that was read but not answered."""
         self.guard.unanswered(request)
 
     def withdraw(self, text):
-        """The client is gone before its answer: the text is ended without one."""
+        """Ends a text whose client disconnected before it got the answer."""
         self.unacknowledged.discard(text.ident)
-        if text in self.given_up:  # it has ended already, with a notice that nobody waits for
+        if text in self.given_up:  # it has already ended, and nobody waits for its notice
             self.given_up.remove(text)
             self.complete(text)
         self.facade.withdraw(text)
 
     def answered(self, text):
-        """The text's 202 is out: from here on a notice of it means something."""
+        """The text's 202 is sent: from now on its notice may be sent too."""
         self.unacknowledged.discard(text.ident)
 
     def update_list(self, places, whole):
-        """News of discovery's.
+        """Applies an update of the list, or a whole list if `whole`.
 
-        Guards all texts against an agent that has no list yet and says so with an empty one.
+        An empty whole list is ignored: an agent that has no list yet answers with an empty one.
         """
         self.current = True
         if whole and not places and self.facade.places and self.subscribed is None:
             logger.warning(
-                "an empty list is passed over, {endpoints} endpoints serve on",
+                "empty list ignored, {endpoints} endpoints stay in use",
                 event="discovery.empty",
                 endpoints=len(self.facade.places),
             )
@@ -208,7 +216,7 @@
                 self.lines.change(removed, [now_listed[number] for number in former if number in now_listed])
 
     def released(self, destination):
-        """The subscription to a destination was given up."""
+        """The subscription to a destination has ended."""
         removed = self.facade.release(destination)
         if self.lines.listed is not None:
             self.lines.change(removed, [])
@@ -216,14 +224,16 @@
     # The turn.
 
     def turn(self):
-        """Decides on all that a pass brought; a fault in that is logged and the courier serves on."""
+        """Processes everything that a pass of the loop brought in and returns when the next turn is due. An
+        exception is logged, and the turn is repeated.
+        """
         try:
             due = self.decide() if self.list_agent is None or self.list_agent.tried else FOREVER
             self.journal_decisions()
         except Exception as fault:
             return self.handle_failed_turn(fault)
         if self.stuck:
-            logger.info("turns go on, {turns} ended by a fault", event="turn.again", turns=self.stuck)
+            logger.info("turns succeed again after {turns} failures", event="turn.again", turns=self.stuck)
             self.stuck, due = 0, self.loop.now()
             self.facade.pause_calls(self.list_deadline is not None)
         while place := self.facade.given_back():
@@ -239,28 +249,30 @@
         return due if all(started) else self.loop.now()
 
     def handle_failed_turn(self, fault):
-        """A turn ended by a fault: what was decided in it is not in the journal. Nothing goes out, nothing
-        more is taken on, and what nothing could send any more after a restart is told its end in time. When
-        the next turn is due."""
+        """Handles a failed turn, whose decisions are not in the journal; returns when the next turn is due.
+
+        Nothing is sent and no message is accepted. Notices are sent only for messages whose validity has
+        ended, because no restart could send those.
+        """
         now = self.loop.now()
         if not self.stuck:
             self.first_failure_at = now
             self.facade.pause_calls(True)
         self.stuck += 1
         self.log_failed_turn(fault)
-        # guards memories of references, waits and validity periods against calls that the journal held up:
-        # each is decided anew. It costs a submit of the text's allowance.
+        # Calls delayed by the journal are decided again: a destination's memory of a reference, a wait or a
+        # validity period may have ended meanwhile. Each text has used up one of its submits.
         delayed, self.calls = self.calls, []
         for call in delayed:
             self.facade.report(call, Answer(Far.CALLED_OFF), 0.0)
         self.refuse_unjournalled(now)
-        # ends that could not be written are told once the time of their messages is up: nothing sends those
-        # after a restart; others wait for the journal: a restart might send them behind their end
+        # An end that is not in the journal is reported only once the message's validity has ended: before, a
+        # restart might still send the message.
         self.queue_notices(lambda text: now >= text.until)
         return now + AGAIN
 
     def log_failed_turn(self, fault):
-        """Guards the log against a disk that refuses for long."""
+        """Logs a failed turn, at a limited rate so that a long disk fault does not fill the log."""
         if isinstance(fault, OSError):
             self.loop.faults.tell_refusal(
                 "journal.refused",
@@ -269,13 +281,12 @@
                 turns=self.stuck,
             )
         else:
-            self.loop.faults.tell(
-                "turn.fault", "a turn ended by a fault, {turns} in a row", fault, turns=self.stuck
-            )
+            self.loop.faults.tell("turn.fault", "turn failed, {turns} in a row", fault, turns=self.stuck)
 
     def refuse_unjournalled(self, now):
-        """Messages that wait to be written are refused: at once where the journal surely does not hold them
-        after a kill, else only when their time is nearly up, since a restart might still send them."""
+        """Refuses messages that wait to be journalled once `HOLD` ms have passed. If part of a record may be in
+        the file, each is refused only shortly before its validity ends: a restart might still send it.
+        """
         window_passed = now >= self.first_failure_at + HOLD and not self.journal.torn
         waiting, self.waiting = self.waiting, []
         for event in waiting:
@@ -286,8 +297,8 @@
                 self.waiting.append(event)
 
     def queue_notices(self, is_due):
-        """Owes the notices of texts that were given up, as far as they are `due` and their 202 is out: before
-        it a notice would count for nothing.
+        """Queues the notices of given-up texts for which `is_due` holds and whose 202 is sent. A client
+        ignores a notice that comes before its 202.
         """
         given_up, self.given_up = self.given_up, []
         for text in given_up:
@@ -297,7 +308,7 @@
                 self.given_up.append(text)
 
     def decide(self):
-        """The decisions on all that came in; when the next ones are due."""
+        """Lets the decisions process all input; returns when the next ones are due."""
         now = self.loop.now()
         if self.list_deadline is not None and (self.list_agent.answered or now >= self.list_deadline):
             self.list_deadline = None
@@ -314,12 +325,12 @@
 
     @property
     def out(self):
-        """How many calls are out."""
+        """Number of calls in progress."""
         return len(self.flights)
 
     def start_call(self, call):
-        """Sends a call, as far as the guard lets it go; its time-out counts from now, but no call is out
-        beyond the time of its first text, however long the turn took. Whether it was sent.
+        """Starts a call if the guard permits it; returns whether it was started. The time-out counts from
+        now, but ends at the latest with the validity of the call's first text, however long the turn took.
         """
         now, kept = self.loop.now(), self.journal.routes.of(call.place)
         if not self.guard.may_call(call, self.facade.endpoint_of(call), kept, now):
@@ -336,18 +347,18 @@
         return True
 
     def go_on(self, flight, line, received):
-        """A call that another process began."""
+        """Continues a call that another process began, with the bytes `received` so far."""
         self.spawn_call(
             flight, lambda on_written, report: go_on(self.loop, self.lines, flight, line, received, report)
         )
 
     def spawn_call(self, flight, exchange):
-        """Runs a call's talk with its endpoint as a coroutine, to its outcome."""
+        """Runs the exchange with the endpoint in a coroutine until the call has its outcome."""
         self.flights[flight] = True
         flight.task = self.loop.spawn(self.run_call(flight, exchange))
 
     def journal_decisions(self):
-        """What was decided goes out only once the journal holds it."""
+        """Writes the decisions to the journal; they take effect outside only once it holds them."""
         facade, journal, now = self.facade, self.journal, self.loop.now()
         while back := facade.back():
             journal.back(*back)
@@ -374,9 +385,9 @@
         journal.flush()
 
     def run_call(self, flight, exchange):
-        """One call; whatever happens in it, its texts get an outcome."""
+        """One call as a coroutine; its texts get an outcome whatever happens."""
         call, started = flight.call, flight.began or self.loop.now()
-        answer = Answer(Far.SENT)  # a fault leaves open how far it came
+        answer = Answer(Far.SENT)  # after an exception the endpoint may have processed it
         collected = False
 
         def on_written():
@@ -391,12 +402,12 @@
         try:
             answer = yield from exchange(on_written, report)
         except GeneratorExit:
-            # called off, with what is known of it; or collected with its loop, at any moment of other work
+            # cancelled, or garbage-collected with its loop, which may happen within any other code
             answer, collected = Answer(flight.far), not flight.task.over
             raise
         except Exception as fault:
             self.loop.faults.tell(
-                "call.fault", "a call to {endpoint} ended by a fault", fault, endpoint=call.place.ident
+                "call.fault", "call to {endpoint} failed with an exception", fault, endpoint=call.place.ident
             )
         finally:
             del self.flights[flight]
@@ -405,7 +416,7 @@
                 self.guard.call_ended(call)
 
     def statistics(self):
-        """What `GET /admin/stats` answers: the ledger, what is taken and not ended, and the list."""
+        """The answer to `GET /admin/stats`: the ledger, texts without an end, and the size of the list."""
         return self.ledger.told() | dict(
             outstanding=len(self.facade.texts),
             discovered=len(self.facade.places),
@@ -413,7 +424,7 @@
         )
 
     def status(self):
-        """What `GET /-/status` answers: the figures, what is held, and every destination."""
+        """The answer to `GET /-/status` as JSON: totals, queue sizes and the state of each destination."""
         ledger = self.ledger
         return json.dumps(
             self.statistics()
@@ -434,25 +445,25 @@
         ).encode()
 
     def told(self, text):
-        """The platform has heard a notice."""
+        """The platform has received the notice of a text."""
         self.ledger.noticed += 1
         self.complete(text)
 
     def complete(self, text):
-        """Nothing is owed for the text any more."""
+        """Marks a text as finished in the journal."""
         self.journal.over(text, self.loop.now())
 
     def run_housekeeping(self):
-        """Closes idle connections in time and says how late the loop ran."""
+        """A coroutine that closes idle connections and logs the loop's lag and the totals."""
         report_at = self.loop.now() + REPORT_INTERVAL_MS
         while True:
             yield Until(self.loop.now() + SWEEP)
             self.lines.sweep(self.loop.now())
             if self.loop.now() >= report_at:
                 message = (
-                    "loop at most {late_ms:.1f} ms late; {taken} taken, {turned_away} turned away, "
+                    "loop at most {late_ms:.1f} ms late; {taken} accepted, {turned_away} refused, "
                     "{given_up} given up, "
-                    "{held} held, {out} out"
+                    "{held} held, {out} calls in progress"
                 )
                 ledger = self.ledger
                 logger.info(
