--- a/calicopin/admin/__init__.py
+++ b/calicopin/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Where operators call: a second address on the one loop."""
+"""The HTTP server for operators, on a second address of the same event loop."""
--- a/calicopin/admin/server.py
+++ b/calicopin/admin/server.py
@@ -1,6 +1,6 @@
-"""One call to one connection: health, figures, quiesce, resume.
+"""HTTP server of the admin address: health, statistics, quiesce and resume, one call per connection.
 
-Answered ahead of clients, and never with an effect on a text.
+Calls are answered before clients' requests and never change a message.
 """
 
 import json
@@ -12,21 +12,18 @@
 from calicopin.wire.http import TOO_LONG, Line, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
-READ_TIMEOUT_MS = (
-    2000.0  # for a whole call: its answer is owed in 1 s, callers that say nothing may hold on for longer
-)
-LINGER_TIMEOUT_MS = 300.0
+READ_TIMEOUT_MS = 2000.0  # for a whole call; callers expect the answer to a complete one within 1 s
+LINGER_TIMEOUT_MS = 300.0  # for the caller to close its side after the answer
 MAX_BODY_BYTES = 4096
-MAX_ACCEPTS_PER_PASS = 16  # connections accepted in one pass
-LOG_INTERVAL_MS = 1000.0  # between two lines on calls turned away
+MAX_ACCEPTS_PER_PASS = 16  # connections accepted in one pass of the loop
+LOG_INTERVAL_MS = 1000.0  # between two log lines about refused calls
 
 
 class AdminServer:
     """Listens on `address`.
 
-    `calls` holds, by path, the method and a function that returns the body. At most `most` callers are heard
-    at once; one more closes the one that has been silent longest, so that callers who say nothing keep nobody
-    out.
+    `handlers` maps a path to its method and a function that returns the body of the answer. At most
+    `max_connections` are open; a further one closes the oldest, so that idle callers do not block others.
     """
 
     def __init__(self, loop, address, handlers, max_connections):
@@ -37,7 +34,7 @@
         self.accepting = loop.keep(self.accept, ahead=True)
 
     def accept(self):
-        """A coroutine that serves each new connection with one of its own; it must not end."""
+        """A coroutine that accepts connections and starts a coroutine for each; it never returns."""
         while True:
             for _ in range(MAX_ACCEPTS_PER_PASS):
                 try:
@@ -59,9 +56,7 @@
                 yield Until(self.loop.now())
 
     def serve(self, connection):
-        """One connection: reads its call, answers it and closes. A caller has `READ_TIMEOUT_MS` for each of the
-        two.
-        """
+        """Reads the call of one connection, answers it and closes. Both may take `READ_TIMEOUT_MS`."""
         try:
             until = self.loop.now() + READ_TIMEOUT_MS
             status, body = yield from self.read_call(connection, until)
@@ -72,38 +67,40 @@
             connection.close()
 
     def drop(self, connection):
-        """Closed here too: a coroutine that was ended before its first step runs no part of its own."""
+        """Ends a connection. It is closed here because a coroutine cancelled before its first step runs no
+        cleanup of its own.
+        """
         self.loop.cancel(self.connections.pop(connection))
         connection.close()
 
     def read_call(self, connection, until):
-        """One call: its status and body; status 0 where nobody is there to hear it."""
+        """Reads and handles one call: (status, body) of the answer; status 0 if the caller is gone."""
         head = yield from connection.event(until)
         if isinstance(head, h11.RemoteProtocolError):
-            return self.refuse(400, f"a call that cannot be read: {head}")
+            return self.refuse(400, f"malformed request: {head}")
         if not isinstance(head, h11.Request):
-            return self.refuse(408, "a call that does not come") if head is None else (0, None)
+            return self.refuse(408, "no request received in time") if head is None else (0, None)
         body = yield from connection.body(MAX_BODY_BYTES, until)
         if body is TOO_LONG:
-            return self.refuse(400, f"a body over {MAX_BODY_BYTES} bytes")
+            return self.refuse(400, f"request body over {MAX_BODY_BYTES} bytes")
         if body is None:
-            return self.refuse(400, "a body that does not come or cannot be read")
+            return self.refuse(400, "request body incomplete or malformed")
         path = head.target.split(b"?")[0].decode("latin-1")
         if path not in self.handlers:
-            return self.refuse(404, f"no call {path[:60]!r}; there are {', '.join(self.handlers)}")
+            return self.refuse(404, f"unknown path {path[:60]!r}; known are {', '.join(self.handlers)}")
         method, handler = self.handlers[path]
         if head.method.decode() != method:
-            return self.refuse(405, f"{path} takes {method}")
+            return self.refuse(405, f"{path} requires {method}")
         try:
             return 200, handler()
-        except ValueError as fault:  # it cannot be done in the state that the courier is in
+        except ValueError as fault:  # not possible in the courier's current state
             return self.refuse(409, str(fault))
 
     def refuse(self, status, why):
-        """(status, body) of a call that is turned away; logged once in `LOG_INTERVAL_MS` ms at most."""
+        """(status, body) of a refused call; logged at most once per `LOG_INTERVAL_MS`."""
         if self.loop.now() >= self.last_refusal_logged + LOG_INTERVAL_MS:
             logger.warning(
-                "a call at the admin address was turned away with {status}: {why}",
+                "call at the admin address refused with {status}: {why}",
                 event="admin.refused",
                 status=status,
                 why=why,
@@ -128,7 +125,7 @@
                 ),
                 data,
             )
-        except h11.LocalProtocolError:  # it spoke no HTTP and is gone, or took an interim answer for the last
+        except h11.LocalProtocolError:  # h11 permits no answer, as after bytes that are not HTTP
             return
         if (yield from connection.write(answer, until)) == len(answer):
             yield from connection.linger(self.loop.now() + LINGER_TIMEOUT_MS)
--- a/calicopin/lifecycle/__init__.py
+++ b/calicopin/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start, restart and stop."""
+"""Start, configuration reload, restart and stop of a courier, and its run time."""
--- a/calicopin/lifecycle/call_log.py
+++ b/calicopin/lifecycle/call_log.py
@@ -1,8 +1,7 @@
-"""Log lines on single messages: each call that failed, each message given up and each one refused, with the
-message's id and the reason.
+"""Log lines about single messages and calls, with the ids of the messages and the reason.
 
-Failed calls, and messages that end in any other way than by a delivery, are logged at INFO; what every
-message brings is logged at DEBUG, and so are refusals: clients may send those at full speed. Times are
+Failed calls, and messages that end other than by a delivery, are logged at INFO. Lines that every message
+causes are logged at DEBUG, and so are refusals, because clients may cause them at full speed. Times are
 milliseconds.
 """
 
@@ -11,13 +10,13 @@
 from calicopin.facade import Call, End, Far, how
 from calicopin.interface import How
 
-MOST_NAMED = 10  # ids in one line
+MAX_LOGGED_IDS = 10  # message ids in one line
 
 
-def taken(text, now: float) -> None:
-    """One line for a message that was taken on."""
+def log_accepted(text, now: float) -> None:
+    """Logs a message that was accepted."""
     logger.debug(
-        "message {message} for destination {destination} taken on, {left_ms:.0f} ms left",
+        "message {message} for destination {destination} accepted, {left_ms:.0f} ms left",
         event="message.taken",
         message=text.ident,
         destination=text.dest,
@@ -25,20 +24,20 @@
     )
 
 
-def call_sent(call: Call) -> None:
-    """One line for a call that is about to be made."""
+def log_call_sent(call: Call) -> None:
+    """Logs a call that is about to be made."""
     logger.debug(
-        "call to {endpoint} for destination {destination} within {timeout_ms:.0f} ms, messages {messages}",
+        "call to {endpoint} for destination {destination}, time-out {timeout_ms:.0f} ms, messages {messages}",
         event="call.sent",
         endpoint=call.place.ident,
         destination=call.place.dest,
         timeout_ms=call.timeout,
-        messages=" ".join(text.ident for text in call.texts[:MOST_NAMED]),
+        messages=" ".join(text.ident for text in call.texts[:MAX_LOGGED_IDS]),
     )
 
 
-def call_failed(call: Call, answer, elapsed: float) -> None:
-    """One line for a call of which at least one message was not delivered."""
+def log_call_failed(call: Call, answer, elapsed: float) -> None:
+    """Logs a call in which at least one message was not delivered."""
     outcomes = [how(answer, text.ident)[0] for text in call.texts]
     worst = next((outcome for outcome in outcomes if outcome != How.DELIVERED), None)
     if worst is None:
@@ -55,12 +54,12 @@
         elapsed_ms=elapsed,
         wait_ms=answer.wait,
         attempt=call.texts[0].tries,
-        messages=" ".join(text.ident for text in call.texts[:MOST_NAMED]),
+        messages=" ".join(text.ident for text in call.texts[:MAX_LOGGED_IDS]),
     )
 
 
-def given_up(end: End) -> None:
-    """One line for a message that ends undelivered, with the reason."""
+def log_given_up(end: End) -> None:
+    """Logs a message that ends undelivered with a notice, with the reason."""
     logger.info(
         "message {message} for destination {destination} given up after {attempts} attempts: {why}",
         event="message.given-up",
@@ -73,8 +72,8 @@
     )
 
 
-def ended(end: End, now: float) -> None:
-    """One line for a message of which nothing more is owed, without a notice: how it ended."""
+def log_ended(end: End, now: float) -> None:
+    """Logs a message that ends without a notice, with the reason."""
     logger.log(
         "DEBUG" if end.delivered else "INFO",
         "message {message} for destination {destination} ended after {attempts} attempts: {why}",
@@ -87,8 +86,8 @@
     )
 
 
-def refused(text, status: int, why: str) -> None:
-    """One line for a message that was not taken on."""
+def log_refused(text, status: int, why: str) -> None:
+    """Logs a message that was refused."""
     logger.debug(
         "message {message} for destination {destination} refused with {status}: {why}",
         event="message.refused",
--- a/calicopin/lifecycle/json_log.py
+++ b/calicopin/lifecycle/json_log.py
@@ -1,6 +1,6 @@
-"""Log records as JSON: one object a line, with a stable event name and figures as fields.
+"""Log records as JSON: one object per line, with a stable event name and the values as fields.
 
-Names stand in `docs/events.md`.
+The names are listed in `docs/events.md`.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 
 def event_fields(extra):
-    """A record's fields; the decisions' own lines tell theirs in words."""
+    """The fields of a record; those of a line of the decisions are parsed from its text."""
     record_fields = dict(extra)
     match = DECISION_LINE.match(record_fields["line"]) if record_fields.get("event") == "decided" else None
     if match:
@@ -26,8 +26,8 @@
 
 
 def format_record(courier, record):
-    """One record as JSON: time (UTC, ISO 8601), level, courier, event, message, then its own fields and a
-    fault.
+    """One record as JSON: time (UTC, ISO 8601), level, courier, event, message, then the record's own fields
+    and an exception.
     """
     extra = event_fields(record["extra"])
     record_fields = {
--- a/calicopin/lifecycle/log_import.py
+++ b/calicopin/lifecycle/log_import.py
@@ -1,4 +1,4 @@
-"""The log without the event loop that comes with it."""
+"""Imports loguru without asyncio."""
 
 import importlib
 import sys
@@ -6,15 +6,16 @@
 
 
 def no_event_loop():
-    """What stands in for asyncio's loop; RuntimeError always."""
-    raise RuntimeError("there is no event loop of asyncio's in a courier")
+    """Replaces `asyncio.get_running_loop`; always raises RuntimeError."""
+    raise RuntimeError("a courier runs no asyncio event loop")
 
 
 def load_logging():
-    """Reads loguru in without asyncio, which it needs for sinks that are coroutines only; with asyncio
-    come ssl, subprocess and concurrent: 5.9 MB of 25 and a fifth of the CPU of a start. Guards couriers
-    with little memory, above all while two versions run side by side. It would hurt whoever adds a sink
-    that is a coroutine: that is told by `no_event_loop`. asyncio itself may be imported as ever.
+    """Imports loguru with a placeholder for asyncio, which it needs only for sinks that are coroutines.
+
+    asyncio also imports ssl, subprocess and concurrent: 5.9 MB of a courier's 25 MB and a fifth of the CPU
+    time of a start. This matters most while two versions run side by side. A sink that is a coroutine fails
+    with the error of `no_event_loop`. asyncio can still be imported afterwards.
     """
     if "asyncio" in sys.modules or "loguru" in sys.modules:
         return
--- a/calicopin/lifecycle/node_settings.py
+++ b/calicopin/lifecycle/node_settings.py
@@ -1,16 +1,14 @@
-"""What the platform's JSON says of discovery nodes, checked; a fault names its place."""
+"""Reads and checks the settings of discovery nodes in the platform's JSON; errors name the key."""
 
 from calicopin.subscription.messages import MOST_WORD
 
 MAX_NODES = 1000
-MAX_LIST_AGE_S = 366 * 24 * 3600.0  # seconds
-DEFAULT_LIST_AGE_S = (
-    24 * 3600.0
-)  # seconds: how old a list in the folder may be at a start, unless the file says otherwise
+MAX_LIST_AGE_S = 366 * 24 * 3600.0
+DEFAULT_LIST_AGE_S = 24 * 3600.0  # default maximum age of the list in the folder at a start
 
 
 def parse_subscription(configuration: dict, path: str) -> dict:
-    """The fields of a `Post` for subscriptions. Raises ValueError with the place of what cannot be read."""
+    """The fields of a `Post` for subscriptions; raises ValueError with the key of an invalid value."""
     nodes, fleet = configuration.get("nodes") or [], configuration.get("fleet") or ""
     if not isinstance(nodes, list) or len(nodes) > MAX_NODES:
         raise ValueError(f"{path}: nodes: is no list of at most {MAX_NODES} addresses")
@@ -45,7 +43,7 @@
 
 
 def _list_age_ms(seconds, path: str) -> float:
-    """In milliseconds."""
+    """The maximum list age in milliseconds."""
     is_number = isinstance(seconds, (int, float)) and not isinstance(seconds, bool)
     if not is_number or not 0 < seconds <= MAX_LIST_AGE_S:
         raise ValueError(f"{path}: list_age: {seconds!r:.40} is no number of seconds over 0 and up to a year")
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again while the courier serves on."""
+"""Reload of the configuration on SIGHUP, while the courier keeps running."""
 
 from loguru import logger
 
@@ -6,7 +6,7 @@
 from calicopin.wire.discovery import read
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
-PATIENCE = 3000.0  # ms: a new configuration counts as told 4 s behind its signal
+PATIENCE = 3000.0  # ms of retries: the platform relies on a new configuration 4 s after its signal
 
 RESTART_ONLY = (
     "name",
@@ -15,11 +15,11 @@
     "admin",
     "fleet",
     "max_age",
-)  # what only a restart takes up, with the terms
+)  # attributes of `Post` that change only with a restart, as do the terms
 
 
 class Renewal:
-    """Hears the signals. What a new file says of discovery, descriptors and disk holds at once."""
+    """Handles signals. A new configuration's discovery, descriptors and disk limit take effect at once."""
 
     def __init__(self, loop, signal_reader, post, read_configuration, stop, discovery, clients, runtime):
         self.loop, self.signal_reader, self.post, self.read_configuration, self.stop = (
@@ -31,10 +31,10 @@
         )
         self.discovery, self.clients, self.runtime, self.renewed = discovery, clients, runtime, False
         self.subscribes = bool(post.nodes)
-        self.retry_at, self.retry_deadline = FOREVER, -FOREVER  # ms: a reload that the system refused
+        self.retry_at, self.retry_deadline = FOREVER, -FOREVER  # ms, of a reload that failed with an OSError
 
     def wait(self):
-        """A coroutine that waits for signals: a stop is passed on, SIGHUP reads the configuration again."""
+        """A coroutine that waits for signals: SIGTERM and SIGINT request the stop, SIGHUP the reload."""
         while True:
             yield Until(self.retry_at, self.signal_reader.fd, READ)
             signals = self.signal_reader.heard()
@@ -44,12 +44,12 @@
                 self.retry_deadline = self.loop.now() + PATIENCE
                 self.retry_at = self.loop.now()
             if self.loop.now() >= self.retry_at and not self.stop.retired:
-                # retired: another process has heard it
+                # a retired process does not reload: its successor does
                 self.retry_at = FOREVER
                 self.renew()
 
     def apply_partner_list(self, post, old):
-        """The partners of an operator's file, all of them: it was checked as a whole."""
+        """Applies the list of partners of an operator's file, which was checked as a whole."""
         if post.partner_file and self.discovery is not None:
             self.discovery.path = post.partner_file
             self.discovery.take()
@@ -58,8 +58,7 @@
             self.runtime.update_list(places, True)
 
     def limit_disk(self, disk):
-        """So many bytes may the folder hold; the list in it has its part where destinations are subscribed
-        to."""
+        """Sets the size limit of the folder in bytes; with subscriptions the list in it has a share."""
         if self.subscribes:
             from calicopin.state.known_list import journal_bytes
 
@@ -68,12 +67,14 @@
         self.runtime.journal.limit(disk)
 
     def renew(self):
-        """A file that cannot be read changes nothing; where only the moment is to blame it is read again."""
+        """Reads and applies the configuration. One that cannot be read changes nothing; after an OSError it
+        is tried again until the deadline.
+        """
         try:
             post = self.read_configuration()
         except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as fault:
             logger.error(
-                "SIGHUP: the configuration cannot be read and changes nothing: {fault!r}",
+                "SIGHUP: the configuration cannot be read, nothing changes: {fault!r}",
                 event="reload.refused",
                 fault=fault,
             )
@@ -82,7 +83,7 @@
             return
         old, self.post, self.renewed = self.post, post, True
         logger.info(
-            "SIGHUP: discovery at {agent}, {notices} notices unheard",
+            "SIGHUP: discovery at {agent}, {notices} notices unacknowledged",
             event="reload",
             agent=post.discovery,
             notices=len(self.runtime.notices.owed),
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -117,18 +117,18 @@
         after which the client may retry (0: no advice).
         """
         if self.journal.knows(text.ident):
-            call_log.refused(text, 409, "a message with this id is known")
+            call_log.log_refused(text, 409, "a message with this id is known")
             return 409, 0.0
         if (refusal := self.destination_refusal(text)) is not None:
-            call_log.refused(text, refusal[0], "its destination is not listed")
+            call_log.log_refused(text, refusal[0], "its destination is not listed")
             self.ledger.refused(text, again=refusal[0] == 503)
             return refusal
         if why := self.refusal_reason(text):
-            call_log.refused(text, 503, why)
+            call_log.log_refused(text, 503, why)
             self.ledger.refused(text, again=True)
             return 503, self.retry_after(text)
         self.journal.taken(text)
-        call_log.taken(text, self.loop.now())
+        call_log.log_accepted(text, self.loop.now())
         self.facade.hand_in(text)
         self.ledger.taken += 1
         return None
@@ -284,8 +284,8 @@
             self.loop.faults.tell("turn.fault", "turn failed, {turns} in a row", fault, turns=self.stuck)
 
     def refuse_unjournalled(self, now):
-        """Refuses messages that wait to be journalled once `HOLD` ms have passed. If part of a record may be in
-        the file, each is refused only shortly before its validity ends: a restart might still send it.
+        """Refuses messages that wait to be journalled once `HOLD` ms have passed. If part of a record may be
+        in the file, each is refused only shortly before its validity ends: a restart might still send it.
         """
         window_passed = now >= self.first_failure_at + HOLD and not self.journal.torn
         waiting, self.waiting = self.waiting, []
@@ -336,7 +336,7 @@
         if not self.guard.may_call(call, self.facade.endpoint_of(call), kept, now):
             self.facade.report(call, Answer(Far.CALLED_OFF), 0.0)
             return False
-        call_log.call_sent(call)
+        call_log.log_call_sent(call)
         flight = Flight(call, min(now + call.timeout, call.valid_until))
         self.spawn_call(
             flight,
@@ -369,10 +369,10 @@
         while end := facade.ended():
             self.ledger.ended(end)
             if end.verdict is None:
-                call_log.ended(end, now)
+                call_log.log_ended(end, now)
                 self.complete(end.text)
             else:
-                call_log.given_up(end)
+                call_log.log_given_up(end)
                 journal.given_up(end.text, end.verdict, end.wait)
                 self.given_up.append(end.text)
         for dropped in facade.dropped_destinations():
@@ -396,7 +396,7 @@
         def report(result):
             elapsed = self.loop.now() - started
             if not call.told:
-                call_log.call_failed(call, result, elapsed)
+                call_log.log_call_failed(call, result, elapsed)
             self.facade.report(call, result, elapsed)
 
         try:
--- a/calicopin/lifecycle/shutdown_steps.py
+++ b/calicopin/lifecycle/shutdown_steps.py
@@ -1,27 +1,28 @@
-"""How a courier leaves, step by step: for good after SIGTERM, for a while after a call to quiesce.
+"""The steps of a stop after SIGTERM and of a drain after a quiesce call, decided without I/O.
 
-No I/O: the time since it was asked and what is still under way go in, the step it is in comes out. Times are
-milliseconds.
+Input is the time since the request and the kinds of work in progress; output is the current step. Times are
+milliseconds since the request.
 """
 
 from dataclasses import dataclass
 
-UNREADY_MS = 500.0  # new connections keep coming for so long at most, with some room
-LAST_CALL_MS = 2800.0  # a call that begins later may be cut off by the end
-LAST_ACCEPT_MS = 3200.0  # clients are served until then: what is taken on late is called after the restart
-STOP_LIMIT_MS = 3500.0  # the platform kills 3.7 s after the signal at the earliest
-DRAIN_ACCEPT_MS = 1500.0  # a quiesced courier takes texts on until then, for clients that have not heard yet
-DRAIN_HAND_BACK_MS = (
-    3000.0  # what still waits then is handed back, to be well clear of the 4 s after which it has to be empty
-)
+UNREADY_MS = 500.0  # new connections still come this long at most after the courier reports not ready
+LAST_CALL_MS = 2800.0  # a call that begins later may be cut off by the end of the process
+LAST_ACCEPT_MS = 3200.0  # messages are accepted until then; late ones are sent after the restart
+STOP_LIMIT_MS = 3500.0  # the platform kills the process 3.7 s after the signal at the earliest
+DRAIN_ACCEPT_MS = 1500.0  # a draining courier accepts messages until then from clients that still connect
+DRAIN_HAND_BACK_MS = 3000.0  # waiting messages are nacked then; the courier has to be empty after 4 s
 FOREVER = float("inf")
 
 
 @dataclass(frozen=True)
 class Step:
-    """Lasts until `earliest_end`, and then while something of `busy` is under way (always, where that is None),
-    `latest_end` at the most. What holds in it: `closing` (connections are given back), `refusing` (no text is
-    taken on), `calling`, `listening`, and `emptying` (what waits is handed back).
+    """One step: lasts until `earliest_end`, then while any work of `waits_for` is in progress (None: always),
+    and until `latest_end` at most.
+
+    During the step `closes_connections` closes client connections between requests, `refuses_messages`
+    refuses new messages, `makes_calls` and `accepts_connections` permit both, and `hands_back` nacks waiting
+    messages.
     """
 
     name: str
@@ -35,7 +36,7 @@
     hands_back: bool = False
 
 
-UNREADY_STEP = Step("unready", UNREADY_MS, UNREADY_MS)  # what still comes is served as ever
+UNREADY_STEP = Step("unready", UNREADY_MS, UNREADY_MS)  # requests are still served as usual
 STOP_STEPS = (
     UNREADY_STEP,
     Step("finishing", 0.0, LAST_CALL_MS, frozenset({"clients", "texts", "notices"})),
@@ -60,7 +61,7 @@
         makes_calls=False,
         accepts_connections=False,
     ),
-)  # all else is another's
+)  # all other work was handed over
 DRAIN_STEPS = (
     UNREADY_STEP,
     Step("giving connections back", 0.0, DRAIN_ACCEPT_MS, None, closes_connections=True),
@@ -77,13 +78,13 @@
 
 
 class StepSequence:
-    """One walk through `steps`, begun at `began`; a step that is over does not come back."""
+    """One run through `steps` that began at `began`; a step that has ended is not entered again."""
 
     def __init__(self, steps, began):
         self.steps, self.began = list(steps), began
 
     def step_at(self, now, busy):
-        """The step that holds now, or None at the end. `busy` names what is under way."""
+        """The current step, or None after the last. `busy` names the kinds of work in progress."""
         passed = now - self.began
         while self.steps:
             step = self.steps[0]
--- a/calicopin/lifecycle/signals.py
+++ b/calicopin/lifecycle/signals.py
@@ -1,14 +1,14 @@
-"""Signals: heard from the first moment on, acted on by the loop."""
+"""Signal handling: signals are recorded from the start of the process and handled by the event loop."""
 
 import os
 import signal
 
 
 class SignalReader:
-    """SIGHUP calls for the configuration anew, SIGTERM and SIGINT for the stop.
+    """Records SIGHUP, which requests a reload, and SIGTERM and SIGINT, which request the stop.
 
-    Made before anything else of the program, so that none of them ends it by default; what comes before the
-    loop runs is not lost.
+    Created before the rest of the program is imported, so that no signal ends the process by its default
+    action. Signals that arrive before the loop runs are kept.
     """
 
     STOPS = (signal.SIGTERM, signal.SIGINT)
@@ -17,15 +17,15 @@
         self.received = set()
         for signal_number in (signal.SIGHUP, *self.STOPS):
             signal.signal(signal_number, lambda number, _: self.received.add(number))
-        from calicopin.system import HERE, patiently  # behind the handlers: reading it in takes a while
+        from calicopin.system import HERE, patiently  # after the handlers: this import takes long
 
         self.fd, write_fd = patiently(HERE, os.pipe2, os.O_NONBLOCK | os.O_CLOEXEC)
         signal.set_wakeup_fd(write_fd, warn_on_full_buffer=False)
-        if self.received:  # it came before there was a pipe for it
+        if self.received:  # a signal came before the pipe was set up
             os.write(write_fd, b"\0")
 
     def heard(self):
-        """The signals that came since the last call, each once."""
+        """The set of signals received since the last call."""
         try:
             while os.read(self.fd, 4096):
                 pass
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -1,4 +1,4 @@
-"""Start and restart: what a courier is told, its parts, and what the last process left behind."""
+"""Start and restart of a courier: reads its configuration, builds its parts and restores the journal."""
 
 import json
 import os
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Post:
-    """Where a courier is posted: its name, addresses, folder, limits and the terms of its work."""
+    """The configuration of one courier: name, addresses, folder, limits and delivery settings (`terms`)."""
 
     name: str
     listen: str
@@ -44,41 +44,39 @@
     disk: int
     known: dict
     terms: dict
-    sheet: object = None  # an operator's own file, where there is one
-    partner_file: str = ""  # a file with the list of partners
+    sheet: object = None  # the operator's .toml file, if there is one
+    partner_file: str = ""  # the path of a watched list of partners
     notices: str = ""
     status: bool = False
     log: str = "lines"
     store: str = "file"
-    admin: str = ""  # a second address, where operators call
-    listening_socket: str = (
-        ""  # the number of a descriptor: the clients' listening socket, which every process inherits
-    )
-    handover_folder: str = ""  # a folder that this process and the one that follows it both see
-    durable: bool = False  # a 202 outlasts the machine's loss of power too
-    nodes: tuple = ()  # discovery nodes: where there are some, destinations are subscribed to
-    fleet: str = ""  # as the nodes name what they serve
-    max_age: float = 0.0  # milliseconds: of the list in the folder, at a start
+    admin: str = ""  # the address of the admin server
+    listening_socket: str = ""  # descriptor number of the inherited listening socket for clients
+    handover_folder: str = ""  # a folder that this process and its successor both have access to
+    durable: bool = False  # whether accepted messages survive a power loss of the machine
+    nodes: tuple = ()  # addresses of discovery nodes; if any, the courier subscribes to destinations
+    fleet: str = ""  # the name of the list that the nodes serve
+    max_age: float = 0.0  # ms, of the list in the folder at a start
 
 
 def check_address(value):
-    """An address as it is told; OSError or ValueError where it is none."""
+    """Returns an address of the form host:port unchanged; raises OSError or ValueError for others."""
     host, _, port = value.rpartition(":")
     socket.inet_aton(host)
     if not 0 < int(port) < 65536:
-        raise ValueError(f"no port: {value[:40]!r}")
+        raise ValueError(f"port not between 1 and 65535: {value[:40]!r}")
     return value
 
 
 def posted(environ, renewed=False, system=HERE):
-    """What the platform tells: addresses and folder by its variables first, all else by its file; once the
-    file was replaced, its discovery stands before the variable.
+    """Reads the configuration from the file named by `LB_CONFIG`; for addresses and the folder, environment
+    variables take precedence. After a reload (`renewed`) the file's discovery address precedes the variable.
     """
     path, sheet = environ["LB_CONFIG"], None
     admin_address, listening_socket, handover_folder = (
         environ.get(name, "") for name in ("LB_ADMIN_ADDR", "LB_PASSED_SOCKET", "TMPDIR")
     )
-    if path.endswith(".toml"):  # only then is the reader of operators' files read in
+    if path.endswith(".toml"):  # imported only here: a courier on the platform doesn't need it
         from calicopin.configuration.posting import platform_form
 
         configuration, sheet = platform_form(path, environ)
@@ -127,24 +125,25 @@
 
 
 def initial_list(known):
-    """(version, places) of the list known at a start; one that cannot be read holds nothing: discovery has
-    the whole of it.
+    """(version, places) of the list in the configuration. One that cannot be read counts as empty: discovery
+    sends the whole list.
     """
     try:
         version, _, places = read(known)
     except ValueError as fault:
         logger.warning(
-            "the list known at the start is passed over: {fault}", event="discovery.unread", fault=fault
+            "the list in the configuration is ignored: {fault}", event="discovery.unread", fault=fault
         )
         return None, []
     return version, places
 
 
 def build(post, loop, signal_reader, read_configuration, lock=None, taker=None):
-    """The parts of one courier; what was journalled is handed in before any client is heard.
+    """Builds the parts of one courier and returns its `Runtime`. The journal is restored before any client is
+    served.
 
-    `read_configuration` reads once more what the platform tells. `lock` is the folder's, `taker` holds what another
-    process gives instead of it.
+    `read_configuration` reads the configuration again. `lock` is the lock of the folder; with `taker` the
+    state comes from another process instead of the folder.
     """
     terms = post.terms
     ceilings = terms["ceilings"]
@@ -184,9 +183,8 @@
             ),
         )
     facade = Facade(post.seed, terms, budget.calls, loop.now(), journal.again and not taker)
-    lines = Lines(
-        budget.endpoints, max(idle_timeout / 2.0, idle_timeout - connect_timeout)
-    )  # an opening's time clear of the limit
+    # leaves an idle connection at least a connect time before the endpoint's limit
+    lines = Lines(budget.endpoints, max(idle_timeout / 2.0, idle_timeout - connect_timeout))
     runtime = Runtime(
         loop, facade, journal, lines, connect_timeout, Ledger(grade["name"] for grade in terms["grades"])
     )
@@ -210,10 +208,12 @@
         runtime.restore()
     if post.nodes:
         discovery = runtime.subscribed.start()
-        runtime.list_agent = None if taker else discovery  # what another process knew was heard until now
+        runtime.list_agent = None if taker else discovery  # after a handover the list is current
     elif post.discovery:
         is_pushed = pushed(terms)
-        fetch_all = is_pushed and not taker  # its list is old, and the agent has the whole of it
+        fetch_all = (
+            is_pushed and not taker
+        )  # the configured list is old, and the agent has the whole current one
         discovery = Discovery(
             loop,
             post.discovery,
@@ -282,20 +282,22 @@
 
 
 def serve(environ, signal_reader, system=HERE):
-    """One courier from its start to its end; its ends are signals."""
+    """Runs one courier until a signal stops it; raises ValueError for a configuration that cannot be read."""
     try:
         post = patiently(system, lambda: posted(environ, system=system))
     except (KeyError, TypeError, AttributeError) as fault:
         raise ValueError(
-            f"{environ.get('LB_CONFIG', 'LB_CONFIG')}: what it tells cannot be read: {fault!r}"
+            f"{environ.get('LB_CONFIG', 'LB_CONFIG')}: the configuration cannot be read: {fault!r}"
         ) from None
     lock = taker = None
     if post.listening_socket:
-        system.passed(post.listening_socket).detach()  # one that is none is told before anything is taken
+        system.passed(
+            post.listening_socket
+        ).detach()  # raises for an invalid descriptor before the folder is locked
         lock, taker, post = acquire_folder(post, environ, signal_reader, system)
         if post is None:
             return
-    elif post.sheet:  # the platform gives each courier a folder of its own
+    elif post.sheet:  # on the platform each courier has a folder of its own
         lock = patiently(system, system.lock, post.folder)
     loop = patiently(system, lambda: Loop(system=system))
     try:
@@ -304,7 +306,7 @@
         )
     except ConnectionAbortedError as fault:
         logger.warning(
-            "nothing was taken over, this process begins again: {fault}", event="handover.again", fault=fault
+            "handover failed, this process starts again: {fault}", event="handover.again", fault=fault
         )
         system.again()
     if post.log == "json":
@@ -327,8 +329,8 @@
 
 
 def acquire_folder(post, environ, signal_reader, system):
-    """(lock, what another process gives, the post): waits until the folder is free or the one that holds
-    it gives it. A post of None where a signal comes first.
+    """(lock, `Taker` or None, configuration): waits until the folder is free or its holder hands over. All
+    three are None if a signal to stop comes first.
     """
     from calicopin.handover.meeting import Place
     from calicopin.handover.taker import StoppedError, begin
@@ -338,7 +340,7 @@
             Place(post.handover_folder or post.folder, post.folder), post.folder, signal_reader, system
         )
     except StoppedError:
-        logger.info("{name} ends before it has taken anything", event="stopped", name=post.name, texts=0)
+        logger.info("{name} stopped before it took over", event="stopped", name=post.name, texts=0)
         return None, None, None
     if taker and taker.told["renewed"]:
         post = posted(environ, renewed=True, system=system)
@@ -346,7 +348,7 @@
 
 
 def log_level(environ):
-    """The least level that is logged, from `LB_LOG_LEVEL`; ValueError where that is none."""
+    """The minimum log level from `LB_LOG_LEVEL`; raises ValueError if it names no level."""
     value = environ.get("LB_LOG_LEVEL", "") or "INFO"
     if value not in LOG_LEVELS:
         raise ValueError(f"LB_LOG_LEVEL: {value[:40]!r} is none of {', '.join(LOG_LEVELS)}")
@@ -354,7 +356,7 @@
 
 
 def use_json_log(name, level="INFO"):
-    """One JSON object a line in place of plain ones. A log that cannot be written never stops the courier."""
+    """Logs one JSON object per line. A log that cannot be written never stops the courier."""
     from calicopin.lifecycle.json_log import format_record
 
     def write(message):
@@ -368,9 +370,7 @@
 
 
 def main(signal_reader=None, system=HERE):
-    """Serves as a courier until a signal; returns the exit code, 2 where the configuration cannot be
-    served.
-    """
+    """Runs a courier until a signal; returns the exit code: 2 if it cannot run with its configuration."""
     signal_reader = signal_reader or SignalReader()
     logger.remove()
     try:
@@ -384,11 +384,11 @@
     except BlockingIOError:
         print(
             f"{os.environ['LB_CONFIG']}: courier.state: the folder is held by another courier; "
-            "give each its own",
+            "each courier needs its own",
             file=sys.stderr,
         )
         return 2
-    except (ValueError, OSError) as fault:  # what cannot be served is told in plain lines
+    except (ValueError, OSError) as fault:  # faults of the configuration, without a traceback
         print(fault, file=sys.stderr)
         return 2
     return 0
--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -1,4 +1,4 @@
-"""Leaving on sockets: SIGTERM and the operators' call to quiesce walk through the steps of
+"""Stop and drain of a courier: SIGTERM and the quiesce call of the admin address run the steps of
 `lifecycle/shutdown_steps.py`.
 """
 
@@ -7,22 +7,22 @@
 from calicopin.lifecycle.shutdown_steps import DRAIN_STEPS, RETIRED_STEPS, STOP_STEPS, StepSequence
 from calicopin.wire.loop import Event, Until
 
-POLL_INTERVAL_MS = 20.0
+POLL_INTERVAL_MS = 20.0  # between two checks whether a step has ended
 
 
 class Shutdown:
-    """`requested` is set for the stop.
+    """Runs the stop once the event `requested` is set, and drains on request of an operator.
 
-    A courier that was quiesced stays so until it is told to resume, or ends.
+    A courier that was quiesced stays so until it is resumed or stopped.
     """
 
     def __init__(self, loop, runtime, clients):
         self.loop, self.runtime, self.clients = loop, runtime, clients
         self.requested, self.drain, self.stopping, self.task = Event(loop), None, False, None
-        self.retired = False  # another process serves in its place
+        self.retired = False  # another process has taken over
 
     def busy(self):
-        """What is under way."""
+        """The kinds of work in progress, as named in `Step.waits_for`."""
         runtime = self.runtime
         under_way = dict(
             clients=self.clients.open,
@@ -33,7 +33,7 @@
         return frozenset(name for name, pending in under_way.items() if pending)
 
     def run_steps(self, sequence):
-        """Through the steps, to the end of the last."""
+        """A coroutine that applies each step in turn until the last has ended."""
         now = self.loop.now
         while step := sequence.step_at(now(), self.busy()):
             self.clients.leaving, self.runtime.calling = True, step.makes_calls
@@ -49,7 +49,7 @@
             yield Until(now() + POLL_INTERVAL_MS)
 
     def wait_for_request(self):
-        """Waits until it is asked to, then leaves in order."""
+        """A coroutine that waits for the request to stop, then stops the courier step by step."""
         yield Until(event=self.requested)
         runtime = self.runtime
         logger.info(
@@ -63,9 +63,9 @@
         yield from self.run_steps(
             StepSequence(RETIRED_STEPS if self.retired else STOP_STEPS, self.loop.now())
         )
-        # guards the last turn's texts where the process stood still through the steps: one turn keeps what
-        # was taken on and its answers go out, and what is read from here on is refused, since nothing would
-        # keep it
+        # If the process was suspended during the steps, accepted messages may not be in the journal yet: one
+        # more turn writes them and answers their clients. Messages read from now on are refused, because no
+        # turn would journal them.
         runtime.calling, runtime.refusing = False, True
         runtime.stop_waiting()
         self.clients.close_between_requests()
@@ -74,13 +74,13 @@
         self.loop.running = False
 
     def end_drain(self):
-        """Ends a drain that is under way, if there is one."""
+        """Cancels the drain, if there is one."""
         if self.task:
             self.loop.cancel(self.task)
         self.drain = self.task = None
 
     def quiesce(self):
-        """Empties the courier; once more changes nothing."""
+        """Starts a drain unless one is running or the courier is stopping; returns the status."""
         self.refuse_if_retired()
         if self.drain is None and not self.stopping:
             logger.info(
@@ -93,17 +93,17 @@
         return self.status()
 
     def refuse_if_retired(self):
-        """ValueError where another process has taken all over."""
+        """Raises ValueError if another process has taken over."""
         if self.retired:
-            raise ValueError("all was handed over to a newer process: call that one")
+            raise ValueError("this process has handed over to a newer one: call that one")
 
     def begin_drain(self, began):
-        """Walks through the steps of a drain; `began` in ms of the loop's clock."""
+        """Runs the steps of a drain that was requested at `began`, in ms of the loop's clock."""
         self.drain, self.clients.leaving = StepSequence(DRAIN_STEPS, began), True
         self.task = self.loop.keep(lambda: self.run_steps(self.drain))
 
     def resume(self):
-        """Back to work, at any moment of a drain; without one it changes nothing."""
+        """Ends the drain at any step, if there is one; returns the status."""
         self.refuse_if_retired()
         if self.drain is not None:
             logger.info("resumed: {held} texts held", event="resumed", held=len(self.runtime.facade.texts))
@@ -112,7 +112,7 @@
         return self.status()
 
     def status(self):
-        """What the calls at the admin address answer."""
+        """The answer to `/admin/quiesce` and `/admin/resume`."""
         step = self.drain and self.drain.step_at(self.loop.now(), self.busy())
         return {
             "quiesced": self.drain is not None,
--- a/calicopin/lifecycle/subscribed.py
+++ b/calicopin/lifecycle/subscribed.py
@@ -1,7 +1,7 @@
-"""A courier that subscribes to the destinations it uses: the subscription, the decisions and the list in the
-folder joined.
+"""Subscriptions of a courier to the destinations it uses: connects the subscriber, the decisions and the list
+that is kept in the folder.
 
-Only a courier with discovery nodes in its configuration reads this module in.
+Imported only by a courier with discovery nodes in its configuration.
 """
 
 from collections import Counter
@@ -19,36 +19,37 @@
 
 
 class FirstAnswer(Event):
-    """Set once the first answer on a destination is there; `came` stays true from then on."""
+    """Set once the first answer on a destination has come; `came` stays true from then on."""
 
     def __init__(self, loop):
         super().__init__(loop)
         self.came = False
 
     def set(self):
-        """Wakes whoever waits for it."""
+        """Marks the answer as received and wakes the coroutine that waits for it."""
         self.came = True
         super().set()
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriptionSettings:
-    """What the configuration says of subscriptions. Times are milliseconds."""
+    """Settings of the subscription. Times are milliseconds."""
 
     nodes: tuple[str, ...]
     fleet: str
     courier: str
     long_poll_timeout: float
     seed: int
-    max_list_age: float  # of the list in the folder, at a start
+    max_list_age: float  # of the list in the folder at a start
     folder: str
     disk_bytes: int
 
 
 class Subscribed:
-    """Answers the clients' side on destinations and tells the runtime and the file what the nodes say.
+    """Answers whether destinations are known, and passes the nodes' updates to the runtime and to the list in
+    the folder.
 
-    `places`: what another process had, in place of the file.
+    `places` are the endpoints that another process handed over; they replace the list in the folder.
     """
 
     def __init__(self, loop, settings: SubscriptionSettings, runtime, places: Iterable[Place] | None):
@@ -56,15 +57,15 @@
         self.known_list = KnownList(
             loop, settings.folder, settings.fleet, settings.max_list_age, settings.disk_bytes
         )
-        self.pending: dict[FirstAnswer, int] = {}  # messages that wait for a first answer: their destinations
-        self.pending_by_destination: Counter[int] = Counter()  # by destination
-        self.last_answer_at = None  # when a node answered last
+        self.pending: dict[FirstAnswer, int] = {}  # waiting messages and their destinations
+        self.pending_by_destination: Counter[int] = Counter()  # number of waiting messages
+        self.last_answer_at = None  # ms of the loop's clock
         self.initial_endpoints = self.known_list.read() if places is None else by_destination(places)
         self.settings = settings
         self.subscriber = self.task = None
 
     def start(self) -> Subscriber:
-        """The subscription, with all that the last process knew or held."""
+        """Starts the subscription with the destinations that the last process knew or held messages for."""
         settings = self.settings
         self.subscriber = Subscriber(
             self.loop,
@@ -88,26 +89,27 @@
         return self.subscriber
 
     def retire(self) -> None:
-        """Another process has taken its place, and the file is that one's."""
+        """Stops writing the list in the folder, which now belongs to another process."""
         self.loop.cancel(self.task)
         self.stop_waiting()
 
     def places(self) -> list[Place]:
-        """The endpoints that the last process knew."""
+        """The endpoints known from the last process."""
         return [place for places in self.initial_endpoints.values() for place in places]
 
-    # What clients ask.
+    # Called for clients.
 
     def refusal_status(self, destination: int) -> int | None:
-        """The status that refuses a message for the destination, None where it is known. Subscribes to it."""
+        """Subscribes to the destination; the HTTP status that refuses its messages, or None if known."""
         try:
             return REFUSALS[self.subscriber.use(destination)]
         except InterestFullError:
             return 503
 
     def first_answer(self, destination: int) -> FirstAnswer | None:
-        """The event of the first answer for a destination that is not known yet; None where none is waited
-        for."""
+        """The event of the first answer on a destination that is not known yet; None if no answer is
+        expected.
+        """
         try:
             standing = self.subscriber.use(destination)
         except InterestFullError:
@@ -122,7 +124,7 @@
         return event
 
     def stop_waiting_for(self, event: FirstAnswer) -> None:
-        """Nobody waits for the event any longer."""
+        """Removes the event: its message no longer waits."""
         if (destination := self.pending.pop(event, None)) is not None:
             self.subscriber.unsettled(destination, event)
             self.facade.awaited -= 1
@@ -131,18 +133,18 @@
                 del self.pending_by_destination[destination]
 
     def stop_waiting(self) -> None:
-        """Nothing more is taken on: who waits is answered now."""
+        """Ends the wait of all messages, because no more are accepted."""
         for event in list(self.pending):
             event.set()
 
-    # What the subscription asks and tells.
+    # Called by the subscriber.
 
     def in_use(self, destination: int) -> bool:
-        """Whether a message for the destination is held or waits to be."""
+        """Whether a message for the destination is held or waits for its first answer."""
         return destination in self.pending_by_destination or self.facade.in_use(destination)
 
     def heard(self, places: list[Place], whole: bool) -> None:
-        """News of a node's."""
+        """Passes an update of the list on, or a whole list if `whole`."""
         self.last_answer_at = self.loop.now()
         self.runtime.update_list(places, whole)
         self.known_list.confirmed()
@@ -150,14 +152,14 @@
             self.known_list.changed()
 
     def released(self, destination: int) -> None:
-        """The destination was given up: nothing is told of it any more."""
+        """Forgets a destination whose subscription has ended."""
         self.runtime.released(destination)
         self.known_list.changed()
 
-    # What operators ask.
+    # Called for operators.
 
     def status(self) -> dict:
-        """The subscription as `GET /-/status` tells it."""
+        """The value of `subscription` in the answer to `GET /-/status`."""
         subscriber, now = self.subscriber, self.loop.now()
         figures = subscriber.figures()
         return dict(
@@ -175,7 +177,7 @@
 
 
 def by_destination(places: Iterable[Place]) -> dict[int, list[Place]]:
-    """The endpoints of each destination."""
+    """Groups endpoints by their destination."""
     table = {}
     for place in places:
         table.setdefault(place.dest, []).append(place)
@@ -185,7 +187,7 @@
 def build_subscription(
     post, loop, runtime, long_poll_timeout: float, places: Iterable[Place] | None
 ) -> Subscribed:
-    """As a courier's configuration says; `places` is what another process handed over."""
+    """The subscription of a courier by its configuration; `places` are endpoints that were handed over."""
     settings = SubscriptionSettings(
         nodes=post.nodes,
         fleet=post.fleet,
