--- a/calicopin/command/__init__.py
+++ b/calicopin/command/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: run, write, check, compare and show configurations, and ask a running courier."""
+"""The command line: runs, writes, checks, compares and shows configurations, queries running couriers."""
--- a/calicopin/command/__main__.py
+++ b/calicopin/command/__main__.py
@@ -1,4 +1,4 @@
-"""`calicopin`, or `python -m calicopin` with words behind it."""
+"""The command line `calicopin`, also `python -m calicopin` with arguments."""
 
 import http.client
 import json
@@ -16,14 +16,14 @@
 
 
 def fail(lines, code=2):
-    """Plain lines on standard error, and the end."""
+    """Writes lines to standard error and exits."""
     for line in lines:
         click.echo(str(line), err=True)
     sys.exit(code)
 
 
 def load_configuration(path, overrides=()):
-    """A configuration that can be read."""
+    """Reads a configuration; exits with its faults if it cannot be read."""
     try:
         return read(path, os.environ, overrides)
     except UnusableError as fault:
@@ -31,7 +31,7 @@
 
 
 def parse_overrides(_, __, values):
-    """The values of --set as (key, word) pairs; click's BadParameter where one has another form."""
+    """The values of --set as (key, value) pairs; raises click's BadParameter for one of another form."""
     overrides = []
     for value in values:
         key, sign, new_value = value.partition("=")
@@ -47,7 +47,7 @@
     multiple=True,
     callback=parse_overrides,
     metavar="KEY=VALUE",
-    help="One key over file and variables.",
+    help="Overrides one key of the file and the variables.",
 )
 
 
@@ -57,7 +57,7 @@
     """A courier that sends webhooks and other calls to many outside destinations.
 
     \b
-    calicopin demo                               all of it on this machine, for 20 s
+    calicopin demo                               a whole setup on this machine, for 20 s
     calicopin write desk.toml -o courier.toml    a configuration from a short description
     calicopin check courier.toml                 what is wrong with it, before the start
     calicopin run courier.toml                   a courier, until SIGTERM
@@ -73,10 +73,10 @@
 @main.command()
 @click.option("--seconds", type=click.FloatRange(1.0, 3600.0), default=20.0, show_default=True)
 @click.option(
-    "--rate", type=click.FloatRange(0.5, 200.0), default=30.0, show_default=True, help="Texts a second."
+    "--rate", type=click.FloatRange(0.5, 200.0), default=30.0, show_default=True, help="Messages a second."
 )
 def demo(seconds, rate):
-    """A courier, partners and a client on loopback with live figures; a partner goes out and comes back.
+    """Runs a courier, partners and a client on loopback with live figures; one partner has an outage.
 
     Ends by itself.
     """
@@ -87,7 +87,7 @@
     except ImportError as fault:
         fail(
             [
-                f"the demo wants a library that is not here ({fault.name}): pip install -r "
+                f"the demo needs a library that is not installed ({fault.name}): pip install -r "
                 "requirements-emulator.txt"
             ]
         )
@@ -101,8 +101,8 @@
     """Starts a courier from the operator's FILE and stays in the foreground; SIGHUP reads FILE again.
 
     With `-- APPLICATION WORDS...` it starts that application once the courier listens (CALICOPIN_LISTEN tells
-    it where), starts the courier again if it falls, and stops it in order after the application; the exit
-    code is the application's.
+    it where), restarts the courier if it fails, and stops it after the application; the exit code is the
+    application's.
     """
     if application:
         from calicopin.command.sidecar import Sidecar
@@ -120,8 +120,8 @@
             ).run()
         )
     if not file.endswith(".toml"):
-        fail([f"{file}: is no .toml file; `calicopin convert` makes one of the platform's JSON"])
-    # this process becomes the courier: what the command line read in would stay in its memory
+        fail([f"{file}: not a .toml file; `calicopin convert` makes one from the platform's JSON"])
+    # replaces this process, so that the courier doesn't keep the command line's modules in memory
     os.execve(
         sys.executable, [sys.executable, "-m", "calicopin"], os.environ | {"LB_CONFIG": os.path.abspath(file)}
     )
@@ -132,7 +132,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Findings as JSON.")
 @SET_OPTION
 def check(files, as_json, overrides):
-    """Examines FILES: everything that is wrong, where, and what to do. Starts and changes nothing."""
+    """Checks FILES: lists everything that is wrong, where, and what to do. Starts and changes nothing."""
     has_faults, findings = False, []
     for file in files:
         try:
@@ -159,7 +159,7 @@
 @click.option(
     "-o", "--output", type=click.Path(dir_okay=False), help="The file to write; standard output without it."
 )
-@click.option("--example", is_flag=True, help="Prints a description to begin from.")
+@click.option("--example", is_flag=True, help="Prints a description to start from.")
 def write_(application, output, example):
     """Writes a configuration from the short description in APPLICATION, with the reason for each value."""
     if example:
@@ -181,12 +181,12 @@
         faults, doubts = fault.faults, []
     for finding in [*faults, *doubts]:
         click.echo(str(finding), err=True)
-    click.echo(f"{output} written" + (", and not sound: mend the description" if faults else ""))
+    click.echo(f"{output} written" + (", but it is not sound: correct the description" if faults else ""))
     sys.exit(1 if faults else 0)
 
 
 def replace_file(path, data):
-    """The whole file or nothing of it: beside it first, then in its place."""
+    """Replaces a file atomically, by renaming a temporary file in its folder; exits on failure."""
     try:
         temporary = tempfile.NamedTemporaryFile(dir=os.path.dirname(os.path.abspath(path)), delete=False)
         with temporary as file:
@@ -197,7 +197,7 @@
 
 
 def describe_change(key, before, after):
-    """One key that differs between two files."""
+    """The line for a key that differs between two files."""
     return (
         f"{key}: {'-' if before is None else json.dumps(before)} -> "
         f"{'-' if after is None else json.dumps(after)}"
@@ -208,7 +208,7 @@
 @click.argument("old", type=click.Path())
 @click.argument("new", type=click.Path())
 def diff(old, new):
-    """What changes from OLD to NEW, and whether SIGHUP is enough or a restart is needed."""
+    """Lists what changes from OLD to NEW, and whether SIGHUP is enough or a restart is needed."""
     differences = compare.changes(load_configuration(old).sheet, load_configuration(new).sheet)
     for key, before, after, when in differences:
         click.echo(f"{when:8} {describe_change(key, before, after)}")
@@ -221,33 +221,32 @@
 @click.argument("file", type=click.Path())
 @SET_OPTION
 def show(file, overrides):
-    """Every value in force and where it came from."""
+    """Lists every value in force and where it came from."""
     configuration = load_configuration(file, overrides)
-    numbered = {}
+    file_names = {}
     for table in ("product", "kind", "partner"):
         for number, entry in enumerate(getattr(configuration.sheet, table)):
-            numbered[f"{table}[{entry.name}]"] = f"{table}[{number}]"
+            file_names[f"{table}[{entry.name}]"] = f"{table}[{number}]"
     for key, value in compare.whole(configuration.sheet).items():
-        numbered_key = key
-        for name, number in numbered.items():
-            numbered_key = (
-                numbered_key.replace(name, number) if numbered_key.startswith(name) else numbered_key
-            )
+        file_key = key
+        for name, number in file_names.items():
+            file_key = file_key.replace(name, number) if file_key.startswith(name) else file_key
         click.echo(
-            f"{key} = {json.dumps(value, ensure_ascii=False)}  # {configuration.origin.get(numbered_key, 'default')}"
+            f"{key} = {json.dumps(value, ensure_ascii=False)}"
+            f"  # {configuration.origin.get(file_key, 'default')}"
         )
 
 
 @main.command()
 def schema():
-    """The JSON Schema of the form, for editors."""
+    """Prints the JSON Schema of a configuration, for editors."""
     click.echo(json.dumps(pages.schema(), indent=1))
 
 
 @main.command("convert")
 @click.argument("file", type=click.Path())
 def convert_(file):
-    """An operator's .toml as the platform's JSON, or the platform's JSON as an operator's file."""
+    """Converts an operator's .toml to the platform's JSON, or the platform's JSON to an operator's file."""
     if file.endswith(".toml"):
         configuration = load_configuration(file)
         faults, _ = checks.examine(configuration)
@@ -277,15 +276,15 @@
 @click.option(
     "--reports/--no-reports",
     default=None,
-    help="Whether partners' answers tell their limits from now on; as before without it.",
+    help="Whether partners' answers report their limits from now on; unchanged if not given.",
 )
 @click.option(
     "--once-only", multiple=True, metavar="PRODUCT", help="A product that must not run twice from now on."
 )
 @click.option("--dry-run", is_flag=True, help="Shows what would be written and changes nothing.")
 def migrate_(old, output, senders, reports, once_only, dry_run):
-    """Reads OLD, a file for few couriers, and writes its counterpart for many; lists what it could not
-    carry over.
+    """Reads OLD, a file for few couriers, and writes its counterpart for many; lists what could not be
+    carried over.
 
     OLD is never changed. Exit codes: 0 written, 1 the counterpart would not be sound, 2 something cannot be
     read or written.
@@ -293,7 +292,7 @@
     from calicopin.configuration import migrate
 
     if not dry_run and output is None:
-        raise click.UsageError("give the new file with -o, or --dry-run to see it")
+        raise click.UsageError("give the new file with -o, or --dry-run to print it")
     try:
         configuration = read(old, {}, ())
         sheet, lost = migrate.migrate(configuration, senders, reports, once_only)
@@ -309,7 +308,7 @@
         click.echo(migrate.written(sheet), nl=False)
         return
     if os.path.exists(output):
-        fail([f"{output}: is there already; nothing written, give another name or move it away"])
+        fail([f"{output}: is there already; nothing written, give another name or move the file"])
     replace_file(output, migrate.written(sheet).encode())
     click.echo(f"{output} written")
 
@@ -317,7 +316,7 @@
 @main.command("seal")
 @click.argument("file", type=click.Path())
 def seal(file):
-    """Puts the end on a watched list of partners that tells it whole: its count and its checksum."""
+    """Appends the count and checksum to a watched list of partners, which mark it as complete."""
     try:
         with open(file, "rb") as source:
             sealed = partners.seal(source.read())
@@ -334,14 +333,14 @@
 
 
 class UnixSocketConnection(http.client.HTTPConnection):
-    """HTTP on a Unix socket."""
+    """An HTTP connection to a Unix socket."""
 
     def __init__(self, path):
         super().__init__("courier", timeout=2.0)
         self.path = path
 
     def connect(self):
-        """Opens the connection to the socket's path; OSError where nobody listens there."""
+        """Opens the connection; raises OSError if nothing listens on the socket."""
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.settimeout(self.timeout)
         self.sock.connect(self.path)
@@ -351,7 +350,7 @@
 @click.argument("where")
 @click.option("--json", "as_json", is_flag=True)
 def status(where, as_json):
-    """What a running courier does; WHERE is its configuration or its address."""
+    """Shows the status of a running courier; WHERE is its configuration or its address."""
     address = load_configuration(where).sheet.courier.listen if where.endswith(".toml") else where
     host, _, port = address.rpartition(":")
     try:
@@ -364,9 +363,9 @@
         answer = connection.getresponse()
         body = answer.read()
     except (OSError, ValueError, http.client.HTTPException) as fault:
-        fail([f"{address}: no courier answers there: {fault}"], 1)
+        fail([f"{address}: no answer from a courier: {fault}"], 1)
     if answer.status != 200:
-        fail([f"{address}: it tells no status; set courier.status = true and restart it"], 1)
+        fail([f"{address}: the courier tells no status; set courier.status = true and restart it"], 1)
     if as_json:
         click.echo(body.decode())
         return
--- a/calicopin/command/demo.py
+++ b/calicopin/command/demo.py
@@ -1,5 +1,5 @@
-"""`calicopin demo`: a courier, stand-in partners and a client on loopback, with live figures; one partner
-goes out and comes back.
+"""The command `calicopin demo`: a courier, stand-in partners and a client on loopback, with live figures. One
+partner has an outage.
 """
 
 import http.client
@@ -18,12 +18,12 @@
 from rich.table import Table
 
 PARTNERS = (("gateway", 3), ("hosted", 2), ("own shop", 1))  # name and share of the traffic
-OUTAGE = (0.35, 0.6)  # of the run: while the first partner is out
+OUTAGE = (0.35, 0.6)  # begin and end of the first partner's outage, as shares of the run
 BODY = b"order 4711 confirmed"
 
 
 class Desk(http.server.ThreadingHTTPServer):
-    """One stand-in partner: answers after a while; while `in_outage` it closes every connection unanswered."""
+    """One stand-in partner; during its outage it closes every connection without an answer."""
 
     daemon_threads = True
 
@@ -32,16 +32,16 @@
         self.name, self.delivered, self.in_outage, self.lock = name, set(), False, threading.Lock()
 
     def handle_error(self, *_):
-        """A connection that broke: the courier went, or the partner is out."""
+        """Ignores broken connections: the courier has stopped, or the partner is in its outage."""
 
 
 class PartnerHandler(http.server.BaseHTTPRequestHandler):
-    """Answers each call after a short while; while the partner is out, connections end without an answer."""
+    """Answers each call after a short delay, or closes the connection during the outage."""
 
     protocol_version = "HTTP/1.1"
 
     def do_POST(self):
-        """Answers a call after a short while; closes the connection instead while the partner is out."""
+        """Answers a call after a short delay, or closes the connection during the outage."""
         self.rfile.read(int(self.headers["Content-Length"]))
         time.sleep(random.uniform(0.02, 0.12))
         if self.server.in_outage:
@@ -54,18 +54,18 @@
         self.end_headers()
 
     def setup(self):
-        """Ends a new connection at once while the partner is out."""
+        """Closes a new connection at once during the outage."""
         super().setup()
         if self.server.in_outage:
             self.connection.shutdown(socket.SHUT_RDWR)
 
     def log_message(self, *_):
-        """Writes no line for a call."""
+        """Logs nothing."""
         pass
 
 
 class Notices(http.server.ThreadingHTTPServer):
-    """Hears of texts that end undelivered."""
+    """Receives the notices of messages that end undelivered; `ended` maps their ids to the results."""
 
     daemon_threads = True
 
@@ -75,12 +75,12 @@
 
 
 class NoticeHandler(http.server.BaseHTTPRequestHandler):
-    """Notes the end of each text that a notice tells."""
+    """Records the notices of each request."""
 
     protocol_version = "HTTP/1.1"
 
     def do_POST(self):
-        """Notes the ends that a request tells, one a line."""
+        """Records the notices in a request, one per line."""
         for line in self.rfile.read(int(self.headers["Content-Length"])).splitlines():
             notice = json.loads(line)
             self.server.ended[notice["ref"]] = notice["result"]
@@ -89,12 +89,12 @@
         self.end_headers()
 
     def log_message(self, *_):
-        """Writes no line for a request."""
+        """Logs nothing."""
         pass
 
 
 def configuration(listen, notices, partners):
-    """The operator's file of the demo."""
+    """The text of the demo's configuration file."""
     lines = [
         "version = 1",
         "",
@@ -140,7 +140,7 @@
 
 
 def ask(listen, method, path, body=b"", headers=None):
-    """One request to the courier: (status, body); OSError where it does not answer."""
+    """Sends one request to the courier; returns (status, body), raises OSError if it does not answer."""
     connection = http.client.HTTPConnection(*listen.split(":"), timeout=2.0)
     try:
         connection.request(method, path, body, headers or {})
@@ -151,10 +151,10 @@
 
 
 def status_table(status, partners, left):
-    """The live figures of each destination; `left` is the seconds to go."""
+    """The table of live figures of each destination; `left` is the remaining time in seconds."""
     table = Table(
         title=f"courier on loopback, {left:.0f} s to go",
-        caption="the gateway goes out and comes back; no text is lost",
+        caption="the gateway has an outage; no message is lost",
     )
     for heading in ("partner", "mode", "waiting", "out", "delivered", "usual ms"):
         table.add_column(heading, justify="left" if heading in ("partner", "mode") else "right")
@@ -181,7 +181,7 @@
 
 
 def run_demo(seconds, rate, console):
-    """The demo; returns whether every text that was taken on had its one end."""
+    """Runs the demo; returns whether every accepted message was delivered or got its notice."""
     partners, notices = [Desk(name) for name, _ in PARTNERS], Notices()
     for server in (*partners, notices):
         threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
@@ -206,7 +206,7 @@
                     console.print(text.read(), markup=False)
                 return False
             taken, refused = send_messages(seconds, rate, listen, partners, console)
-            until = time.monotonic() + 8.0  # beyond the validity period: what waits comes to its end
+            until = time.monotonic() + 8.0  # longer than the validity period, so that every message ends
             while time.monotonic() < until and json.loads(ask(listen, "GET", "/-/status")[1])["held"]:
                 time.sleep(0.1)
             time.sleep(0.2)
@@ -219,7 +219,7 @@
 
 
 def send_messages(seconds, rate, listen, partners, console):
-    """Hands texts in on their schedule and shows what becomes of them."""
+    """Sends messages at a constant rate with live figures; returns the accepted ids and the number refused."""
     rng, taken, refused, began, number = random.Random(1), set(), 0, time.monotonic(), 0
     with Live(console=console, refresh_per_second=5, transient=True) as live:
         last_update = 0.0
@@ -256,13 +256,13 @@
 
 
 def print_summary(taken, refused, partners, notices, console):
-    """Prints what became of all texts; whether each has had its end."""
+    """Prints the totals; returns whether every accepted message has ended."""
     delivered = set().union(*(partner.delivered for partner in partners))
     nacked = {ident for ident, result in notices.ended.items() if result == "bounced"}
     dead = set(notices.ended) - nacked
     lost = taken - delivered - nacked - dead
     console.print(
-        f"{len(taken)} texts taken on, {refused} turned away; {len(taken & delivered)} delivered, "
+        f"{len(taken)} messages accepted, {refused} refused; {len(taken & delivered)} delivered, "
         f"{len(nacked - delivered)} nacked, "
         f"{len(dead - delivered)} undeliverable, {len(lost)} without an end",
         soft_wrap=True,
--- a/calicopin/command/discovery_node.py
+++ b/calicopin/command/discovery_node.py
@@ -1,4 +1,4 @@
-"""`calicopin discovery-node`: a discovery node from the command line, or a check of its source."""
+"""The command `calicopin discovery-node`: runs a discovery node or checks its source."""
 
 import sys
 
@@ -12,12 +12,12 @@
 
 
 class Duration(click.ParamType):
-    """A time with its unit."""
+    """A click type: a time with its unit."""
 
     name = "time"
 
     def convert(self, value, param, ctx):
-        """Milliseconds."""
+        """The time in milliseconds."""
         if isinstance(value, float):
             return value
         try:
@@ -27,12 +27,12 @@
 
 
 class Address(click.ParamType):
-    """An IPv4 address and a port."""
+    """A click type: an IPv4 address and a port."""
 
     name = "address"
 
     def convert(self, value, param, ctx):
-        """(host, port)."""
+        """The address as (host, port)."""
         try:
             return address(value)
         except ValueError as fault:
@@ -40,7 +40,7 @@
 
 
 def bounded_name(max_length):
-    """A check that a name is a word of bounded length."""
+    """An option callback that accepts a name of 1 to `max_length` characters."""
 
     def check(_, param, value):
         if value is not None and not 0 < len(value) <= max_length:
@@ -51,21 +51,25 @@
 
 
 def fail(reason):
-    """A plain line on standard error, and the end."""
+    """Writes a line to standard error and exits with code 2."""
     click.echo(str(reason), err=True)
     sys.exit(2)
 
 
 @click.command("discovery-node")
 @click.option("--source", required=True, type=click.Path(), metavar="FILE", help="The list log.")
-@click.option("--fleet", required=True, callback=bounded_name(MOST_WORD), help="Whose list it is.")
-@click.option("--listen", type=Address(), metavar="HOST:PORT", help="Where couriers call.")
-@click.option("--node", callback=bounded_name(MOST_NODE_WORD), help="Its name, one of its own for each node.")
+@click.option(
+    "--fleet", required=True, callback=bounded_name(MOST_WORD), help="The name of the fleet whose list it is."
+)
+@click.option("--listen", type=Address(), metavar="HOST:PORT", help="The address for couriers.")
+@click.option(
+    "--node", callback=bounded_name(MOST_NODE_WORD), help="The name of this node, unique among the nodes."
+)
 @click.option(
     "--upstream",
     type=Address(),
     metavar="HOST:PORT",
-    help="Another node whose list is copied to FILE and followed; FILE serves until it is heard.",
+    help="Another node whose list is copied to FILE and followed; FILE is served until it answers.",
 )
 @click.option("--lease", type=Duration(), default="30s", show_default=True, help="How long a lease lasts.")
 @click.option(
@@ -80,21 +84,21 @@
     type=click.IntRange(min=1),
     default=DEFAULT_BOUNDS.destinations,
     show_default=True,
-    help="Destinations of one lease at most.",
+    help="Destinations of one lease, at most.",
 )
 @click.option(
     "--rate",
     type=click.FloatRange(min=1.0),
     default=DEFAULT_BOUNDS.requests_per_second,
     show_default=True,
-    help="Requests a second of one courier.",
+    help="Requests a second of one courier, at most.",
 )
 @click.option(
     "--burst",
     type=click.FloatRange(min=1.0),
     default=DEFAULT_BOUNDS.burst,
     show_default=True,
-    help="Requests of one courier at once.",
+    help="Requests of one courier at once, at most.",
 )
 @click.option("--connections", type=click.IntRange(min=16), default=8192, show_default=True, help="At most.")
 @click.option(
@@ -102,10 +106,14 @@
     type=click.IntRange(min=1),
     default=4096,
     show_default=True,
-    help="Requests that wait, at most.",
+    help="Waiting requests, at most.",
+)
+@click.option(
+    "--idle", type=Duration(), default="60s", show_default=True, help="How long a silent connection is kept."
+)
+@click.option(
+    "--check", is_flag=True, help="Reads the whole source, reports what is in it and serves nothing."
 )
-@click.option("--idle", type=Duration(), default="60s", show_default=True, help="A silent connection's time.")
-@click.option("--check", is_flag=True, help="Reads the source whole, tells what is in it and serves nothing.")
 def discovery_node(
     source,
     fleet,
@@ -130,7 +138,7 @@
     try:
         from calicopin.discovery_node.node import NodeSettings, serve
     except ImportError as fault:
-        fail(f"a discovery node wants a library that is not here ({fault.name}): pip install calicopin")
+        fail(f"a discovery node needs a library that is not installed ({fault.name}): pip install calicopin")
     if check:
         report_source(source, fleet)
     if listen is None or node is None:
@@ -155,7 +163,7 @@
 
 
 def report_source(source, fleet):
-    """What is in the source; ends the command."""
+    """Prints what is in the source and exits."""
     from calicopin.discovery_node.node import check_source
 
     try:
@@ -168,6 +176,6 @@
     click.echo(
         f"{source}: {found.lines} lines, {figures.destinations} destinations, {figures.endpoints} endpoints, "
         f"{len(found.faults)} lines that cannot be read"
-        + (", and a half line at the end" if found.half_line else "")
+        + (", and an incomplete line at the end" if found.half_line else "")
     )
     sys.exit(1 if found.faults else 0)
--- a/calicopin/command/sidecar.py
+++ b/calicopin/command/sidecar.py
@@ -1,8 +1,8 @@
-"""A courier beside one application: up before it, down after it, started again if it falls.
+"""Runs a courier as the sidecar of an application: starts it before, stops it after, restarts it on failure.
 
-The courier is a process of its own; the application is told where it listens by `CALICOPIN_LISTEN`. SIGTERM
-and SIGINT go to the application first; once that has ended the courier drains and stops. Its folder outlasts
-both.
+The courier is a process of its own; the application gets its address in `CALICOPIN_LISTEN`. SIGTERM and
+SIGINT are passed to the application first; once that has ended the courier drains and stops. Its folder is
+kept.
 """
 
 import os
@@ -12,20 +12,20 @@
 import sys
 import time
 
-POLL_INTERVAL_S = 0.05  # seconds between two looks
-READY_TIMEOUT_S = 30.0  # for the courier to listen
-RESTART_DELAY_S = (0.2, 5.0)  # after which a courier that fell is started again: the first time, and at most
-STABLE_RUN_S = 30.0  # a courier that ran so long has not fallen in a row
-STOP_TIMEOUT_S = 10.0  # for the courier to stop: its own limit is under 4 s
+POLL_INTERVAL_S = 0.05  # seconds between two checks of the processes
+READY_TIMEOUT_S = 30.0  # seconds for the courier to start listening
+RESTART_DELAY_S = (0.2, 5.0)  # seconds before a restart: at first, and at most
+STABLE_RUN_S = 30.0  # seconds after which a failure no longer counts as consecutive
+STOP_TIMEOUT_S = 10.0  # seconds for the courier to stop; its own limit is under 4 s
 
 
 def restart_delay(failures):
-    """Seconds to wait before the next start, after so many failures in a row."""
+    """Seconds to wait before the next start after this number of consecutive failures."""
     return min(RESTART_DELAY_S[1], RESTART_DELAY_S[0] * 2.0 ** max(0, failures - 1))
 
 
 def is_listening(address):
-    """Whether something accepts connections there."""
+    """Whether something accepts connections at the address."""
     host, _, port = address.rpartition(":")
     family, where = (socket.AF_UNIX, port) if host == "unix" else (socket.AF_INET, (host, int(port)))
     with socket.socket(family, socket.SOCK_STREAM) as probe:
@@ -34,7 +34,7 @@
 
 
 class Sidecar:
-    """The two processes. `report` takes a line for the operator."""
+    """The processes of the courier and the application. `report` is called with lines for the operator."""
 
     def __init__(self, file, listen, command, report):
         self.file, self.listen, self.command, self.report = file, listen, command, report
@@ -43,14 +43,14 @@
         self.received_signal = None
 
     def start_courier(self):
-        """Starts the courier's process."""
+        """Starts the process of the courier."""
         self.courier, self.started_at = (
             subprocess.Popen([sys.executable, "-m", "calicopin", "run", self.file]),
             time.monotonic(),
         )
 
     def await_ready(self):
-        """Whether the courier listens within `READY_TIMEOUT_S` seconds; it may fall or a signal come before."""
+        """Waits until the courier listens; False after `READY_TIMEOUT_S`, a failure or a signal."""
         until = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until and self.courier.poll() is None and self.received_signal is None:
             if is_listening(self.listen):
@@ -59,25 +59,25 @@
         return False
 
     def on_signal(self, signal_number, _):
-        """Notes a signal for the loop that waits."""
+        """Records a signal for `run`."""
         self.received_signal = signal_number
 
     def restart_if_ended(self):
-        """Starts a courier again that fell while its application runs."""
+        """Restarts a courier that ended while the application runs."""
         now = time.monotonic()
         if self.courier is not None and self.courier.poll() is not None:
             self.failures = 1 if now - self.started_at >= STABLE_RUN_S else self.failures + 1
             self.restart_at = now + restart_delay(self.failures)
             self.report(
                 f"the courier ended with {self.courier.returncode}; "
-                f"the next start in {restart_delay(self.failures):.1f} s"
+                f"restarting it in {restart_delay(self.failures):.1f} s"
             )
             self.courier = None
         if self.courier is None and now >= self.restart_at:
             self.start_courier()
 
     def run(self):
-        """The application's exit code; 2 where the courier never came up."""
+        """Runs both; returns the application's exit code, or 2 if one of them did not start."""
         previous_handlers = {
             signal_number: signal.signal(signal_number, self.on_signal)
             for signal_number in (signal.SIGTERM, signal.SIGINT)
@@ -88,7 +88,7 @@
         try:
             self.start_courier()
             if not self.await_ready():
-                self.report("the courier did not come up, so the application was not started")
+                self.report("the courier did not start, so the application was not started")
                 return 2
             self.application = subprocess.Popen(
                 self.command, env=os.environ | {"CALICOPIN_LISTEN": self.listen}
@@ -113,12 +113,12 @@
                 signal.signal(signal_number, handler)
 
     def stop(self):
-        """The application is gone: the courier drains what it can and keeps the rest in its folder."""
+        """Stops the courier after the application: it sends what it can and keeps the rest in its folder."""
         if self.courier is not None and self.courier.poll() is None:
             self.courier.terminate()
             try:
                 self.courier.wait(STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
-                self.report("the courier did not stop and is killed; its folder keeps what it held")
+                self.report("the courier did not stop and is killed; its messages are kept in its folder")
                 self.courier.kill()
                 self.courier.wait()
