--- a/calicopin/command/demo.py
+++ b/calicopin/command/demo.py
@@ -219,7 +219,7 @@
 
 
 def send_messages(seconds, rate, listen, partners, console):
-    """Sends messages at a constant rate with live figures; returns the accepted ids and the number refused."""
+    """Sends messages at a constant rate with live figures; returns accepted ids and the number refused."""
     rng, taken, refused, began, number = random.Random(1), set(), 0, time.monotonic(), 0
     with Live(console=console, refresh_per_second=5, transient=True) as live:
         last_update = 0.0
--- a/tests/courier_helper.py
+++ b/tests/courier_helper.py
@@ -1,4 +1,4 @@
-"""What tests of a courier share: endpoints and texts for the facade, and a whole courier on loopback."""
+"""Helpers for tests of a courier: endpoints and texts for the facade, and a whole courier on loopback."""
 
 import json
 
@@ -16,35 +16,35 @@
 
 
 def facade(now=0.0, places=None, **other):
-    house = Facade(7, terms(**other), 8, now)
-    house.listed([place()] if places is None else list(places), True)
-    house.tick(now)
-    return house
+    decisions = Facade(7, terms(**other), 8, now)
+    decisions.listed([place()] if places is None else list(places), True)
+    decisions.tick(now)
+    return decisions
 
 
 def text(ident, product=0, dest=7, until=20000.0, **other):
     return Text(ident, dest, product, None, other.pop("key", None), until, b"", **other)
 
 
-def picked(house):
+def picked(decisions):
     calls = []
-    while call := house.pick():
+    while call := decisions.pick():
         calls.append(call)
-        for one in call.texts:
-            one.went_out(0.0, call.place.zone)
+        for sent in call.texts:
+            sent.went_out(0.0, call.place.zone)
     return calls
 
 
-def endings(house):
+def endings(decisions):
     ends = []
-    while end := house.ended():
+    while end := decisions.ended():
         ends.append((end.text.ident, end.verdict))
     return ends
 
 
 class CourierFixture:
-    """A courier on loopback with stand-ins of an endpoint and of the platform; `kill` leaves just its
-    folder.
+    """A courier on loopback with stand-ins for an endpoint and for the platform. After `kill`, only its
+    folder is left.
     """
 
     def __init__(
@@ -86,9 +86,11 @@
             self.tell(self.known)
 
     def tell(self, known):
-        """The platform's agent answers the first call for the list."""
+        """Lets the platform's agent answer the first request for the list."""
         self.watch = self.platform.meet()
-        assert b"GET /api/targets HTTP" in self.watch.wait(b"\r\n\r\n"), "the whole list, and at once"
+        assert b"GET /api/targets HTTP" in self.watch.wait(b"\r\n\r\n"), (
+            "the first request is for the whole list"
+        )
         self.watch.say(answer(200, json.dumps(known).encode()))
         assert b"index=4&wait=2000" in self.watch.wait(b"\r\n\r\n")
 
@@ -105,7 +107,7 @@
         return peer.wait(b"\r\n\r\n").split()[1]
 
     def request(self, ident="a", product="notice", left=20.0, body=b""):
-        """A client whose message is handed in and not answered yet."""
+        """A client that has sent a message and not got the answer yet."""
         peer = client(self.loop, self.listen)
         peer.say(
             f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: {left}\r\n"
@@ -115,7 +117,7 @@
         return peer
 
     def pass_time(self, span, step=50.0):
-        """Moves the clock in small steps, with passes of the loop in each; ms."""
+        """Moves the clock by `span` ms in small steps, with passes of the loop in each."""
         clock, until = self.loop.now, self.loop.now() + span
         while clock.now < until:
             clock.now = min(until, clock.now + step)
@@ -123,11 +125,11 @@
                 self.loop.once(clock.now)
 
     def kill(self):
-        """Nothing of it runs from here on, so nothing more is written."""
+        """Ends the courier without a stop: nothing of it runs or writes any more."""
         self.loop.once = self.loop.turn = None
 
     def notice(self):
-        """The next notice to the platform; the watch connects there as well."""
+        """The notices in the next request to the platform; requests for the list are skipped."""
         while True:
             peer = self.platform.meet()
             spin(self.loop, lambda peer=peer: b"\r\n\r\n" in peer.hear())
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line, as a process."""
+"""The command line, run as a process."""
 
 import json
 import os
@@ -12,9 +12,9 @@
 from calicopin.command.__main__ import main
 
 
-def test_without_words_and_variables_it_says_how_it_is_used():
-    told = calicopin()
-    assert "Usage: calicopin" in told.stdout + told.stderr and "Traceback" not in told.stderr
+def test_without_arguments_and_variables_it_prints_its_usage():
+    completed = calicopin()
+    assert "Usage: calicopin" in completed.stdout + completed.stderr and "Traceback" not in completed.stderr
 
 
 def test_a_folder_held_by_another_courier_is_refused(tmp_path):
@@ -39,35 +39,37 @@
         assert first.wait(10) == 0
 
 
-def test_a_courier_on_a_unix_socket_tells_its_status(tmp_path):
+def test_a_courier_on_a_unix_socket_reports_its_status(tmp_path):
     (tmp_path / "c.toml").write_text(
         put("127.0.0.1:5000", f"unix:{tmp_path}/s").replace("held = 50", "held = 50\nstatus = true")
     )
-    for _ in range(2):  # the second finds what a killed one left
-        one = subprocess.Popen(
+    for _ in range(2):  # the second start finds the socket of the killed first one
+        courier = subprocess.Popen(
             [sys.executable, "-m", "calicopin", "run", str(tmp_path / "c.toml")],
             stderr=subprocess.PIPE,
             text=True,
         )
         try:
-            assert any("ready on" in line for line in iter(one.stderr.readline, ""))
-            told = calicopin("status", str(tmp_path / "c.toml"), "--json")
-            assert [one["destination"] for one in json.loads(told.stdout)["destinations"]] == [1, 2]
+            assert any("ready on" in line for line in iter(courier.stderr.readline, ""))
+            completed = calicopin("status", str(tmp_path / "c.toml"), "--json")
+            assert [
+                destination["destination"] for destination in json.loads(completed.stdout)["destinations"]
+            ] == [1, 2]
             assert "destination  mode" in calicopin("status", str(tmp_path / "c.toml")).stdout
         finally:
-            one.kill()
-            one.wait(10)
+            courier.kill()
+            courier.wait(10)
 
 
-def test_the_examples_are_sound_and_as_they_are_written(tmp_path):
+def test_the_examples_are_valid_and_match_the_output_of_write(tmp_path):
     folder = os.path.join(os.path.dirname(__file__), "..", "deploy", "examples")
-    made = CliRunner().invoke(main, ["write", os.path.join(folder, "order-desk.application.toml")]).output
+    written = CliRunner().invoke(main, ["write", os.path.join(folder, "order-desk.application.toml")]).output
     with open(os.path.join(folder, "order-desk.toml"), encoding="utf-8") as file:
-        assert file.read() == made
-    (tmp_path / "c.toml").write_text(made)
+        assert file.read() == written
+    (tmp_path / "c.toml").write_text(written)
     assert not findings(tmp_path / "c.toml")
 
 
-def test_the_demo_loses_no_text():
-    told = calicopin("demo", "--seconds", "3", "--rate", "20")
-    assert told.returncode == 0 and " 0 without an end" in told.stdout.replace("\n", " ")
+def test_the_demo_loses_no_message():
+    completed = calicopin("demo", "--seconds", "3", "--rate", "20")
+    assert completed.returncode == 0 and " 0 without an end" in completed.stdout.replace("\n", " ")
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -1,6 +1,4 @@
-"""The package as it is installed: what the wheel holds, and the commands in a fresh environment, without a
-network.
-"""
+"""The installed package: the contents of the wheel, and the commands in a fresh environment, offline."""
 
 import os
 import subprocess
@@ -17,18 +15,20 @@
 ROOT = Path(__file__).resolve().parent.parent
 SOURCES = ROOT / "calicopin"
 EXAMPLE = ROOT / "deploy/examples/order-desk.toml"
-LEAST_SETUPTOOLS = (70, 1)  # the first that builds a wheel without another package
+LEAST_SETUPTOOLS = (70, 1)  # the first version that builds a wheel without the package `wheel`
 COURIER_LIBRARIES = ["h11", "loguru"]
 TIMEOUT = 60.0  # seconds for one command
 
 
-def call(*words, **variables):
-    """One command to its end, outside of the repository and without the variables of the caller's Python."""
-    kept = {name: value for name, value in os.environ.items() if not name.startswith(("PYTHON", "LB_"))}
+def run_command(*words, **variables):
+    """Runs a command outside the repository and without the caller's Python and LB_ variables."""
+    environment = {
+        name: value for name, value in os.environ.items() if not name.startswith(("PYTHON", "LB_"))
+    }
     return subprocess.run(
         [str(word) for word in words],
         cwd="/",
-        env=kept | variables,
+        env=environment | variables,
         stdin=subprocess.DEVNULL,
         capture_output=True,
         text=True,
@@ -37,7 +37,7 @@
 
 
 def pins(file):
-    """The lines of a file of requirements, without those that include another."""
+    """The lines of a requirements file, except those that include another file."""
     return [line for line in (ROOT / file).read_text().split("\n") if line and not line.startswith("-r")]
 
 
@@ -46,25 +46,21 @@
     return tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
 
 
-def needed(requirements, extra=""):
-    """The names of all distributions that these requirements bring, those that they need in turn with
-    them.
-    """
-    names, left = set(), [Requirement(line) for line in requirements]
-    while left:
-        requirement = left.pop()
+def distributions_of(requirements, extra=""):
+    """The names of the required distributions, with those that they depend on."""
+    names, pending = set(), [Requirement(line) for line in requirements]
+    while pending:
+        requirement = pending.pop()
         if requirement.marker and not requirement.marker.evaluate({"extra": extra}):
             continue
         if requirement.name not in names:
             names.add(requirement.name)
-            left += [Requirement(line) for line in metadata.requires(requirement.name) or []]
+            pending += [Requirement(line) for line in metadata.requires(requirement.name) or []]
     return names
 
 
 class Installation:
-    """A fresh environment with the wheel and no other distributions than those named, copied from this
-    one.
-    """
+    """A fresh environment with the wheel and the named distributions, which are copied from this one."""
 
     def __init__(self, folder, wheel, names):
         venv.create(folder, symlinks=True, with_pip=False)
@@ -73,7 +69,7 @@
         self.libraries = folder / f"lib/python{sys.version_info.major}.{sys.version_info.minor}/site-packages"
         for name in names:
             self.copy(metadata.distribution(name))
-        installed = call(
+        installed = run_command(
             sys.executable, "-m", "pip", "--python", self.python, "install", "--no-deps", "--no-index", wheel
         )
         assert installed.returncode == 0, installed.stderr
@@ -90,7 +86,7 @@
 
 @pytest.fixture(scope="module")
 def wheel(tmp_path_factory):
-    """The package's wheel, built from a copy of the sources by the setuptools that is installed here."""
+    """The wheel, built from a copy of the sources with the installed setuptools."""
     version = tuple(int(part) for part in metadata.version("setuptools").split(".")[:2])
     assert version >= LEAST_SETUPTOOLS, f"setuptools {version}: pip install -r requirements-dev.txt"
     copy, out = tmp_path_factory.mktemp("sources"), tmp_path_factory.mktemp("wheel")
@@ -98,7 +94,7 @@
         target = copy / file.relative_to(ROOT)
         target.parent.mkdir(parents=True, exist_ok=True)
         target.write_bytes(file.read_bytes())
-    built = call(
+    built = run_command(
         sys.executable,
         "-m",
         "pip",
@@ -116,20 +112,20 @@
 
 
 def source_files():
-    """Every file of the package's folders, without compiled bytecode."""
+    """All files of the package except compiled bytecode."""
     return [file for file in SOURCES.rglob("*") if file.is_file() and "__pycache__" not in file.parts]
 
 
 @pytest.fixture(scope="module")
 def installed(wheel, tmp_path_factory):
-    """What `pip install calicopin` brings, and nothing else."""
-    return Installation(tmp_path_factory.mktemp("plain"), wheel, needed(project()["dependencies"]))
+    """An environment with what `pip install calicopin` installs."""
+    return Installation(tmp_path_factory.mktemp("plain"), wheel, distributions_of(project()["dependencies"]))
 
 
 @pytest.fixture(scope="module")
 def courier_alone(wheel, tmp_path_factory):
-    """The package with the libraries of requirements.txt only, as the platform builds it."""
-    return Installation(tmp_path_factory.mktemp("courier"), wheel, needed(pins("requirements.txt")))
+    """An environment with only the libraries of requirements.txt, as the platform installs it."""
+    return Installation(tmp_path_factory.mktemp("courier"), wheel, distributions_of(pins("requirements.txt")))
 
 
 def test_the_wheel_holds_every_file_of_the_package(wheel):
@@ -143,23 +139,23 @@
 
 
 def test_pins_of_the_package_are_those_of_the_requirements():
-    told = project()
-    everything = told["dependencies"] + [
-        pin for extra in told["optional-dependencies"].values() for pin in extra
+    project_table = project()
+    all_pins = project_table["dependencies"] + [
+        pin for extra in project_table["optional-dependencies"].values() for pin in extra
     ]
-    assert sorted(everything) == sorted(pins("requirements.txt") + pins("requirements-emulator.txt"))
+    assert sorted(all_pins) == sorted(pins("requirements.txt") + pins("requirements-emulator.txt"))
     assert [pin.partition("==")[0] for pin in pins("requirements.txt")] == COURIER_LIBRARIES
 
 
 @pytest.mark.parametrize("as_module", [False, True])
 def test_the_command_works_after_a_plain_install(installed, as_module):
     words = [installed.python, "-m", "calicopin"] if as_module else [installed.commands / "calicopin"]
-    helped = call(*words, "--help")
-    assert (helped.returncode, helped.stderr) == (0, "")
-    assert "calicopin check courier.toml" in helped.stdout
-    checked = call(*words, "check", EXAMPLE)
+    usage = run_command(*words, "--help")
+    assert (usage.returncode, usage.stderr) == (0, "")
+    assert "calicopin check courier.toml" in usage.stdout
+    checked = run_command(*words, "check", EXAMPLE)
     assert (checked.returncode, checked.stderr) == (0, "")
-    missing = call(*words, "check", "/no-such-file.toml")
+    missing = run_command(*words, "check", "/no-such-file.toml")
     assert (missing.returncode, missing.stderr) == (1, "")
     assert missing.stdout.startswith("fault: /no-such-file.toml: ")
 
@@ -168,9 +164,9 @@
     "words", [["write", "--example"], ["schema"], ["show", EXAMPLE], ["convert", EXAMPLE]]
 )
 def test_commands_that_write_work_after_a_plain_install(installed, words):
-    made = call(installed.commands / "calicopin", *words)
-    assert (made.returncode, made.stderr) == (0, "")
-    assert made.stdout
+    completed = run_command(installed.commands / "calicopin", *words)
+    assert (completed.returncode, completed.stderr) == (0, "")
+    assert completed.stdout
 
 
 @pytest.mark.parametrize("as_module", [False, True])
@@ -178,27 +174,27 @@
     "words,variables,library",
     [(["--help"], {}, "click"), ([], {}, "click"), ([], {"LB_CONFIG": str(EXAMPLE)}, "msgspec")],
 )
-def test_with_a_courier_s_libraries_one_line_says_what_to_install(
+def test_without_a_needed_library_one_line_says_what_to_install(
     courier_alone, as_module, words, variables, library
 ):
     command = (
         [courier_alone.python, "-m", "calicopin"] if as_module else [courier_alone.commands / "calicopin"]
     )
-    refused = call(*command, *words, **variables)
+    refused = run_command(*command, *words, **variables)
     assert (refused.returncode, refused.stdout) == (2, "")
     assert refused.stderr.count("\n") == 1
     assert f" {library}," in refused.stderr and "pip install calicopin" in refused.stderr
 
 
-def test_a_courier_reads_in_no_library_of_the_command_line(courier_alone):
-    """`python -m calicopin` with LB_CONFIG goes this way; click and msgspec aren't there to be read in."""
-    read_in = call(
+def test_a_courier_imports_no_library_of_the_command_line(courier_alone):
+    """`python -m calicopin` with LB_CONFIG imports these modules; click and msgspec aren't installed."""
+    completed = run_command(
         courier_alone.python,
         "-c",
         "import sys, calicopin.__main__, calicopin.lifecycle.start\n"
         "print(*sorted({'click', 'msgspec', 'tomli_w', 'h11'} & set(sys.modules)))",
     )
-    assert (read_in.returncode, read_in.stdout, read_in.stderr) == (0, "h11\n", "")
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, "h11\n", "")
 
 
 RUN_PARTS = (
@@ -213,16 +209,16 @@
 
 
 def test_the_deploy_file_names_every_module_that_run_imports():
-    """Subscriptions are off on the platform: their modules are read in only where nodes are given."""
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
-    named = [*told["node"], *told["policy"]]
+    """Without subscriptions, as on the platform: their modules are imported only if nodes are configured."""
+    deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    deployed = [*deployment["node"], *deployment["policy"]]
     script = "import sys\n" + "".join(f"import calicopin.{part}\n" for part in RUN_PARTS)
     script += "print(*(each.__file__ for name, each in sys.modules.items() if name.startswith('calicopin.')))"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    paths = [str(Path(path).relative_to(ROOT)) for path in done.stdout.split()]
+    paths = [str(Path(path).relative_to(ROOT)) for path in completed.stdout.split()]
     missing = [
-        path for path in paths if not any(path == name or path.startswith(f"{name}/") for name in named)
+        path for path in paths if not any(path == name or path.startswith(f"{name}/") for name in deployed)
     ]
     assert len(paths) > 30 and not missing
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The days in service: the admin address, the ledger, the drain and its steps."""
+"""Operation of a courier: the admin address, the ledger, and the steps of stop and drain."""
 
 import json
 import socket
@@ -13,7 +13,7 @@
 
 
 class Service(CourierFixture):
-    """A courier with an admin address; its clock stands unless the test moves it."""
+    """A courier with an admin address; only the test moves its clock."""
 
     def __init__(self, folder, **other):
         super().__init__(folder, **other)
@@ -34,7 +34,7 @@
         return SignalReader()
 
     def call(self, path, method="GET", body=b"", extra=""):
-        """(status, body) of one call."""
+        """Makes one call to the admin address; returns (status, body)."""
         peer = client(self.loop, self.admin)
         peer.say(
             (
@@ -60,16 +60,16 @@
 
 
 @pytest.fixture
-def house(tmp_path):
+def courier(tmp_path):
     return Service(tmp_path)
 
 
-def test_every_text_ends_under_one_count_and_each_message_written_whole_is_a_forward(house):
+def test_each_message_ends_in_one_count_and_each_message_written_completely_is_a_forward(courier):
     assert [
-        house.post(ident, product) for ident, product in (("a", "notice"), ("b", "order"), ("c", "once"))
+        courier.post(ident, product) for ident, product in (("a", "notice"), ("b", "order"), ("c", "once"))
     ] == [b"202"] * 3
-    assert house.post("late", left=0.0) == b"202"
-    peers = [house.endpoint.meet() for _ in range(3)]
+    assert courier.post("late", left=0.0) == b"202"
+    peers = [courier.endpoint.meet() for _ in range(3)]
     for peer in peers:
         heard = peer.wait(b"\xfe\xfe\xfe")
         peer.say(
@@ -77,32 +77,32 @@
             if b"c" != heard.split(b"X-Request-ID: ")[-1][:1] and b" c\r" not in heard
             else answer(500)
         )
-    spin(house.loop, lambda: len(house.runtime.facade.texts) == 0)
-    house.runtime.current = False  # as before the first list was heard
-    assert house.post("d", dest=9) == b"503"
-    told = house.stats()
-    assert told["succeeded"] == {"notice": 1, "order": 1, "once": 0} and told["aborted"] == {
+    spin(courier.loop, lambda: len(courier.runtime.facade.texts) == 0)
+    courier.runtime.current = False  # as before the first list arrived
+    assert courier.post("d", dest=9) == b"503"
+    statistics = courier.stats()
+    assert statistics["succeeded"] == {"notice": 1, "order": 1, "once": 0} and statistics["aborted"] == {
         "notice": 0,
         "order": 0,
         "once": 1,
     }
-    assert told["declined"] == {"notice": 2, "order": 0, "once": 0} and told["forwards"] == 3
-    assert (told["outstanding"], told["discovered"], told["ejected"]) == (0, 1, 0)
+    assert statistics["declined"] == {"notice": 2, "order": 0, "once": 0} and statistics["forwards"] == 3
+    assert (statistics["outstanding"], statistics["discovered"], statistics["ejected"]) == (0, 1, 0)
 
 
-def test_an_endpoint_in_an_outage_is_told_as_ejected(house):
+def test_an_endpoint_in_an_outage_is_reported_as_ejected(courier):
     for number in range(6):
-        house.post(f"t{number}")
+        courier.post(f"t{number}")
     for _ in range(6):
-        peer = house.endpoint.meet()
+        peer = courier.endpoint.meet()
         peer.wait(b"\xfe\xfe\xfe")
         peer.sock.close()
-    spin(house.loop, lambda: house.stats()["ejected"] == 1)
-    assert house.stats()["outstanding"] == 6 and house.stats()["forwards"] >= 6
+    spin(courier.loop, lambda: courier.stats()["ejected"] == 1)
+    assert courier.stats()["outstanding"] == 6 and courier.stats()["forwards"] >= 6
 
 
 @pytest.mark.parametrize(
-    "said, status",
+    "sent, status",
     [
         (b"GET /admin/nothing HTTP/1.1\r\nHost: x\r\n\r\n", 404),
         (b"POST /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n", 405),
@@ -112,78 +112,78 @@
         (b"POST /notice HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 404),
     ],
 )
-def test_a_call_that_is_none_is_told_so_and_has_no_effect(house, said, status):
-    peer = client(house.loop, house.admin)
-    peer.say(said)
+def test_an_invalid_call_is_refused_and_has_no_effect(courier, sent, status):
+    peer = client(courier.loop, courier.admin)
+    peer.say(sent)
     heard = peer.wait_end()
     assert int(heard.split()[1]) == status and b"error" in heard
     assert (
-        house.ready() == 200
-        and house.call("resume", "POST")[0] == 200
-        and house.call("health") == (200, {"serving": True})
+        courier.ready() == 200
+        and courier.call("resume", "POST")[0] == 200
+        and courier.call("health") == (200, {"serving": True})
     )
 
 
-def test_callers_that_hold_connections_with_half_a_call_keep_nobody_out(house):
-    holders = [client(house.loop, house.admin) for _ in range(60)]
-    for peer in holders:
+def test_connections_with_incomplete_calls_do_not_block_other_callers(courier):
+    idle_callers = [client(courier.loop, courier.admin) for _ in range(60)]
+    for peer in idle_callers:
         peer.say(b"GET /admin/st")
-    house.pass_time(0.0)
-    assert house.call("health")[0] == 200 and house.call("stats")[0] == 200
-    assert sum(peer.hear() is not None and not peer.ended for peer in holders) <= 16
-    house.pass_time(2001.0)
-    for peer in holders:
+    courier.pass_time(0.0)
+    assert courier.call("health")[0] == 200 and courier.call("stats")[0] == 200
+    assert sum(peer.hear() is not None and not peer.ended for peer in idle_callers) <= 16
+    courier.pass_time(2001.0)
+    for peer in idle_callers:
         peer.wait_end()
 
 
-def test_operators_are_answered_before_clients_of_the_same_pass(house):
+def test_operators_are_answered_before_clients_of_the_same_pass(courier):
     order = []
-    peers = [client(house.loop, house.listen) for _ in range(30)]
-    house.pass_time(0.0)
+    peers = [client(courier.loop, courier.listen) for _ in range(30)]
+    courier.pass_time(0.0)
     for peer in peers:
         peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-    caller = client(house.loop, house.admin)
-    house.pass_time(0.0)
+    caller = client(courier.loop, courier.admin)
+    courier.pass_time(0.0)
     caller.say(b"GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n")
     for peer in peers:
         peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-    step = house.loop._step
-    house.loop._step = lambda task, value: (order.append(task.ahead), step(task, value))
-    house.pass_time(0.0)
+    step = courier.loop._step
+    courier.loop._step = lambda task, value: (order.append(task.ahead), step(task, value))
+    courier.pass_time(0.0)
     assert True in order and False not in order[: order.index(True)]
 
 
-def test_a_drain_empties_the_courier_and_resume_brings_it_back(house):
-    idle = client(house.loop, house.listen)
+def test_a_drain_empties_the_courier_and_resume_ends_it(courier):
+    idle = client(courier.loop, courier.listen)
     idle.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     idle.wait(b"\r\n\r\n")
-    house.endpoint.sock.close()  # nothing can be delivered
-    assert house.post("waits") == b"202"
-    assert house.call("quiesce", "POST")[1]["step"] == "unready" and house.ready() == 503
-    assert house.post("still") == b"202", "clients that have not heard yet are served"
-    house.pass_time(shutdown_steps.UNREADY_MS)
+    courier.endpoint.sock.close()  # nothing can be delivered
+    assert courier.post("waits") == b"202"
+    assert courier.call("quiesce", "POST")[1]["step"] == "unready" and courier.ready() == 503
+    assert courier.post("still") == b"202", "clients that do not know of the drain yet are served"
+    courier.pass_time(shutdown_steps.UNREADY_MS)
     idle.wait_end()
-    peer = client(house.loop, house.listen)
+    peer = client(courier.loop, courier.listen)
     peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert b"503" in peer.wait_end(), "and its connection is given back"
-    house.pass_time(shutdown_steps.DRAIN_ACCEPT_MS - shutdown_steps.UNREADY_MS)
-    assert house.post("refused") == b"503" and set(house.runtime.facade.texts)
-    silent = client(house.loop, house.listen)
-    house.pass_time(0.0)
-    house.pass_time(shutdown_steps.DRAIN_HAND_BACK_MS - shutdown_steps.DRAIN_ACCEPT_MS)
+    assert b"503" in peer.wait_end(), "and its connection is closed"
+    courier.pass_time(shutdown_steps.DRAIN_ACCEPT_MS - shutdown_steps.UNREADY_MS)
+    assert courier.post("refused") == b"503" and set(courier.runtime.facade.texts)
+    silent = client(courier.loop, courier.listen)
+    courier.pass_time(0.0)
+    courier.pass_time(shutdown_steps.DRAIN_HAND_BACK_MS - shutdown_steps.DRAIN_ACCEPT_MS)
     silent.wait_end()
-    spin(house.loop, lambda: house.pass_time(20.0) or not house.runtime.facade.texts)
+    spin(courier.loop, lambda: courier.pass_time(20.0) or not courier.runtime.facade.texts)
     assert (
-        house.notice()[0] == {"ref": "waits", "result": "bounced"}
-        and house.stats()["declined"]["notice"] == 3
+        courier.notice()[0] == {"ref": "waits", "result": "bounced"}
+        and courier.stats()["declined"]["notice"] == 3
     )
-    assert house.call("quiesce", "POST")[1] == {"quiesced": True, "step": "empty", "held": 0, "clients": 0}
-    house.pass_time(60_000.0)
-    assert house.ready() == 503, "it stays so until it is told otherwise"
+    assert courier.call("quiesce", "POST")[1] == {"quiesced": True, "step": "empty", "held": 0, "clients": 0}
+    courier.pass_time(60_000.0)
+    assert courier.ready() == 503, "it stays drained until it is resumed"
     assert (
-        house.call("resume", "POST")[1]["step"] == "at work"
-        and house.ready() == 200
-        and house.post("b") == b"202"
+        courier.call("resume", "POST")[1]["step"] == "at work"
+        and courier.ready() == 200
+        and courier.post("b") == b"202"
     )
 
 
@@ -191,55 +191,53 @@
     "passed",
     [0.0, shutdown_steps.UNREADY_MS, shutdown_steps.DRAIN_ACCEPT_MS, shutdown_steps.DRAIN_HAND_BACK_MS],
 )
-def test_a_drain_ends_at_any_moment_with_resume(house, passed):
-    house.call("quiesce", "POST")
-    house.pass_time(passed)
-    house.call("resume", "POST")
-    house.pass_time(5000.0)
-    peer = client(house.loop, house.listen)
+def test_resume_ends_a_drain_at_any_step(courier, passed):
+    courier.call("quiesce", "POST")
+    courier.pass_time(passed)
+    courier.call("resume", "POST")
+    courier.pass_time(5000.0)
+    peer = client(courier.loop, courier.listen)
     for _ in range(2):
         peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert b" 200 " in peer.wait(b"\r\n\r\n")
-    assert house.post("a") == b"202"
+    assert courier.post("a") == b"202"
 
 
-def test_what_may_have_run_and_must_not_run_twice_is_not_handed_back(house):
-    products = house.runtime.facade.module.products
-    products[2] = replace(
-        products[2], sla=10000.0
-    )  # its time-out before any answer: well after all is handed back
-    house.post("once", "once")
-    peer = house.endpoint.meet()
+def test_a_once_only_message_that_may_have_run_is_not_nacked_by_a_drain(courier):
+    products = courier.runtime.facade.module.products
+    products[2] = replace(products[2], sla=10000.0)  # so that the call times out only after the hand-back
+    courier.post("once", "once")
+    peer = courier.endpoint.meet()
     peer.wait(b"\xfe\xfe\xfe")
-    house.call("quiesce", "POST")
-    house.pass_time(shutdown_steps.UNREADY_MS)
-    house.pass_time(shutdown_steps.DRAIN_HAND_BACK_MS)
-    house.pass_time(20.0)
-    assert house.stats()["outstanding"] == 1 and not peer.hear()
+    courier.call("quiesce", "POST")
+    courier.pass_time(shutdown_steps.UNREADY_MS)
+    courier.pass_time(shutdown_steps.DRAIN_HAND_BACK_MS)
+    courier.pass_time(20.0)
+    assert courier.stats()["outstanding"] == 1 and not peer.hear()
 
 
 def test_the_steps_of_a_stop_and_of_a_drain():
-    """By the time that has passed and what is under way."""
+    """They depend on the time since the request and on the work in progress."""
     stop, idle = shutdown_steps.StepSequence(shutdown_steps.STOP_STEPS, 100.0), frozenset()
     assert (
         stop.step_at(100.0 + shutdown_steps.UNREADY_MS - 1.0, idle).name == "unready"
         and stop.step_at(100.0 + shutdown_steps.UNREADY_MS, idle) is None
     )
-    stop, busy = (
+    stop, work = (
         shutdown_steps.StepSequence(shutdown_steps.STOP_STEPS, 0.0),
         frozenset({"clients", "texts", "calls"}),
     )
     names = [
-        stop.step_at(at, busy).name
+        stop.step_at(at, work).name
         for at in (0.0, 600.0, shutdown_steps.LAST_CALL_MS, shutdown_steps.LAST_ACCEPT_MS)
     ]
     assert (
         names == ["unready", "finishing", "calling no more", "closing"]
-        and stop.step_at(shutdown_steps.STOP_LIMIT_MS, busy) is None
+        and stop.step_at(shutdown_steps.STOP_LIMIT_MS, work) is None
     )
     drain = shutdown_steps.StepSequence(shutdown_steps.DRAIN_STEPS, 0.0)
     assert [
-        drain.step_at(at, busy).hands_back
+        drain.step_at(at, work).hands_back
         for at in (0.0, shutdown_steps.DRAIN_ACCEPT_MS, shutdown_steps.DRAIN_HAND_BACK_MS, 1e9)
     ] == [
         False,
@@ -256,34 +254,34 @@
     )
 
 
-def test_an_address_that_is_taken_or_the_clients_is_a_refusal(house):
-    host, _, port = house.listen.rpartition(":")
+def test_an_admin_address_in_use_is_an_error(courier):
+    host, _, port = courier.listen.rpartition(":")
     with pytest.raises(OSError), socket.socket():
         build(
-            replace(house.posts[0], listen=free_address(), admin=house.listen),
-            house.loop,
-            house.signal_reader(),
-            house.again,
+            replace(courier.posts[0], listen=free_address(), admin=courier.listen),
+            courier.loop,
+            courier.signal_reader(),
+            courier.again,
         )
 
 
-def test_a_quiesced_courier_still_heeds_sigterm(house):
+def test_a_quiesced_courier_still_stops_on_sigterm(courier):
     import os
     import signal
 
-    house.call("quiesce", "POST")
-    house.pass_time(shutdown_steps.UNREADY_MS)
+    courier.call("quiesce", "POST")
+    courier.pass_time(shutdown_steps.UNREADY_MS)
     os.kill(os.getpid(), signal.SIGTERM)
-    house.pass_time(0.0)
-    assert house.call("resume", "POST")[1]["step"] == "stopping" and house.ready() == 503
+    courier.pass_time(0.0)
+    assert courier.call("resume", "POST")[1]["step"] == "stopping" and courier.ready() == 503
     for _ in range(40):
-        house.pass_time(100.0)
-    assert not house.loop.running and isinstance(house.loop.now, Clock)
+        courier.pass_time(100.0)
+    assert not courier.loop.running and isinstance(courier.loop.now, Clock)
 
 
-def test_a_courier_is_read_in_without_asyncio_and_ssl():
-    """They come with the log's library and are a quarter of the memory of a courier; two of them stand
-    side by side in an upgrade.
+def test_a_courier_imports_neither_asyncio_nor_ssl():
+    """loguru imports them; they take a quarter of a courier's memory, and two couriers run side by side in
+    an upgrade.
     """
     import subprocess
     import sys
@@ -294,5 +292,5 @@
         "assert not {'ssl', 'asyncio', 'subprocess', 'concurrent'} & set(sys.modules), 'read in';"
         "from loguru import logger; logger.info('said'); import asyncio; asyncio.run(asyncio.sleep(0))"
     )
-    done = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True)
-    assert done.returncode == 0 and "said" in done.stderr, done.stderr
+    completed = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True)
+    assert completed.returncode == 0 and "said" in completed.stderr, completed.stderr
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""A courier beside one application."""
+"""A courier as the sidecar of an application."""
 
 import sys
 
@@ -24,7 +24,7 @@
 """
 
 
-def beside(tmp_path, script):
+def run_beside(tmp_path, script):
     listen = free_address()
     (tmp_path / "c.toml").write_text(
         put("127.0.0.1:5000", listen).replace("held = 50", "held = 50\nstatus = true")
@@ -33,17 +33,17 @@
     return calicopin("run", str(tmp_path / "c.toml"), "--", sys.executable, str(tmp_path / "app.py"))
 
 
-def test_a_courier_is_up_before_its_application_and_stops_after_it(tmp_path):
-    told = beside(tmp_path, "sys.exit(7)")
+def test_a_courier_starts_before_its_application_and_stops_after_it(tmp_path):
+    completed = run_beside(tmp_path, "sys.exit(7)")
     assert (
-        told.returncode == 7
-        and told.stdout == "1\n"
-        and told.stderr.rstrip().endswith("texts left in the journal")
+        completed.returncode == 7
+        and completed.stdout == "1\n"
+        and completed.stderr.rstrip().endswith("texts left in the journal")
     )
 
 
-def test_a_courier_that_falls_is_started_again_under_its_application(tmp_path):
-    told = beside(
+def test_a_courier_that_is_killed_is_restarted_while_its_application_runs(tmp_path):
+    completed = run_beside(
         tmp_path,
         """
 import pathlib
@@ -63,10 +63,18 @@
 print(json.loads(line.getresponse().read())["taken"])
 """,
     )
-    assert told.returncode == 0 and told.stdout == "1\n1\n" and "the courier ended with -9" in told.stderr
+    assert (
+        completed.returncode == 0
+        and completed.stdout == "1\n1\n"
+        and "the courier ended with -9" in completed.stderr
+    )
 
 
-def test_an_application_is_not_started_beside_a_courier_that_does_not_come_up(tmp_path):
+def test_an_application_is_not_started_if_its_courier_does_not_start(tmp_path):
     (tmp_path / "c.toml").write_text(BASE.replace('sla = "4s"', 'sla = "40s"'))
-    told = calicopin("run", str(tmp_path / "c.toml"), "--", "/bin/echo", "started")
-    assert told.returncode == 2 and "started" not in told.stdout and "longer than the validity" in told.stderr
+    completed = calicopin("run", str(tmp_path / "c.toml"), "--", "/bin/echo", "started")
+    assert (
+        completed.returncode == 2
+        and "started" not in completed.stdout
+        and "longer than the validity" in completed.stderr
+    )
