--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -53,8 +53,8 @@
         if post.partner_file and self.discovery is not None:
             self.discovery.path = post.partner_file
             self.discovery.take()
-        elif post.known != old.known:
-            _, _, places = read(post.known)
+        elif post.configured_list != old.configured_list:
+            _, _, places = read(post.configured_list)
             self.runtime.update_list(places, True)
 
     def limit_disk(self, disk):
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -21,9 +21,8 @@
 AGAIN = 50.0  # ms until a turn that failed is repeated
 # ms that a new message waits for a journal that cannot be written; a shorter disk fault refuses no message
 HOLD = 4.0 * AGAIN
-LAST_WORD = (
-    20.0 + AGAIN
-)  # ms before the end of a message's validity: time to answer its client with a refusal
+# ms before the end of a message's validity, the time that it takes to answer its client with a refusal
+LAST_WORD = 20.0 + AGAIN
 
 
 def log_broken_invariant(invariant, what):
@@ -54,9 +53,7 @@
         # consecutive failed turns and the time of the first; no message is accepted until a turn succeeds
         self.stuck, self.first_failure_at = 0, 0.0
         self.guard = SendGuard(facade.module.fail_back.cold, log_broken_invariant)
-        self.restored_state = (
-            None  # (texts, routes) of the last process, until they are handed to the decisions
-        )
+        self.restored_state = None  # (texts, routes) of the last process, for the check after the first tick
         loop.turn = self.turn
 
     def await_first_list(self, agent):
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -42,7 +42,7 @@
     seed: int
     descriptors: int
     disk: int
-    known: dict
+    configured_list: dict
     terms: dict
     sheet: object = None  # the operator's .toml file, if there is one
     partner_file: str = ""  # the path of a watched list of partners
@@ -111,7 +111,7 @@
         seed=seed,
         descriptors=int(limits.get("sockets") or 1024),
         disk=int(float(limits.get("disk_mb") or 3) * 1e6),
-        known=configuration.get("known") or {"version": 0, "full": True, "servers": []},
+        configured_list=configuration.get("known") or {"version": 0, "full": True, "servers": []},
         terms=configuration["settings"],
         sheet=sheet,
         partner_file=configuration.get("watched", ""),
@@ -203,7 +203,9 @@
             post, loop, runtime, long_poll_timeout, facade.places.values() if taker else None
         )
     if not taker:
-        version, places = (None, runtime.subscribed.places()) if post.nodes else initial_list(post.known)
+        version, places = (
+            (None, runtime.subscribed.places()) if post.nodes else initial_list(post.configured_list)
+        )
         facade.listed(places, True)
         runtime.restore()
     if post.nodes:
@@ -351,7 +353,7 @@
     """The minimum log level from `LB_LOG_LEVEL`; raises ValueError if it names no level."""
     value = environ.get("LB_LOG_LEVEL", "") or "INFO"
     if value not in LOG_LEVELS:
-        raise ValueError(f"LB_LOG_LEVEL: {value[:40]!r} is none of {', '.join(LOG_LEVELS)}")
+        raise ValueError(f"LB_LOG_LEVEL: {value[:40]!r} is not one of {', '.join(LOG_LEVELS)}")
     return value
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -152,6 +152,6 @@
 
 
 def test_an_unknown_log_level_is_refused_with_its_name():
-    with pytest.raises(ValueError, match="LB_LOG_LEVEL: 'LOUD' is none of DEBUG, INFO"):
+    with pytest.raises(ValueError, match="LB_LOG_LEVEL: 'LOUD' is not one of DEBUG, INFO"):
         log_level({"LB_LOG_LEVEL": "LOUD"})
     assert (log_level({}), log_level({"LB_LOG_LEVEL": "DEBUG"})) == ("INFO", "DEBUG")
