--- a/calicopin/lifecycle/node_settings.py
+++ b/calicopin/lifecycle/node_settings.py
@@ -3,7 +3,7 @@
 from calicopin.subscription.messages import MOST_WORD
 
 MAX_NODES = 1000
-MAX_LIST_AGE_S = 366 * 24 * 3600.0
+MAX_LIST_AGE_S = 366 * 24 * 3600.0  # one year
 DEFAULT_LIST_AGE_S = 24 * 3600.0  # default maximum age of the list in the folder at a start
 
 
@@ -36,7 +36,7 @@
 
     try:
         if not isinstance(node, str):
-            raise ValueError("is no word")
+            raise ValueError("not a string")
         check_address(node)
     except (OSError, ValueError) as fault:
         raise ValueError(f"{place}: {node!r:.60} is no address as 127.0.0.1:5000: {fault}") from None
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -183,7 +183,7 @@
             ),
         )
     facade = Facade(post.seed, terms, budget.calls, loop.now(), journal.again and not taker)
-    # leaves an idle connection at least a connect time before the endpoint's limit
+    # idle connections are closed at least one connect time-out before the limit
     lines = Lines(budget.endpoints, max(idle_timeout / 2.0, idle_timeout - connect_timeout))
     runtime = Runtime(
         loop, facade, journal, lines, connect_timeout, Ledger(grade["name"] for grade in terms["grades"])
@@ -213,9 +213,8 @@
         runtime.list_agent = None if taker else discovery  # after a handover the list is current
     elif post.discovery:
         is_pushed = pushed(terms)
-        fetch_all = (
-            is_pushed and not taker
-        )  # the configured list is old, and the agent has the whole current one
+        # the configured list is old, and the agent has the whole current one
+        fetch_all = is_pushed and not taker
         discovery = Discovery(
             loop,
             post.discovery,
@@ -293,9 +292,8 @@
         ) from None
     lock = taker = None
     if post.listening_socket:
-        system.passed(
-            post.listening_socket
-        ).detach()  # raises for an invalid descriptor before the folder is locked
+        # raises for an invalid descriptor before the folder is locked
+        system.passed(post.listening_socket).detach()
         lock, taker, post = acquire_folder(post, environ, signal_reader, system)
         if post is None:
             return
