--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -8,16 +8,16 @@
 APPLICATION = """
 import http.client, os, signal, sys, time
 line = http.client.HTTPConnection(*os.environ["CALICOPIN_LISTEN"].split(":"), timeout=5)
-def hand_in(ident):
+def send_message(ident):
     for _ in range(100):
         try:
-            told = {"X-Request-ID": ident, "X-Timeout": "3", "X-Envelope": "dest=1"}
-            line.request("POST", "/stock", b"", told)
+            headers = {"X-Request-ID": ident, "X-Timeout": "3", "X-Envelope": "dest=1"}
+            line.request("POST", "/stock", b"", headers)
             return line.getresponse().read() is not None and line
         except OSError:
             line.close()
             time.sleep(0.05)
-hand_in("a")
+send_message("a")
 line.request("GET", "/-/status")
 import json
 print(json.loads(line.getresponse().read())["taken"], flush=True)
@@ -47,8 +47,8 @@
         tmp_path,
         """
 import pathlib
-ours = {int(p.name) for p in pathlib.Path("/proc").iterdir() if p.name.isdigit()}
-for pid in ours:
+pids = {int(p.name) for p in pathlib.Path("/proc").iterdir() if p.name.isdigit()}
+for pid in pids:
     try:
         words = pathlib.Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\\0")
         parent = int(pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[1])
@@ -58,7 +58,7 @@
         os.kill(pid, signal.SIGKILL)
 line.close()
 time.sleep(0.1)
-hand_in("b")
+send_message("b")
 line.request("GET", "/-/status")
 print(json.loads(line.getresponse().read())["taken"])
 """,
