--- a/calicopin/admin/server.py
+++ b/calicopin/admin/server.py
@@ -1,6 +1,6 @@
-"""One call to one connection: health, figures, quiesce, resume.
+"""HTTP server of the admin address: health, statistics, quiesce and resume, one call per connection.
 
-Answered ahead of clients, and never with an effect on a text.
+Calls are answered before clients' requests and never change a message.
 """
 
 import json
@@ -12,34 +12,31 @@
 from calicopin.wire.http import TOO_LONG, Line, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
-PATIENCE = (
-    2000.0  # for a whole call: its answer is owed in 1 s, callers that say nothing may hold on for longer
-)
-LINGER = 300.0
-MOST_BODY = 4096
-AT_ONCE = 16  # connections accepted in one pass
-REST = 1000.0  # between two lines on calls turned away
+READ_TIMEOUT_MS = 2000.0  # for a whole call; callers expect the answer to a complete one within 1 s
+LINGER_TIMEOUT_MS = 300.0  # for the caller to close its side after the answer
+MAX_BODY_BYTES = 4096
+MAX_ACCEPTS_PER_PASS = 16  # connections accepted in one pass of the loop
+LOG_INTERVAL_MS = 1000.0  # between two log lines about refused calls
 
 
 class AdminServer:
     """Listens on `address`.
 
-    `calls` holds, by path, the method and a function that returns the body. At most `most` callers are heard
-    at once; one more closes the one that has been silent longest, so that callers who say nothing keep nobody
-    out.
+    `handlers` maps a path to its method and a function that returns the body of the answer. At most
+    `max_connections` are open; a further one closes the oldest, so that idle callers do not block others.
     """
 
-    def __init__(self, loop, address, calls, most):
-        self.loop, self.calls, self.most, self.callers = loop, calls, most, {}
+    def __init__(self, loop, address, handlers, max_connections):
+        self.loop, self.handlers, self.max_connections, self.connections = loop, handlers, max_connections, {}
         host, _, port = address.rpartition(":")
         system = loop.system
-        self.listener, self.told = patiently(system, system.listen, host, int(port)), -FOREVER
+        self.listener, self.last_refusal_logged = patiently(system, system.listen, host, int(port)), -FOREVER
         self.accepting = loop.keep(self.accept, ahead=True)
 
     def accept(self):
-        """A coroutine that serves each new connection with one of its own; it must not end."""
+        """A coroutine that accepts connections and starts a coroutine for each; it never returns."""
         while True:
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_ACCEPTS_PER_PASS):
                 try:
                     sock = accept_next(self.listener)
                 except OSError as fault:
@@ -51,72 +48,72 @@
                 if sock is None:
                     yield Until(FOREVER, self.listener.fileno(), READ)
                     break
-                if len(self.callers) >= self.most:
-                    self.hang_up(next(iter(self.callers)))
-                line = Line(self.loop, sock, h11.SERVER)
-                self.callers[line] = self.loop.spawn(self.serve(line), ahead=True)
+                if len(self.connections) >= self.max_connections:
+                    self.drop(next(iter(self.connections)))
+                connection = Line(self.loop, sock, h11.SERVER)
+                self.connections[connection] = self.loop.spawn(self.serve(connection), ahead=True)
             else:
                 yield Until(self.loop.now())
 
-    def serve(self, line):
-        """One connection: reads its call, answers it and closes. A caller has `PATIENCE` for each of the
-        two.
-        """
+    def serve(self, connection):
+        """Reads the call of one connection, answers it and closes. Both may take `READ_TIMEOUT_MS`."""
         try:
-            until = self.loop.now() + PATIENCE
-            status, body = yield from self.hear(line, until)
+            until = self.loop.now() + READ_TIMEOUT_MS
+            status, body = yield from self.read_call(connection, until)
             if status:
-                yield from self.reply(line, status, body, until + PATIENCE)
+                yield from self.reply(connection, status, body, until + READ_TIMEOUT_MS)
         finally:
-            self.callers.pop(line, None)
-            line.close()
+            self.connections.pop(connection, None)
+            connection.close()
 
-    def hang_up(self, line):
-        """Closed here too: a coroutine that was ended before its first step runs no part of its own."""
-        self.loop.cancel(self.callers.pop(line))
-        line.close()
+    def drop(self, connection):
+        """Ends a connection. It is closed here because a coroutine cancelled before its first step runs no
+        cleanup of its own.
+        """
+        self.loop.cancel(self.connections.pop(connection))
+        connection.close()
 
-    def hear(self, line, until):
-        """One call: its status and body; status 0 where nobody is there to hear it."""
-        head = yield from line.event(until)
+    def read_call(self, connection, until):
+        """Reads and handles one call: (status, body) of the answer; status 0 if the caller is gone."""
+        head = yield from connection.event(until)
         if isinstance(head, h11.RemoteProtocolError):
-            return self.refuse(400, f"a call that cannot be read: {head}")
+            return self.refuse(400, f"malformed request: {head}")
         if not isinstance(head, h11.Request):
-            return self.refuse(408, "a call that does not come") if head is None else (0, None)
-        body = yield from line.body(MOST_BODY, until)
+            return self.refuse(408, "no request received in time") if head is None else (0, None)
+        body = yield from connection.body(MAX_BODY_BYTES, until)
         if body is TOO_LONG:
-            return self.refuse(400, f"a body over {MOST_BODY} bytes")
+            return self.refuse(400, f"request body over {MAX_BODY_BYTES} bytes")
         if body is None:
-            return self.refuse(400, "a body that does not come or cannot be read")
+            return self.refuse(400, "request body incomplete or malformed")
         path = head.target.split(b"?")[0].decode("latin-1")
-        if path not in self.calls:
-            return self.refuse(404, f"no call {path[:60]!r}; there are {', '.join(self.calls)}")
-        method, act = self.calls[path]
+        if path not in self.handlers:
+            return self.refuse(404, f"unknown path {path[:60]!r}; known are {', '.join(self.handlers)}")
+        method, handler = self.handlers[path]
         if head.method.decode() != method:
-            return self.refuse(405, f"{path} takes {method}")
+            return self.refuse(405, f"{path} requires {method}")
         try:
-            return 200, act()
-        except ValueError as fault:  # it cannot be done in the state that the courier is in
+            return 200, handler()
+        except ValueError as fault:  # not possible in the courier's current state
             return self.refuse(409, str(fault))
 
     def refuse(self, status, why):
-        """(status, body) of a call that is turned away; logged once in `REST` ms at most."""
-        if self.loop.now() >= self.told + REST:
+        """(status, body) of a refused call; logged at most once per `LOG_INTERVAL_MS`."""
+        if self.loop.now() >= self.last_refusal_logged + LOG_INTERVAL_MS:
             logger.warning(
-                "a call at the admin address was turned away with {status}: {why}",
+                "call at the admin address refused with {status}: {why}",
                 event="admin.refused",
                 status=status,
                 why=why,
             )
-            self.told = self.loop.now()
+            self.last_refusal_logged = self.loop.now()
         return status, {"error": why}
 
-    def reply(self, line, status, body, until):
+    def reply(self, connection, status, body, until):
         """Writes an answer as JSON, until `until` (ms of the loop's clock) at the latest."""
         data = json.dumps(body).encode() + b"\n"
         allow = [("Allow", "GET, POST")] if status == 405 else []
         try:
-            answer = line.encode(
+            answer = connection.encode(
                 h11.Response(
                     status_code=status,
                     headers=[
@@ -128,7 +125,7 @@
                 ),
                 data,
             )
-        except h11.LocalProtocolError:  # it spoke no HTTP and is gone, or took an interim answer for the last
+        except h11.LocalProtocolError:  # h11 permits no answer, as after bytes that are not HTTP
             return
-        if (yield from line.write(answer, until)) == len(answer):
-            yield from line.linger(self.loop.now() + LINGER)
+        if (yield from connection.write(answer, until)) == len(answer):
+            yield from connection.linger(self.loop.now() + LINGER_TIMEOUT_MS)
--- a/calicopin/command/__main__.py
+++ b/calicopin/command/__main__.py
@@ -1,4 +1,4 @@
-"""`calicopin`, or `python -m calicopin` with words behind it."""
+"""The command line `calicopin`, also `python -m calicopin` with arguments."""
 
 import http.client
 import json
@@ -15,39 +15,39 @@
 from calicopin.configuration.read import UnusableError, read
 
 
-def stop(lines, code=2):
-    """Plain lines on standard error, and the end."""
+def fail(lines, code=2):
+    """Writes lines to standard error and exits."""
     for line in lines:
         click.echo(str(line), err=True)
     sys.exit(code)
 
 
-def sheet_of(path, over=()):
-    """A configuration that can be read."""
+def load_configuration(path, overrides=()):
+    """Reads a configuration; exits with its faults if it cannot be read."""
     try:
-        return read(path, os.environ, over)
+        return read(path, os.environ, overrides)
     except UnusableError as fault:
-        stop(fault.faults)
+        fail(fault.faults)
 
 
-def keys(_, __, values):
-    """The values of --set as (key, word) pairs; click's BadParameter where one has another form."""
-    out = []
+def parse_overrides(_, __, values):
+    """The values of --set as (key, value) pairs; raises click's BadParameter for one of another form."""
+    overrides = []
     for value in values:
-        key, sign, word = value.partition("=")
+        key, sign, new_value = value.partition("=")
         if not sign or not key:
             raise click.BadParameter(f"{value!r} is not of the form courier.slots=30")
-        out.append((key.strip(), word.strip()))
-    return out
+        overrides.append((key.strip(), new_value.strip()))
+    return overrides
 
 
-SET = click.option(
+SET_OPTION = click.option(
     "--set",
-    "over",
+    "overrides",
     multiple=True,
-    callback=keys,
+    callback=parse_overrides,
     metavar="KEY=VALUE",
-    help="One key over file and variables.",
+    help="Overrides one key of the file and the variables.",
 )
 
 
@@ -57,7 +57,7 @@
     """A courier that sends webhooks and other calls to many outside destinations.
 
     \b
-    calicopin demo                               all of it on this machine, for 20 s
+    calicopin demo                               a whole setup on this machine, for 20 s
     calicopin write desk.toml -o courier.toml    a configuration from a short description
     calicopin check courier.toml                 what is wrong with it, before the start
     calicopin run courier.toml                   a courier, until SIGTERM
@@ -73,25 +73,25 @@
 @main.command()
 @click.option("--seconds", type=click.FloatRange(1.0, 3600.0), default=20.0, show_default=True)
 @click.option(
-    "--rate", type=click.FloatRange(0.5, 200.0), default=30.0, show_default=True, help="Texts a second."
+    "--rate", type=click.FloatRange(0.5, 200.0), default=30.0, show_default=True, help="Messages a second."
 )
 def demo(seconds, rate):
-    """A courier, partners and a client on loopback with live figures; a partner goes out and comes back.
+    """Runs a courier, partners and a client on loopback with live figures; one partner has an outage.
 
     Ends by itself.
     """
     try:
         from rich.console import Console
 
-        from calicopin.command.demo import play
+        from calicopin.command.demo import run_demo
     except ImportError as fault:
-        stop(
+        fail(
             [
-                f"the demo wants a library that is not here ({fault.name}): pip install -r "
+                f"the demo needs a library that is not installed ({fault.name}): pip install -r "
                 "requirements-emulator.txt"
             ]
         )
-    sys.exit(0 if play(seconds, rate, Console()) else 1)
+    sys.exit(0 if run_demo(seconds, rate, Console()) else 1)
 
 
 @main.command()
@@ -101,24 +101,27 @@
     """Starts a courier from the operator's FILE and stays in the foreground; SIGHUP reads FILE again.
 
     With `-- APPLICATION WORDS...` it starts that application once the courier listens (CALICOPIN_LISTEN tells
-    it where), starts the courier again if it falls, and stops it in order after the application; the exit
-    code is the application's.
+    it where), restarts the courier if it fails, and stops it after the application; the exit code is the
+    application's.
     """
     if application:
-        from calicopin.command.sidecar import Pair
+        from calicopin.command.sidecar import Sidecar
 
-        told = sheet_of(file)
-        faults, _ = checks.examine(told)
+        configuration = load_configuration(file)
+        faults, _ = checks.examine(configuration)
         if faults:
-            stop(faults)
+            fail(faults)
         sys.exit(
-            Pair(
-                file, told.sheet.courier.listen, list(application), lambda line: click.echo(line, err=True)
+            Sidecar(
+                file,
+                configuration.sheet.courier.listen,
+                list(application),
+                lambda line: click.echo(line, err=True),
             ).run()
         )
     if not file.endswith(".toml"):
-        stop([f"{file}: is no .toml file; `calicopin convert` makes one of the platform's JSON"])
-    # this process becomes the courier: what the command line read in would stay in its memory
+        fail([f"{file}: not a .toml file; `calicopin convert` makes one from the platform's JSON"])
+    # replaces this process, so that the courier doesn't keep the command line's modules in memory
     os.execve(
         sys.executable, [sys.executable, "-m", "calicopin"], os.environ | {"LB_CONFIG": os.path.abspath(file)}
     )
@@ -127,26 +130,28 @@
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Findings as JSON.")
-@SET
-def check(files, as_json, over):
-    """Examines FILES: everything that is wrong, where, and what to do. Starts and changes nothing."""
-    found, out = False, []
+@SET_OPTION
+def check(files, as_json, overrides):
+    """Checks FILES: lists everything that is wrong, where, and what to do. Starts and changes nothing."""
+    has_faults, findings = False, []
     for file in files:
         try:
-            faults, doubts = checks.examine(read(file, os.environ, over))
+            faults, doubts = checks.examine(read(file, os.environ, overrides))
         except UnusableError as fault:
             faults, doubts = fault.faults, []
-        found = found or bool(faults)
-        for kind, some in (("fault", faults), ("doubt", doubts)):
-            for one in some:
-                out.append(dict(file=file, kind=kind, place=one.place, why=one.why, do=one.do))
+        has_faults = has_faults or bool(faults)
+        for kind, group in (("fault", faults), ("doubt", doubts)):
+            for finding in group:
+                findings.append(
+                    dict(file=file, kind=kind, place=finding.place, why=finding.why, do=finding.do)
+                )
                 if not as_json:
-                    click.echo(f"{kind}: {one}")
+                    click.echo(f"{kind}: {finding}")
         if not faults and not as_json:
             click.echo(f"{file}: sound" + (f", {len(doubts)} doubts" if doubts else ""))
     if as_json:
-        click.echo(json.dumps(out, indent=1))
-    sys.exit(1 if found else 0)
+        click.echo(json.dumps(findings, indent=1))
+    sys.exit(1 if has_faults else 0)
 
 
 @main.command("write")
@@ -154,7 +159,7 @@
 @click.option(
     "-o", "--output", type=click.Path(dir_okay=False), help="The file to write; standard output without it."
 )
-@click.option("--example", is_flag=True, help="Prints a description to begin from.")
+@click.option("--example", is_flag=True, help="Prints a description to start from.")
 def write_(application, output, example):
     """Writes a configuration from the short description in APPLICATION, with the reason for each value."""
     if example:
@@ -165,7 +170,7 @@
     try:
         text = write.compose(write.application(application), application)
     except UnusableError as fault:
-        stop(fault.faults)
+        fail(fault.faults)
     if output is None:
         click.echo(text, nl=False)
         return
@@ -174,25 +179,25 @@
         faults, doubts = checks.examine(read(output))
     except UnusableError as fault:
         faults, doubts = fault.faults, []
-    for one in [*faults, *doubts]:
-        click.echo(str(one), err=True)
-    click.echo(f"{output} written" + (", and not sound: mend the description" if faults else ""))
+    for finding in [*faults, *doubts]:
+        click.echo(str(finding), err=True)
+    click.echo(f"{output} written" + (", but it is not sound: correct the description" if faults else ""))
     sys.exit(1 if faults else 0)
 
 
 def replace_file(path, data):
-    """The whole file or nothing of it: beside it first, then in its place."""
+    """Replaces a file atomically, by renaming a temporary file in its folder; exits on failure."""
     try:
-        beside = tempfile.NamedTemporaryFile(dir=os.path.dirname(os.path.abspath(path)), delete=False)
-        with beside as file:
+        temporary = tempfile.NamedTemporaryFile(dir=os.path.dirname(os.path.abspath(path)), delete=False)
+        with temporary as file:
             file.write(data)
-        os.replace(beside.name, path)
+        os.replace(temporary.name, path)
     except OSError as fault:
-        stop([f"{path}: {fault.strerror}"])
+        fail([f"{path}: {fault.strerror}"])
 
 
-def change(key, before, after):
-    """One key that differs between two files."""
+def describe_change(key, before, after):
+    """The line for a key that differs between two files."""
     return (
         f"{key}: {'-' if before is None else json.dumps(before)} -> "
         f"{'-' if after is None else json.dumps(after)}"
@@ -203,56 +208,59 @@
 @click.argument("old", type=click.Path())
 @click.argument("new", type=click.Path())
 def diff(old, new):
-    """What changes from OLD to NEW, and whether SIGHUP is enough or a restart is needed."""
-    some = compare.changes(sheet_of(old).sheet, sheet_of(new).sheet)
-    for key, before, after, when in some:
-        click.echo(f"{when:8} {change(key, before, after)}")
-    if not some:
+    """Lists what changes from OLD to NEW, and whether SIGHUP is enough or a restart is needed."""
+    differences = compare.changes(load_configuration(old).sheet, load_configuration(new).sheet)
+    for key, before, after, when in differences:
+        click.echo(f"{when:8} {describe_change(key, before, after)}")
+    if not differences:
         click.echo("no difference")
-    sys.exit(1 if some else 0)
+    sys.exit(1 if differences else 0)
 
 
 @main.command()
 @click.argument("file", type=click.Path())
-@SET
-def show(file, over):
-    """Every value in force and where it came from."""
-    told = sheet_of(file, over)
-    named = {}
+@SET_OPTION
+def show(file, overrides):
+    """Lists every value in force and where it came from."""
+    configuration = load_configuration(file, overrides)
+    file_names = {}
     for table in ("product", "kind", "partner"):
-        for number, one in enumerate(getattr(told.sheet, table)):
-            named[f"{table}[{one.name}]"] = f"{table}[{number}]"
-    for key, value in compare.whole(told.sheet).items():
-        plain = key
-        for name, number in named.items():
-            plain = plain.replace(name, number) if plain.startswith(name) else plain
-        click.echo(f"{key} = {json.dumps(value, ensure_ascii=False)}  # {told.origin.get(plain, 'default')}")
+        for number, entry in enumerate(getattr(configuration.sheet, table)):
+            file_names[f"{table}[{entry.name}]"] = f"{table}[{number}]"
+    for key, value in compare.whole(configuration.sheet).items():
+        file_key = key
+        for name, number in file_names.items():
+            file_key = file_key.replace(name, number) if file_key.startswith(name) else file_key
+        click.echo(
+            f"{key} = {json.dumps(value, ensure_ascii=False)}"
+            f"  # {configuration.origin.get(file_key, 'default')}"
+        )
 
 
 @main.command()
 def schema():
-    """The JSON Schema of the form, for editors."""
+    """Prints the JSON Schema of a configuration, for editors."""
     click.echo(json.dumps(pages.schema(), indent=1))
 
 
 @main.command("convert")
 @click.argument("file", type=click.Path())
 def convert_(file):
-    """An operator's .toml as the platform's JSON, or the platform's JSON as an operator's file."""
+    """Converts an operator's .toml to the platform's JSON, or the platform's JSON to an operator's file."""
     if file.endswith(".toml"):
-        told = sheet_of(file)
-        faults, _ = checks.examine(told)
+        configuration = load_configuration(file)
+        faults, _ = checks.examine(configuration)
         if faults:
-            stop(faults, 1)
-        click.echo(json.dumps(convert.to_platform(told), indent=1))
+            fail(faults, 1)
+        click.echo(json.dumps(convert.to_platform(configuration), indent=1))
         return
     try:
         with open(file, "rb") as source:
             sheet = convert.from_platform(json.load(source))
     except OSError as fault:
-        stop([f"{file}: {fault.strerror}"])
+        fail([f"{file}: {fault.strerror}"])
     except ValueError as fault:
-        stop([f"{file}: {fault}"])
+        fail([f"{file}: {fault}"])
     click.echo(convert.as_toml(sheet), nl=False)
 
 
@@ -268,15 +276,15 @@
 @click.option(
     "--reports/--no-reports",
     default=None,
-    help="Whether partners' answers tell their limits from now on; as before without it.",
+    help="Whether partners' answers report their limits from now on; unchanged if not given.",
 )
 @click.option(
     "--once-only", multiple=True, metavar="PRODUCT", help="A product that must not run twice from now on."
 )
 @click.option("--dry-run", is_flag=True, help="Shows what would be written and changes nothing.")
 def migrate_(old, output, senders, reports, once_only, dry_run):
-    """Reads OLD, a file for few couriers, and writes its counterpart for many; lists what it could not
-    carry over.
+    """Reads OLD, a file for few couriers, and writes its counterpart for many; lists what could not be
+    carried over.
 
     OLD is never changed. Exit codes: 0 written, 1 the counterpart would not be sound, 2 something cannot be
     read or written.
@@ -284,23 +292,23 @@
     from calicopin.configuration import migrate
 
     if not dry_run and output is None:
-        raise click.UsageError("give the new file with -o, or --dry-run to see it")
+        raise click.UsageError("give the new file with -o, or --dry-run to print it")
     try:
-        told = read(old, {}, ())
-        sheet, lost = migrate.migrate(told, senders, reports, once_only)
+        configuration = read(old, {}, ())
+        sheet, lost = migrate.migrate(configuration, senders, reports, once_only)
     except UnusableError as fault:
-        stop(fault.faults)
-    for key, before, after, _ in compare.changes(told.sheet, sheet):
-        click.echo(f"changed: {change(key, before, after)}")
+        fail(fault.faults)
+    for key, before, after, _ in compare.changes(configuration.sheet, sheet):
+        click.echo(f"changed: {describe_change(key, before, after)}")
     for place, why in lost:
         click.echo(f"not carried over: {place}: {why}")
-    if faults := migrate.faults(sheet, told):
-        stop([*faults, f"nothing written: the counterpart of {old} would not be sound"], 1)
+    if faults := migrate.faults(sheet, configuration):
+        fail([*faults, f"nothing written: the counterpart of {old} would not be sound"], 1)
     if dry_run:
         click.echo(migrate.written(sheet), nl=False)
         return
     if os.path.exists(output):
-        stop([f"{output}: is there already; nothing written, give another name or move it away"])
+        fail([f"{output}: is there already; nothing written, give another name or move the file"])
     replace_file(output, migrate.written(sheet).encode())
     click.echo(f"{output} written")
 
@@ -308,31 +316,31 @@
 @main.command("seal")
 @click.argument("file", type=click.Path())
 def seal(file):
-    """Puts the end on a watched list of partners that tells it whole: its count and its checksum."""
+    """Appends the count and checksum to a watched list of partners, which mark it as complete."""
     try:
         with open(file, "rb") as source:
             sealed = partners.seal(source.read())
     except OSError as fault:
-        stop([f"{file}: {fault.strerror}"])
+        fail([f"{file}: {fault.strerror}"])
     except ValueError as fault:
-        stop([f"{file}: {str(fault).lower()}"])
+        fail([f"{file}: {str(fault).lower()}"])
     replace_file(file, sealed)
     try:
-        some, _ = partners.load(file)
+        listed, _ = partners.load(file)
     except UnusableError as fault:
-        stop(fault.faults, 1)
-    click.echo(f"{file}: {len(some)} partners sealed")
+        fail(fault.faults, 1)
+    click.echo(f"{file}: {len(listed)} partners sealed")
 
 
-class Path(http.client.HTTPConnection):
-    """HTTP on a Unix socket."""
+class UnixSocketConnection(http.client.HTTPConnection):
+    """An HTTP connection to a Unix socket."""
 
     def __init__(self, path):
         super().__init__("courier", timeout=2.0)
         self.path = path
 
     def connect(self):
-        """Opens the connection to the socket's path; OSError where nobody listens there."""
+        """Opens the connection; raises OSError if nothing listens on the socket."""
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.settimeout(self.timeout)
         self.sock.connect(self.path)
@@ -342,33 +350,42 @@
 @click.argument("where")
 @click.option("--json", "as_json", is_flag=True)
 def status(where, as_json):
-    """What a running courier does; WHERE is its configuration or its address."""
-    address = sheet_of(where).sheet.courier.listen if where.endswith(".toml") else where
+    """Shows the status of a running courier; WHERE is its configuration or its address."""
+    address = load_configuration(where).sheet.courier.listen if where.endswith(".toml") else where
     host, _, port = address.rpartition(":")
     try:
-        line = Path(port) if host == "unix" else http.client.HTTPConnection(host, int(port), timeout=2.0)
-        line.request("GET", "/-/status")
-        answer = line.getresponse()
+        connection = (
+            UnixSocketConnection(port)
+            if host == "unix"
+            else http.client.HTTPConnection(host, int(port), timeout=2.0)
+        )
+        connection.request("GET", "/-/status")
+        answer = connection.getresponse()
         body = answer.read()
     except (OSError, ValueError, http.client.HTTPException) as fault:
-        stop([f"{address}: no courier answers there: {fault}"], 1)
+        fail([f"{address}: no answer from a courier: {fault}"], 1)
     if answer.status != 200:
-        stop([f"{address}: it tells no status; set courier.status = true and restart it"], 1)
+        fail([f"{address}: the courier tells no status; set courier.status = true and restart it"], 1)
     if as_json:
         click.echo(body.decode())
         return
-    told = json.loads(body)
+    figures = json.loads(body)
     click.echo(
-        "  ".join(f"{key.replace('_', ' ')} {value}" for key, value in told.items() if key != "destinations")
+        "  ".join(
+            f"{key.replace('_', ' ')} {value}" for key, value in figures.items() if key != "destinations"
+        )
     )
-    head = ("destination", "mode", "waiting", "out", "endpoints", "pace", "usual_ms", "wait_ms")
+    columns = ("destination", "mode", "waiting", "out", "endpoints", "pace", "usual_ms", "wait_ms")
     rows = [
-        head,
-        *([str("-" if one[key] is None else one[key]) for key in head] for one in told["destinations"]),
+        columns,
+        *(
+            [str("-" if destination[key] is None else destination[key]) for key in columns]
+            for destination in figures["destinations"]
+        ),
     ]
-    widths = [max(len(row[at]) for row in rows) for at in range(len(head))]
+    widths = [max(len(row[column]) for row in rows) for column in range(len(columns))]
     for row in rows:
-        click.echo("  ".join(word.ljust(width) for word, width in zip(row, widths, strict=True)).rstrip())
+        click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
 main.add_command(discovery_node)
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again while the courier serves on."""
+"""Reload of the configuration on SIGHUP, while the courier keeps running."""
 
 from loguru import logger
 
@@ -6,60 +6,59 @@
 from calicopin.wire.discovery import read
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
-PATIENCE = 3000.0  # ms: a new configuration counts as told 4 s behind its signal
+PATIENCE = 3000.0  # ms of retries: the platform relies on a new configuration 4 s after its signal
 
-LASTING = (
+RESTART_ONLY = (
     "name",
     "listen",
     "folder",
     "admin",
     "fleet",
     "max_age",
-)  # what only a restart takes up, with the terms
+)  # attributes of `Post` that change only with a restart, as do the terms
 
 
 class Renewal:
-    """Hears the signals. What a new file says of discovery, descriptors and disk holds at once."""
+    """Handles signals. A new configuration's discovery, descriptors and disk limit take effect at once."""
 
-    def __init__(self, loop, signal_reader, post, again, stop, discovery, clients, runtime):
-        self.loop, self.signal_reader, self.post, self.again, self.stop = (
+    def __init__(self, loop, signal_reader, post, read_configuration, stop, discovery, clients, runtime):
+        self.loop, self.signal_reader, self.post, self.read_configuration, self.stop = (
             loop,
             signal_reader,
             post,
-            again,
+            read_configuration,
             stop,
         )
         self.discovery, self.clients, self.runtime, self.renewed = discovery, clients, runtime, False
         self.subscribes = bool(post.nodes)
-        self.try_again_at, self.try_until = FOREVER, -FOREVER  # ms: a reload that the system refused
+        self.retry_at, self.retry_deadline = FOREVER, -FOREVER  # ms, of a reload that failed with an OSError
 
     def wait(self):
-        """A coroutine that waits for signals: a stop is passed on, SIGHUP reads the configuration again."""
+        """A coroutine that waits for signals: SIGTERM and SIGINT request the stop, SIGHUP the reload."""
         while True:
-            yield Until(self.try_again_at, self.signal_reader.fd, READ)
-            signs = self.signal_reader.heard()
-            if signs.intersection(self.signal_reader.STOPS):
-                self.stop.asked.set()
-            if signs.difference(self.signal_reader.STOPS):
-                self.try_until = self.loop.now() + PATIENCE
-                self.try_again_at = self.loop.now()
-            if self.loop.now() >= self.try_again_at and not self.stop.retired:
-                # retired: another process has heard it
-                self.try_again_at = FOREVER
+            yield Until(self.retry_at, self.signal_reader.fd, READ)
+            signals = self.signal_reader.heard()
+            if signals.intersection(self.signal_reader.STOPS):
+                self.stop.requested.set()
+            if signals.difference(self.signal_reader.STOPS):
+                self.retry_deadline = self.loop.now() + PATIENCE
+                self.retry_at = self.loop.now()
+            if self.loop.now() >= self.retry_at and not self.stop.retired:
+                # a retired process does not reload: its successor does
+                self.retry_at = FOREVER
                 self.renew()
 
-    def relist(self, post, old):
-        """The partners of an operator's file, all of them: it was checked as a whole."""
-        if post.watched and self.discovery is not None:
-            self.discovery.path = post.watched
+    def apply_partner_list(self, post, old):
+        """Applies the list of partners of an operator's file, which was checked as a whole."""
+        if post.partner_file and self.discovery is not None:
+            self.discovery.path = post.partner_file
             self.discovery.take()
-        elif post.known != old.known:
-            _, _, places = read(post.known)
-            self.runtime.listed(places, True)
+        elif post.configured_list != old.configured_list:
+            _, _, places = read(post.configured_list)
+            self.runtime.update_list(places, True)
 
     def limit_disk(self, disk):
-        """So many bytes may the folder hold; the list in it has its part where destinations are subscribed
-        to."""
+        """Sets the size limit of the folder in bytes; with subscriptions the list in it has a share."""
         if self.subscribes:
             from calicopin.state.known_list import journal_bytes
 
@@ -68,21 +67,23 @@
         self.runtime.journal.limit(disk)
 
     def renew(self):
-        """A file that cannot be read changes nothing; where only the moment is to blame it is read again."""
+        """Reads and applies the configuration. One that cannot be read changes nothing; after an OSError it
+        is tried again until the deadline.
+        """
         try:
-            post = self.again()
+            post = self.read_configuration()
         except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as fault:
             logger.error(
-                "SIGHUP: the configuration cannot be read and changes nothing: {fault!r}",
+                "SIGHUP: the configuration cannot be read, nothing changes: {fault!r}",
                 event="reload.refused",
                 fault=fault,
             )
-            if isinstance(fault, OSError) and self.loop.now() < self.try_until:
-                self.try_again_at = self.loop.now() + AGAIN
+            if isinstance(fault, OSError) and self.loop.now() < self.retry_deadline:
+                self.retry_at = self.loop.now() + AGAIN
             return
         old, self.post, self.renewed = self.post, post, True
         logger.info(
-            "SIGHUP: discovery at {agent}, {notices} notices unheard",
+            "SIGHUP: discovery at {agent}, {notices} notices unacknowledged",
             event="reload",
             agent=post.discovery,
             notices=len(self.runtime.notices.owed),
@@ -96,7 +97,7 @@
         elif post.notices and old.notices:
             self.runtime.notices.move(post.notices)
         if post.sheet and not (post.discovery or old.discovery or self.subscribes or post.nodes):
-            self.relist(post, old)
+            self.apply_partner_list(post, old)
         if post.descriptors != old.descriptors:
             budget = Budget(post.descriptors, old.terms["familyInfo"]["workers"], bool(old.admin))
             self.clients.budget, self.runtime.lines.most = budget, budget.endpoints
@@ -114,12 +115,14 @@
                 now=post.disk,
                 before=old.disk,
             )
-        waits = [name for name in LASTING if getattr(post, name) != getattr(old, name)]
-        waits += ["nodes"] if bool(post.nodes) != self.subscribes else []
-        waits += sorted(
+        restart_keys = [name for name in RESTART_ONLY if getattr(post, name) != getattr(old, name)]
+        restart_keys += ["nodes"] if bool(post.nodes) != self.subscribes else []
+        restart_keys += sorted(
             name for name in {**old.terms, **post.terms} if post.terms.get(name) != old.terms.get(name)
         )
-        if waits:
+        if restart_keys:
             logger.warning(
-                "SIGHUP: {keys} changed and needs a restart", event="reload.restart", keys=", ".join(waits)
+                "SIGHUP: {keys} changed and needs a restart",
+                event="reload.restart",
+                keys=", ".join(restart_keys),
             )
--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -1,28 +1,28 @@
-"""Leaving on sockets: SIGTERM and the operators' call to quiesce walk through the steps of
-`lifecycle/leave.py`.
+"""Stop and drain of a courier: SIGTERM and the quiesce call of the admin address run the steps of
+`lifecycle/shutdown_steps.py`.
 """
 
 from loguru import logger
 
-from calicopin.lifecycle.leave import DRAIN, RETIRED, STOP, Leave
+from calicopin.lifecycle.shutdown_steps import DRAIN_STEPS, RETIRED_STEPS, STOP_STEPS, StepSequence
 from calicopin.wire.loop import Event, Until
 
-STEP = 20.0
+POLL_INTERVAL_MS = 20.0  # between two checks whether a step has ended
 
 
-class Stop:
-    """`asked` rings for the stop.
+class Shutdown:
+    """Runs the stop once the event `requested` is set, and drains on request of an operator.
 
-    A courier that was quiesced stays so until it is told to resume, or ends.
+    A courier that was quiesced stays so until it is resumed or stopped.
     """
 
     def __init__(self, loop, runtime, clients):
         self.loop, self.runtime, self.clients = loop, runtime, clients
-        self.asked, self.drain, self.stopping, self.task = Event(loop), None, False, None
-        self.retired = False  # another process serves in its place
+        self.requested, self.drain, self.stopping, self.task = Event(loop), None, False, None
+        self.retired = False  # another process has taken over
 
     def busy(self):
-        """What is under way."""
+        """The kinds of work in progress, as named in `Step.waits_for`."""
         runtime = self.runtime
         under_way = dict(
             clients=self.clients.open,
@@ -30,27 +30,27 @@
             notices=runtime.notices.owed,
             calls=runtime.out,
         )
-        return frozenset(name for name, what in under_way.items() if what)
+        return frozenset(name for name, pending in under_way.items() if pending)
 
-    def walk(self, leave):
-        """Through the steps, to the end of the last."""
+    def run_steps(self, sequence):
+        """A coroutine that applies each step in turn until the last has ended."""
         now = self.loop.now
-        while step := leave.at(now(), self.busy()):
-            self.clients.leaving, self.runtime.calling = True, step.calling
-            self.runtime.refusing = self.runtime.refusing or step.refusing
+        while step := sequence.step_at(now(), self.busy()):
+            self.clients.leaving, self.runtime.calling = True, step.makes_calls
+            self.runtime.refusing = self.runtime.refusing or step.refuses_messages
             if self.runtime.refusing:
                 self.runtime.stop_waiting()
-            if not step.listening:
+            if not step.accepts_connections:
                 self.clients.stop_listening()
-            if step.closing:
+            if step.closes_connections:
                 self.clients.close_between_requests()
-            if step.emptying and self.runtime.facade.texts:
+            if step.hands_back and self.runtime.facade.texts:
                 self.runtime.facade.hand_back()
-            yield Until(now() + STEP)
+            yield Until(now() + POLL_INTERVAL_MS)
 
-    def wait(self):
-        """Waits until it is asked to, then leaves in order."""
-        yield Until(event=self.asked)
+    def wait_for_request(self):
+        """A coroutine that waits for the request to stop, then stops the courier step by step."""
+        yield Until(event=self.requested)
         runtime = self.runtime
         logger.info(
             "SIGTERM: {held} texts held, {out} calls out",
@@ -60,10 +60,12 @@
         )
         self.stopping = True
         self.end_drain()
-        yield from self.walk(Leave(RETIRED if self.retired else STOP, self.loop.now()))
-        # guards the last turn's texts where the process stood still through the steps: one turn keeps what
-        # was taken on and its answers go out, and what is read from here on is refused, since nothing would
-        # keep it
+        yield from self.run_steps(
+            StepSequence(RETIRED_STEPS if self.retired else STOP_STEPS, self.loop.now())
+        )
+        # If the process was suspended during the steps, accepted messages may not be in the journal yet: one
+        # more turn writes them and answers their clients. Messages read from now on are refused, because no
+        # turn would journal them.
         runtime.calling, runtime.refusing = False, True
         runtime.stop_waiting()
         self.clients.close_between_requests()
@@ -72,14 +74,14 @@
         self.loop.running = False
 
     def end_drain(self):
-        """Ends a drain that is under way, if there is one."""
+        """Cancels the drain, if there is one."""
         if self.task:
             self.loop.cancel(self.task)
         self.drain = self.task = None
 
     def quiesce(self):
-        """Empties the courier; once more changes nothing."""
-        self.check()
+        """Starts a drain unless one is running or the courier is stopping; returns the status."""
+        self.refuse_if_retired()
         if self.drain is None and not self.stopping:
             logger.info(
                 "quiesced: {held} texts held, {out} calls out",
@@ -88,30 +90,30 @@
                 out=self.runtime.out,
             )
             self.begin_drain(self.loop.now())
-        return self.told()
+        return self.status()
 
-    def check(self):
-        """ValueError where another process has taken all over."""
+    def refuse_if_retired(self):
+        """Raises ValueError if another process has taken over."""
         if self.retired:
-            raise ValueError("all was handed over to a newer process: call that one")
+            raise ValueError("this process has handed over to a newer one: call that one")
 
     def begin_drain(self, began):
-        """Walks through the steps of a drain; `began` in ms of the loop's clock."""
-        self.drain, self.clients.leaving = Leave(DRAIN, began), True
-        self.task = self.loop.keep(lambda: self.walk(self.drain))
+        """Runs the steps of a drain that was requested at `began`, in ms of the loop's clock."""
+        self.drain, self.clients.leaving = StepSequence(DRAIN_STEPS, began), True
+        self.task = self.loop.keep(lambda: self.run_steps(self.drain))
 
     def resume(self):
-        """Back to work, at any moment of a drain; without one it changes nothing."""
-        self.check()
+        """Ends the drain at any step, if there is one; returns the status."""
+        self.refuse_if_retired()
         if self.drain is not None:
             logger.info("resumed: {held} texts held", event="resumed", held=len(self.runtime.facade.texts))
             self.end_drain()
             self.clients.leaving = self.clients.closing = self.runtime.refusing = False
-        return self.told()
+        return self.status()
 
-    def told(self):
-        """What the calls at the admin address answer."""
-        step = self.drain and self.drain.at(self.loop.now(), self.busy())
+    def status(self):
+        """The answer to `/admin/quiesce` and `/admin/resume`."""
+        step = self.drain and self.drain.step_at(self.loop.now(), self.busy())
         return {
             "quiesced": self.drain is not None,
             "step": step.name if step else "stopping" if self.stopping else "at work",
