--- a/calicopin/state/__init__.py
+++ b/calicopin/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept: texts, connections and the journal that outlasts the process."""
+"""State that the courier keeps: texts, connections, and the journal and list that survive a restart."""
--- a/calicopin/state/connections.py
+++ b/calicopin/state/connections.py
@@ -1,10 +1,12 @@
-"""The connections that are kept: idle ones to endpoints, and how many descriptors each use may hold."""
+"""The connections to endpoints that are kept open for later calls, and the division of descriptors among
+their uses.
+"""
 
 from loguru import logger
 
 
 def close(line, endpoint, why):
-    """Closes a connection to an endpoint, with the reason in the log (DEBUG)."""
+    """Closes a connection to an endpoint and logs the reason at DEBUG."""
     logger.debug(
         "connection to {endpoint} closed: {why}", event="connection.closed", endpoint=endpoint, why=why
     )
@@ -12,139 +14,144 @@
 
 
 class Budget:
-    """Shares the descriptors that the process may hold among calls and clients."""
+    """Divides the file descriptors that the process may hold among calls, endpoints and clients."""
 
     OWN = 16  # loop, listener, standard streams, journal and its successor, discovery, notices, signals
 
     def __init__(self, descriptors, slots, admin=False):
         self.admin = (
             max(4, min(16, descriptors // 16)) if admin else 0
-        )  # callers at the admin address, and its listener
-        room = max(2, descriptors - self.OWN - self.admin)
-        self.calls = min(slots, max(1, room // 2))  # calls out at once
+        )  # connections to the admin address, and its listener
+        available = max(2, descriptors - self.OWN - self.admin)
+        self.calls = min(slots, max(1, available // 2))  # calls in flight at once
         self.endpoints = min(
-            max(1, room // 2), 4 * self.calls
-        )  # connections to endpoints, idle ones among them
-        self.clients = max(1, min(descriptors // 3, room - self.endpoints))  # clients with requests
-        self.porch = room - self.endpoints - self.clients  # more of them: new, idle, or being shown out
+            max(1, available // 2), 4 * self.calls
+        )  # connections to endpoints, including idle ones
+        self.clients = max(1, min(descriptors // 3, available - self.endpoints))  # clients with a request
+        self.porch = available - self.endpoints - self.clients  # further clients: new, idle or being closed
 
 
 class Lines:
-    """Connections to endpoints, `most` with those in use.
+    """A pool of connections to endpoints: at most `most`, in use or idle.
 
-    Idle ones lie by endpoint and address, since an address may pass to another endpoint; the one used last is
-    taken first, the oldest makes room.
+    Idle connections are kept by endpoint and address, since an address may pass to another endpoint. The one
+    used last is taken first; the oldest is closed where room is needed.
 
-    `trust` is how long one may stand idle and still be believed in: where idle ones turn out to be gone under
-    the next call, a new one is cheaper than a call that may have run.
+    `trust` is how long (ms) a connection may have been idle and still be used: an endpoint may close an idle
+    connection while the next call is being written to it, and then it is unknown whether that call was
+    executed. A new connection costs less than that.
     """
 
-    LEAST = 10.0  # a connection used just now is believed in
+    MIN_TRUST_MS = 10.0  # `trust` is not reduced below this
 
     def __init__(self, most, idle_limit):
         self.most, self.idle_limit, self.idle, self.used, self.listed = most, idle_limit, {}, 0, None
-        self.trust, self.fastest, self.strays = idle_limit, {}, set()
+        self.trust, self.fastest, self.unlisted = idle_limit, {}, set()
 
     @property
     def count(self):
-        """How many are idle."""
+        """The number of idle connections."""
         return sum(map(len, self.idle.values()))
 
     @staticmethod
-    def shelf(place):
+    def key(place):
         """The key under which idle connections to an endpoint are kept."""
         return place.ident, place.address
 
     def good(self, line, since, now):
-        """Whether an idle one may still serve."""
+        """Whether a connection that is idle since `since` (ms) may still be used."""
         return now - since < self.trust and line.quiet()
 
     def take(self, place, now):
-        """An idle one well clear of the idle limit; None where a new one is to be opened: it has room."""
+        """A usable idle connection; None where the caller has to open a new one, for which room was made."""
         self.used += 1
-        kept = self.idle.get(self.shelf(place), [])
-        while kept:
-            line, since = kept.pop()
+        idle = self.idle.get(self.key(place), [])
+        while idle:
+            line, since = idle.pop()
             if self.good(line, since, now):
                 line.stood = now - since
                 return line
-            close(line, place.ident, "idle too long, or ended by the endpoint")
+            close(line, place.ident, "idle for too long, or closed by the endpoint")
         if self.used + self.count > self.most:
-            shelves = [(kept[0][1], shelf) for shelf, kept in self.idle.items() if kept]
-            if shelves:
-                _, oldest = min(shelves)
-                close(self.idle[oldest].pop(0)[0], oldest[0], "its room is needed")
+            oldest_by_key = [(idle[0][1], key) for key, idle in self.idle.items() if idle]
+            if oldest_by_key:
+                _, oldest = min(oldest_by_key)
+                close(self.idle[oldest].pop(0)[0], oldest[0], "its place is needed for another endpoint")
         return None
 
     def keep(self, place, line, now):
-        """One that was taken may serve again, unless its endpoint has left."""
-        if self.listed is not None and self.shelf(place) not in self.listed:
-            self.drop(line, place.ident, "its endpoint has left")
+        """Returns a connection to the pool for later calls; closes it if its endpoint is no longer listed."""
+        if self.listed is not None and self.key(place) not in self.listed:
+            self.drop(line, place.ident, "its endpoint is no longer listed")
             return
         self.used -= 1
-        self.idle.setdefault(self.shelf(place), []).append((line, now))
+        self.idle.setdefault(self.key(place), []).append((line, now))
 
-    def drop(self, line, endpoint="", why="it has served its last call"):
-        """One that was taken has served its last, or never came up."""
+    def drop(self, line, endpoint="", why="it cannot be used for another call"):
+        """Removes a connection that was taken and is not to be used again, or that could not be opened."""
         self.used -= 1
         if line:
             close(line, endpoint, why)
 
     def give_back(self, place):
-        """Closes what stands idle to an endpoint: others may be waiting for its room."""
-        for line, _ in self.idle.pop(self.shelf(place), ()):
-            close(line, place.ident, "given back")
+        """Closes the idle connections to an endpoint that may accept only a few from all its callers."""
+        for line, _ in self.idle.pop(self.key(place), ()):
+            close(line, place.ident, "the endpoint may accept only a few connections")
 
     def answered(self, place, elapsed):
-        """Notes how long an answer took, in ms: the fastest of an endpoint tells what broke before its
-        call.
+        """Records how long an answer took (`elapsed`, ms). The fastest answer of an endpoint tells which
+        connections were already closed when a call was written to them.
         """
-        shelf = self.shelf(place)
-        self.fastest[shelf] = min(elapsed, self.fastest.get(shelf, elapsed))
-        if self.listed is not None and shelf not in self.listed:
-            self.strays.add(shelf)
+        key = self.key(place)
+        self.fastest[key] = min(elapsed, self.fastest.get(key, elapsed))
+        if self.listed is not None and key not in self.listed:
+            self.unlisted.add(key)
 
     def gone(self, place, line, elapsed):
-        """Whether a line that broke under a call was gone before it: it had stood idle, and broke sooner
-        than any answer of this endpoint ever came. The next idle ones are believed in half as long.
+        """Whether a connection that broke under a call had been closed before it: it had been idle, and broke
+        after a shorter time (`elapsed`, ms) than the endpoint's fastest answer. `trust` is then reduced to
+        half the time that it had been idle.
         """
-        gone = line.stood is not None and elapsed < self.fastest.get(self.shelf(place), 0.0)
-        if gone:
-            self.trust = max(self.LEAST, min(self.trust, line.stood / 2.0))
-        return gone
+        closed_while_idle = line.stood is not None and elapsed < self.fastest.get(self.key(place), 0.0)
+        if closed_while_idle:
+            self.trust = max(self.MIN_TRUST_MS, min(self.trust, line.stood / 2.0))
+        return closed_while_idle
 
     def list(self, places):
-        """The endpoints as they are listed now; idle connections to any other are closed."""
-        self.listed = {self.shelf(place) for place in places}
-        for shelf in [shelf for shelf in self.idle if shelf not in self.listed]:
-            for line, _ in self.idle.pop(shelf):
-                close(line, shelf[0], "its endpoint has left")
-        self.fastest = {shelf: best for shelf, best in self.fastest.items() if shelf in self.listed}
-        self.strays.clear()
-
-    def change(self, gone, come):
-        """The same where the list changed in some places only: it costs by them. `gone` holds them as they
-        were before, `come` as they are."""
-        gone = {self.shelf(place) for place in gone}
-        self.listed.difference_update(gone)
-        self.listed.update(self.shelf(place) for place in come)
-        for shelf in (gone | self.strays) - self.listed:
-            self.fastest.pop(shelf, None)
-            for line, _ in self.idle.pop(shelf, ()):
-                close(line, shelf[0], "its endpoint has left")
-        self.strays.clear()
+        """Sets the endpoints that are listed now and closes idle connections to all others."""
+        self.listed = {self.key(place) for place in places}
+        for key in [key for key in self.idle if key not in self.listed]:
+            for line, _ in self.idle.pop(key):
+                close(line, key[0], "its endpoint is no longer listed")
+        self.fastest = {key: elapsed for key, elapsed in self.fastest.items() if key in self.listed}
+        self.unlisted.clear()
+
+    def change(self, removed, added):
+        """Updates the listed endpoints at a cost that depends on the number of changes only. `removed` holds
+        the changed endpoints as they were before, `added` as they are now.
+        """
+        removed = {self.key(place) for place in removed}
+        self.listed.difference_update(removed)
+        self.listed.update(self.key(place) for place in added)
+        for key in (removed | self.unlisted) - self.listed:
+            self.fastest.pop(key, None)
+            for line, _ in self.idle.pop(key, ()):
+                close(line, key[0], "its endpoint is no longer listed")
+        self.unlisted.clear()
 
     def sweep(self, now):
-        """Closes what has stood idle too long or was closed by the other side; trust comes back with time."""
+        """Closes connections that were idle for too long or that the endpoint closed, and doubles `trust` up
+        to the idle limit.
+        """
         self.trust = min(self.idle_limit, 2.0 * self.trust)
-        for shelf, kept in list(self.idle.items()):
-            stay = []
-            for line, since in kept:
+        for key, idle in list(self.idle.items()):
+            usable = []
+            for line, since in idle:
                 if self.good(line, since, now):
-                    stay.append((line, since))
+                    usable.append((line, since))
                 else:
-                    close(line, shelf[0], "idle too long, or ended by the endpoint")
-            if stay:
-                self.idle[shelf] = stay
+                    close(line, key[0], "idle for too long, or closed by the endpoint")
+            if usable:
+                self.idle[key] = usable
             else:
-                del self.idle[shelf]
+                del self.idle[key]
--- a/calicopin/state/ledger.py
+++ b/calicopin/state/ledger.py
@@ -1,13 +1,11 @@
-"""The one ledger of counts: written where a text's end, submit or refusal is decided, read by whoever
-tells figures.
-"""
+"""Counters behind the courier's figures, updated where the end, submit or refusal of a text is decided."""
 
 
 class Ledger:
-    """Counts since this process began, by product where `products` names one.
+    """Counts since the start of the process, by product for each name in `products`.
 
-    Each text that is handed in ends under just one of `succeeded`, `declined`, `aborted` and `withdrawn`; the
-    table in `docs/service.md` says which.
+    Each text that is handed in ends under exactly one of `succeeded`, `declined`, `aborted` and `withdrawn`;
+    the table in `docs/service.md` says which.
     """
 
     def __init__(self, products):
@@ -18,20 +16,20 @@
         self.taken = self.turned_away = self.noticed = self.forwards = 0
 
     def refused(self, text, again):
-        """Turned away at the door; `again`: it may be handed in again."""
+        """Counts a text that was not accepted; `again` says whether it may be handed in again."""
         (self.declined if again else self.aborted)[self.products[text.product]] += 1
         self.turned_away += again
 
     def ended(self, end):
-        """The one final answer of a text that was taken on."""
+        """Counts the final answer of a text that was accepted."""
         if end.verdict is None:
-            kind = self.succeeded if end.delivered else self.withdrawn
+            counts = self.succeeded if end.delivered else self.withdrawn
         else:
-            kind = self.declined if end.verdict == "bounced" else self.aborted
-        kind[self.products[end.text.product]] += 1
+            counts = self.declined if end.verdict == "bounced" else self.aborted
+        counts[self.products[end.text.product]] += 1
 
     def told(self):
-        """The counts by product and the messages written whole to endpoints."""
+        """The counts by product, and the number of texts written completely to endpoints (`forwards`)."""
         return dict(
             succeeded=self.succeeded,
             declined=self.declined,
--- a/calicopin/state/texts.py
+++ b/calicopin/state/texts.py
@@ -1,4 +1,6 @@
-"""A text as it is kept from its 202 to its end. Times are the module's, in milliseconds."""
+"""The texts that the courier owns, from their acceptance (202) to their final answer. Times are milliseconds
+of the monotonic clock.
+"""
 
 from collections import deque
 from dataclasses import dataclass
@@ -7,7 +9,7 @@
 
 @dataclass(slots=True)
 class Text:
-    """One message that was accepted, with what a restart must know of its submits. Times are ms."""
+    """One accepted message, with what a restart has to know of its submits. Times are in ms."""
 
     ident: str
     dest: int
@@ -18,53 +20,56 @@
     body: bytes
     number: int = -1
     tries: int = 0
-    ran_at: float | None = None  # when the first submit that may have run was sent
+    ran_at: float | None = None  # when the first submit that may have been executed was sent
     ran_zone: str | None = None
-    out_at: float | None = None  # when the submit that is out now was sent
+    out_at: float | None = None  # when the submit in flight was sent
     out_zone: str | None = None
-    verdict: str | None = None  # given up: the notice that is still owed
+    verdict: str | None = None  # set once the text is given up: the notice that is still owed
     wait: float = 0.0
 
-    def went_out(self, at, zone):
-        """A submit goes out to the zone; `at` in ms."""
-        self.tries, self.out_at, self.out_zone = self.tries + 1, at, zone
+    def went_out(self, sent_at, zone):
+        """Records that a submit is sent to `zone`; `sent_at` in ms."""
+        self.tries, self.out_at, self.out_zone = self.tries + 1, sent_at, zone
 
     def came_back(self, may_have_run):
-        """The submit that was out has ended; the first that may have run is remembered."""
+        """Records the end of the submit that was in flight, and the first one that may have been executed."""
         if may_have_run and self.ran_at is None:
             self.ran_at, self.ran_zone = self.out_at, self.out_zone
         self.out_at = self.out_zone = None
 
 
-class Past:
-    """Ids of texts that are over, for as long as a text may live.
+class EndedIds:
+    """Ids of texts that have ended, kept as long as a text may be valid.
 
-    Guards against a second text under the id of one that has just ended: its submits would be copies.
+    A second text under the id of one that has just ended would be submitted as a duplicate; it is recognized
+    by these ids.
     """
 
-    def __init__(self, span):
-        self.span, self.idents, self.order = span, {}, deque()
+    def __init__(self, retention_ms):
+        self.retention_ms, self.idents, self.by_expiry = retention_ms, {}, deque()
 
     def add(self, ident, now):
-        """Remembers an id that is over at `now`, in ms, and forgets those whose time is up."""
+        """Records an id that ended at `now` (ms) and drops the ids whose retention period is over."""
         if ident not in self.idents:
-            self.idents[ident] = now + self.span
-            self.order.append((now + self.span, ident))
-        while self.order and self.order[0][0] <= now:
-            self.idents.pop(self.order.popleft()[1], None)
+            self.idents[ident] = now + self.retention_ms
+            self.by_expiry.append((now + self.retention_ms, ident))
+        while self.by_expiry and self.by_expiry[0][0] <= now:
+            self.idents.pop(self.by_expiry.popleft()[1], None)
 
     def newest(self, count):
-        """(id, when it was over) of as many as are given, oldest first."""
+        """(id, time of its end in ms) of the newest `count` ids, oldest first."""
         return [
-            (ident, until - self.span)
-            for until, ident in islice(self.order, max(0, len(self.order) - count), None)
+            (ident, expires_at - self.retention_ms)
+            for expires_at, ident in islice(self.by_expiry, max(0, len(self.by_expiry) - count), None)
         ]
 
-    def when(self, ident, count):
-        """When it was over, if it is among so many newest; else None."""
-        until = self.idents.get(ident)
-        known = until is not None and (len(self.order) <= count or until >= self.order[-count][0])
-        return until - self.span if known else None
+    def ended_at(self, ident, count):
+        """When the id ended, in ms, if it is among the newest `count`; else None."""
+        expires_at = self.idents.get(ident)
+        among_newest = expires_at is not None and (
+            len(self.by_expiry) <= count or expires_at >= self.by_expiry[-count][0]
+        )
+        return expires_at - self.retention_ms if among_newest else None
 
     def __contains__(self, ident):
         return ident in self.idents
--- a/calicopin/store/__init__.py
+++ b/calicopin/store/__init__.py
@@ -1,3 +1,3 @@
-"""The segmented store: an append-only log in files of one size, cleaned in small steps while traffic
+"""The segmented store: an append-only log in files of equal size, cleaned in small steps while traffic
 flows.
 """
--- a/calicopin/store/__main__.py
+++ b/calicopin/store/__main__.py
@@ -1,4 +1,6 @@
-"""`python -m calicopin.store`: looks into a folder of segments, saves what a damaged one holds, measures."""
+"""`python -m calicopin.store`: inspects a folder of segments, salvages what a damaged one holds, and
+measures.
+"""
 
 import json
 import os
@@ -7,10 +9,10 @@
 import click
 from loguru import logger
 
-from calicopin.store.segments import ENDING, NewerFormError, Segments, frames
+from calicopin.store.segments import SEGMENT_SUFFIX, NewerFormatError, Segments, scan_records
 from calicopin.system import HERE, System
 
-KINDS = {
+RECORD_KIND_NAMES = {
     b"T": "taken",
     b"S": "sent",
     b"B": "back",
@@ -20,12 +22,14 @@
     b"H": "begun",
     b"Z": "sealed",
 }
-FOREVER = 1 << 50
-DAY = 86_400_000.0  # no text is valid for longer
+UNLIMITED_BYTES = 1 << 50
+MAX_VALIDITY_MS = 86_400_000.0  # no text is valid for longer
 
 
-class Look(System):
-    """Reads the folder and writes nothing; its clock is the wall's, as the records' times are."""
+class ReadOnlySystem(System):
+    """Reads the folder and writes nothing. Its clock is the wall clock, as the times in the records are wall
+    time.
+    """
 
     @staticmethod
     def now():
@@ -34,12 +38,12 @@
 
     @staticmethod
     def create(path):
-        """A file that takes everything and keeps nothing."""
+        """A file that discards what is written to it."""
         return os.open(os.devnull, os.O_WRONLY)
 
     @staticmethod
     def write(_, data):
-        """How many bytes it took: all of them."""
+        """The number of bytes in `data`, as if all had been written."""
         return len(data)
 
     @staticmethod
@@ -48,39 +52,41 @@
         pass
 
 
-def held(folder):
-    """The folder for this command alone; one line where a courier holds it or there is none."""
+def lock_folder(folder):
+    """Locks the folder for this command; ends it with an error if a courier holds the folder or there is
+    none.
+    """
     if not os.path.isdir(folder):
-        stop(f"{folder}: no such folder")
+        fail(f"{folder}: no such folder")
     try:
         lock = HERE.lock(folder)
     except OSError:
-        stop(f"{folder}: in use by a courier; stop it first")
+        fail(f"{folder}: in use by a courier; stop it first")
     click.get_current_context().call_on_close(lambda: os.close(lock))
 
 
-def stop(line):
-    """Ends the command with one line on standard error and exit code 2."""
-    click.echo(line, err=True)
+def fail(message):
+    """Ends the command with a message on standard error and exit code 2."""
+    click.echo(message, err=True)
     sys.exit(2)
 
 
-def opened(folder, system=None):
-    """The store as a start would read it, with wall time for its clock; nothing is written."""
-    held(folder)
+def open_store(folder, system=None):
+    """The store as it would be read at a start, with the wall clock as its clock; nothing is written."""
+    lock_folder(folder)
     try:
-        return Segments(folder, FOREVER, 0.0, system or Look(), DAY)
-    except NewerFormError as fault:
-        stop(str(fault))
+        return Segments(folder, UNLIMITED_BYTES, 0.0, system or ReadOnlySystem(), MAX_VALIDITY_MS)
+    except NewerFormatError as fault:
+        fail(str(fault))
     except OSError as fault:
-        stop(f"{folder}: {fault.strerror}")
+        fail(f"{folder}: {fault.strerror}")
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main():
-    """A courier's folder of segments.
+    """Inspects and repairs a courier's folder of segments.
 
-    Never on a folder in use. Exit codes: 0 sound, 1 damage found, 2 cannot be read.
+    Not for a folder in use. Exit codes: 0 intact, 1 damage found, 2 cannot be read.
     """
     logger.remove()
     logger.add(sys.stderr, format="{message}", level="WARNING")
@@ -89,68 +95,74 @@
 @main.command()
 @click.argument("folder", type=click.Path())
 def verify(folder):
-    """Reads every record of FOLDER and tells what cannot be read and what that may have cost."""
-    store = opened(folder)
+    """Reads every record of FOLDER and reports what cannot be read and what that may have cost."""
+    store = open_store(folder)
     click.echo(
-        f"{len(store.sizes) - 1} segments, {len(store.texts)} texts live, {store.damage} places damaged"
+        f"{len(store.sizes) - 1} segments, {len(store.texts)} texts live, {store.damage_count} places damaged"
     )
-    sys.exit(1 if store.damage else 0)
+    sys.exit(1 if store.damage_count else 0)
 
 
 @main.command()
 @click.argument("folder", type=click.Path())
 def stat(folder):
-    """Each segment's size, live texts and ended ids."""
-    store = opened(folder)
+    """Lists each segment's size, live texts and ended ids."""
+    store = open_store(folder)
     for number in sorted(store.sizes)[:-1]:
         click.echo(
-            f"{number:08d}  {store.sizes[number]:>10} bytes  {len(store.homes[number]):>7} texts live  "
-            f"{len(store.ended[number]):>7} ids ended"
+            f"{number:08d}  {store.sizes[number]:>10} bytes  {len(store.live_sizes[number]):>7} texts live  "
+            f"{len(store.ended_by_segment[number]):>7} ids ended"
         )
-    may = sum(text.ran_at is not None for text in store.texts.values())
-    owed = sum(text.verdict is not None for text in store.texts.values())
+    possibly_executed = sum(text.ran_at is not None for text in store.texts.values())
+    awaiting_notice = sum(text.verdict is not None for text in store.texts.values())
     click.echo(
-        f"{len(store.texts)} texts live ({store.live} bytes): {may} may have run, "
-        f"{owed} wait for their notice to be heard"
+        f"{len(store.texts)} texts live ({store.live} bytes): {possibly_executed} may have run, "
+        f"{awaiting_notice} wait for their notice to be heard"
     )
 
 
 @main.command()
 @click.argument("folder", type=click.Path())
 def dump(folder):
-    """Every record as a line of JSON, with its segment and place; bodies by their length."""
-    held(folder)
-    for name in sorted(name for name in os.listdir(folder) if name.endswith(ENDING)):
-        for place, kind, rest in frames(HERE.read(os.path.join(folder, name)), Segments._check):
-            told = dict(
-                segment=name, place=place, kind=KINDS.get(kind, "unreadable" if kind is None else repr(kind))
+    """Prints every record as a line of JSON, with its segment and position; of bodies only the length."""
+    lock_folder(folder)
+    for name in sorted(name for name in os.listdir(folder) if name.endswith(SEGMENT_SUFFIX)):
+        for position, kind, payload in scan_records(
+            HERE.read(os.path.join(folder, name)), Segments._checksum
+        ):
+            output = dict(
+                segment=name,
+                place=position,
+                kind=RECORD_KIND_NAMES.get(kind, "unreadable" if kind is None else repr(kind)),
             )
             if kind is None:
-                told["bytes"] = rest
+                output["bytes"] = payload
             elif kind == b"T":
-                head, _, body = rest.partition(b"\n")
-                told |= dict(text=json.loads(head), body_bytes=len(body))
+                head, _, body = payload.partition(b"\n")
+                output |= dict(text=json.loads(head), body_bytes=len(body))
             else:
-                told["values"] = json.loads(rest)
-            click.echo(json.dumps(told))
+                output["values"] = json.loads(payload)
+            click.echo(json.dumps(output))
 
 
 @main.command()
 @click.argument("folder", type=click.Path())
 @click.argument("new", type=click.Path())
 def salvage(folder, new):
-    """Writes what FOLDER still tells to the new folder NEW, to start a courier on; FOLDER stays as it is."""
-    store = opened(folder)
+    """Writes the texts that can be read from FOLDER to the new folder NEW, for a courier to start on; FOLDER
+    is not changed.
+    """
+    store = open_store(folder)
     if os.path.exists(new) and os.listdir(new):
-        stop(f"{new}: not empty")
+        fail(f"{new}: not empty")
     os.makedirs(new, exist_ok=True)
-    held(new)
-    saved = Segments(new, FOREVER, 0.0, HERE, DAY)
+    lock_folder(new)
+    saved = Segments(new, UNLIMITED_BYTES, 0.0, HERE, MAX_VALIDITY_MS)
     for text in store.texts.values():
         saved.taken(text)
     saved.flush()
-    click.echo(f"{len(saved.texts)} texts saved to {new}, {store.damage} places were damaged")
-    sys.exit(1 if store.damage else 0)
+    click.echo(f"{len(saved.texts)} texts saved to {new}, {store.damage_count} places were damaged")
+    sys.exit(1 if store.damage_count else 0)
 
 
 @main.command()
@@ -164,7 +176,7 @@
 )
 @click.option("--turns", type=click.IntRange(100, 1_000_000), default=6000, show_default=True)
 def measure(lives, turns):
-    """The store beside the old journal, a plain append and SQLite, under one load."""
+    """Compares the store with the single-file journal, a plain append and SQLite under the same load."""
     from calicopin.store.measure import table
 
     first = True
--- a/calicopin/store/measure.py
+++ b/calicopin/store/measure.py
@@ -1,8 +1,8 @@
-"""The store beside the old journal, a plain append of the same bytes, and SQLite: one run, one machine,
-one load.
+"""Compares the segmented store with the single-file journal, a plain append of the same bytes, and SQLite, in
+one run on one machine under the same load.
 
-Each side takes on and ends texts at so many that live at once; the time of each turn (what one flush takes)
-is kept.
+Each store accepts and ends texts while a given number of texts is live; the duration of each flush is
+recorded.
 """
 
 import gc
@@ -16,38 +16,40 @@
 from calicopin.store.segments import Segments
 from calicopin.system import HERE
 
-BODY = b"x" * 300
+TEXT_BODY = b"x" * 300
 
 
-def made(number):
-    """A text of the load, resendable under a reference and valid for an hour."""
-    return Text(f"{number:016x}", 7, 0, f"r{number:015x}", None, HERE.now() + 3.6e6, BODY)
+def make_text(number):
+    """A text of the load, resendable with a reference and valid for an hour."""
+    return Text(f"{number:016x}", 7, 0, f"r{number:015x}", None, HERE.now() + 3.6e6, TEXT_BODY)
 
 
-class Plain:
-    """The floor: the same records appended, and nothing else kept."""
+class PlainAppend:
+    """The lower bound: appends the same records and keeps nothing else."""
 
-    def __init__(self, folder, most):
-        self.inner = Journal(folder, most, 5e11)
+    def __init__(self, folder, limit):
+        self.journal = Journal(folder, limit, 5e11)
         self.file = HERE.create(os.path.join(folder, "plain"))
-        self.texts, self.size = self.inner.texts, 0
+        self.texts, self.size = self.journal.texts, 0
 
     def flush(self):
-        """Appends what has gathered since the last call."""
-        self.size += len(self.inner.buffer)
-        write_all(HERE, self.file, self.inner.buffer)
-        self.inner.buffer.clear()
+        """Appends the records buffered since the last call."""
+        self.size += len(self.journal.buffer)
+        write_all(HERE, self.file, self.journal.buffer)
+        self.journal.buffer.clear()
 
     def __getattr__(self, name):
-        return getattr(self.inner, name)
+        return getattr(self.journal, name)
 
 
 class Sqlite:
-    """The same records as rows, WAL, one commit a turn, no sync: as durable as the others against a kill."""
+    """The same records as rows, with a WAL, one commit per turn and no sync: as durable as the others if the
+    process is killed.
+    """
 
     def __init__(self, folder, _):
-        self.base = sqlite3.connect(os.path.join(folder, "base"), isolation_level=None)
-        self.base.executescript(
+        self.database = sqlite3.connect(os.path.join(folder, "base"), isolation_level=None)
+        self.database.executescript(
             "pragma journal_mode=wal; pragma synchronous=off;"
             "create table if not exists text(id text primary key, until real, tries int, body blob) "
             "without rowid; begin"
@@ -55,97 +57,101 @@
         self.texts = {}
 
     def taken(self, text):
-        """A text was accepted: a row of its own."""
+        """Inserts a row for an accepted text."""
         self.texts[text.ident] = text
-        self.base.execute(
+        self.database.execute(
             "insert or replace into text values(?,?,?,?)", (text.ident, text.until, text.tries, text.body)
         )
 
     def sent(self, text, at, zone):
-        """A submit goes out: one try more in its row."""
-        self.base.execute("update text set tries=tries+1 where id=?", (text.ident,))
+        """Counts a submit in the text's row."""
+        self.database.execute("update text set tries=tries+1 where id=?", (text.ident,))
 
     def over(self, text, now):
-        """The text has ended: its row is deleted."""
+        """Deletes the row of a text that has ended."""
         del self.texts[text.ident]
-        self.base.execute("delete from text where id=?", (text.ident,))
+        self.database.execute("delete from text where id=?", (text.ident,))
 
     def flush(self):
-        """Commits what has gathered since the last call."""
-        self.base.execute("commit")
-        self.base.execute("begin")
+        """Commits what was written since the last call."""
+        self.database.execute("commit")
+        self.database.execute("begin")
 
 
-SIDES = {
+STORES = {
     "journal": lambda folder, most: Journal(folder, most, 5e11, HERE, 60000.0, "b"),
     "segments": lambda folder, most: Segments(folder, most, 5e11, HERE, 60000.0, "b"),
-    "plain append": Plain,
+    "plain append": PlainAppend,
     "sqlite": Sqlite,
 }
 
 
-def disk(folder):
+def disk_bytes(folder):
     """The bytes of all files in a folder."""
     return sum(entry.stat().st_size for entry in os.scandir(folder))
 
 
-def one(name, live, turns, a_turn=10):
-    """Figures of one side: texts a second, turns in ms, bytes written for each byte of the texts' own
+def measure_store(name, live, turns, texts_per_turn=10):
+    """Figures of one store: texts per second, flush times in ms, and bytes written per byte of the texts' own
     records.
     """
-    most = max(3_000_000, live * 2500)
+    limit = max(3_000_000, live * 2500)
     with tempfile.TemporaryDirectory() as folder:
-        side, number, times, peak = SIDES[name](folder, most), 0, [], 0
+        store, number, flush_times, peak = STORES[name](folder, limit), 0, [], 0
         while number < live:
             for _ in range(500):
-                side.taken(made(number))
+                store.taken(make_text(number))
                 number += 1
-            side.flush()
-        waiting = iter(list(side.texts.values()))
+            store.flush()
+        waiting = iter(list(store.texts.values()))
         gc.collect()
         gc.disable()
         began = time.perf_counter()
         for turn in range(turns):
-            for _ in range(a_turn):
-                text = made(number)
+            for _ in range(texts_per_turn):
+                text = make_text(number)
                 number += 1
-                side.taken(text)
-                old = next(waiting, None) or text
-                side.sent(old, 1000.0, "a")
-                side.over(old, HERE.now())
+                store.taken(text)
+                ending = next(waiting, None) or text
+                store.sent(ending, 1000.0, "a")
+                store.over(ending, HERE.now())
             start = time.perf_counter()
-            side.flush()
-            times.append((time.perf_counter() - start) * 1000.0)
+            store.flush()
+            flush_times.append((time.perf_counter() - start) * 1000.0)
             if turn % 200 == 0:
-                peak = max(peak, disk(folder))
-        took = time.perf_counter() - began
+                peak = max(peak, disk_bytes(folder))
+        duration = time.perf_counter() - began
         gc.enable()
-        held = len(side.texts)
-        amplification = (side.written / max(1, side.written - side.moved)) if name == "segments" else None
+        live_count = len(store.texts)
+        amplification = (
+            (store.written_bytes / max(1, store.written_bytes - store.moved_bytes))
+            if name == "segments"
+            else None
+        )
         start = time.perf_counter()
-        begin = None
+        reopened = None
         if name in ("journal", "segments"):
-            begin = SIDES[name](folder, most)
-            assert len(begin.texts) == held, (len(begin.texts), held)
-        opened = time.perf_counter() - start
-        times.sort()
-        at = lambda share: times[min(len(times) - 1, int(len(times) * share))]  # noqa: E731
+            reopened = STORES[name](folder, limit)
+            assert len(reopened.texts) == live_count, (len(reopened.texts), live_count)
+        open_duration = time.perf_counter() - start
+        flush_times.sort()
+        percentile = lambda share: flush_times[min(len(flush_times) - 1, int(len(flush_times) * share))]  # noqa: E731
         return dict(
             side=name,
             live=live,
-            texts_s=round(turns * a_turn / took),
-            p50_ms=round(at(0.5), 3),
-            p99_ms=round(at(0.99), 3),
-            p999_ms=round(at(0.999), 3),
-            worst_ms=round(times[-1], 2),
-            disk_mb=round(max(peak, disk(folder)) / 1e6, 1),
+            texts_s=round(turns * texts_per_turn / duration),
+            p50_ms=round(percentile(0.5), 3),
+            p99_ms=round(percentile(0.99), 3),
+            p999_ms=round(percentile(0.999), 3),
+            worst_ms=round(flush_times[-1], 2),
+            disk_mb=round(max(peak, disk_bytes(folder)) / 1e6, 1),
             amplification=amplification and round(amplification, 2),
-            start_s=round(opened, 2) if begin else None,
+            start_s=round(open_duration, 2) if reopened else None,
         )
 
 
 def table(lives=(1000, 10_000, 200_000), turns=6000):
-    """Rows of figures, sides in turn."""
+    """Yields a row of figures for each number of live texts and each store."""
     for live in lives:
-        for name in SIDES:
-            yield one(name, live, turns)
+        for name in STORES:
+            yield measure_store(name, live, turns)
--- a/calicopin/store/segments.py
+++ b/calicopin/store/segments.py
@@ -1,14 +1,16 @@
-"""The journal's calls on a log of segments.
+"""The journal's interface on a log of segments.
 
-Segments are numbered and only the newest is written to. A text's home is the segment that holds its whole
-record; state records behind it lie in the same segment or in later ones. The oldest segment is cleaned first:
-what lives there is written whole to the newest, which makes every record before that worthless, and then its
-file is removed. No other order of removal is possible, so a text whose end stands in a later segment never
-comes back, and no manifest is needed: one file's removal is the only step that takes anything away, and it
-comes after what replaces it was written.
+Segments are numbered files, and only the newest is written to. A text belongs to the segment that holds its
+complete record; its state records follow in the same segment or in later ones. The oldest segment is cleaned
+first: its live texts are written completely to the newest segment, which makes all their earlier records
+obsolete, and then its file is removed.
 
-Taken from LFS and Bitcask (a log that is the store), and from TigerBeetle (recovery that believes checksums,
-not lengths).
+Segments are removed in this order only. A text whose end stands in a later segment therefore never reappears,
+and no manifest is needed: the removal of a file is the only destructive step, and it follows the write of the
+records that replace it.
+
+The design follows LFS and Bitcask (the log is the store) and TigerBeetle (recovery relies on checksums, not
+on lengths).
 """
 
 import json
@@ -19,52 +21,93 @@
 from loguru import logger
 
 from calicopin.fault_log import FaultLog
-from calicopin.state.journal import BEGUN, ENTRY, HEAD, OVER, PAST, TAKEN, Journal, blocks, write_all
+from calicopin.state.journal import (
+    ENDED,
+    ENDED_ID_BYTES,
+    ENDED_IDS,
+    HEADER,
+    RECORD_HEADER,
+    TAKEN,
+    Journal,
+    allocated_bytes,
+    write_all,
+)
 from calicopin.store import plan
 
-ENDING = ".segment"
+SEGMENT_SUFFIX = ".segment"
 SEALED = b"Z"
-FORM = 1  # of the segments; a newer one is not read
-MOST_RECORD = 1 << 18  # bytes: what claims to be longer is damaged
-CHUNK = 200  # ids of ended texts in one record
-
-
-class NewerFormError(Exception):
-    """A folder that a newer version wrote."""
-
-
-def frames(data, check):
-    """(place, kind, rest) of every sound record, and (place, None, size) for every span that is none."""
-    place, bad = 0, None
-    while place < len(data):
-        size, crc = HEAD.unpack_from(data, place) if place + HEAD.size <= len(data) else (0, 0)
-        record = data[place + HEAD.size : place + HEAD.size + size] if 0 < size <= MOST_RECORD else b""
-        if record and len(record) == size and check(record) == crc:
-            if bad is not None:
-                yield bad, None, place - bad
-                bad = None
-            yield place, record[:1], record[1:]
-            place += HEAD.size + size
-        else:  # the next sound record may lie anywhere behind it
-            bad = place if bad is None else bad
-            place += 1
-    if bad is not None:
-        yield bad, None, place - bad
+FORMAT_VERSION = 1  # of the segments; folders with a newer one are not read
+MAX_RECORD_BYTES = 1 << 18  # a record with a longer length field is damaged
+IDS_PER_RECORD = 200  # ids of ended texts in one record
+
+
+class NewerFormatError(Exception):
+    """The folder was written by a newer version."""
+
+
+def scan_records(data, checksum):
+    """Yields (position, kind, payload) of every intact record, and (position, None, size) of every span that
+    cannot be read.
+    """
+    position, damage_start = 0, None
+    while position < len(data):
+        size, crc = (
+            RECORD_HEADER.unpack_from(data, position)
+            if position + RECORD_HEADER.size <= len(data)
+            else (0, 0)
+        )
+        record = (
+            data[position + RECORD_HEADER.size : position + RECORD_HEADER.size + size]
+            if 0 < size <= MAX_RECORD_BYTES
+            else b""
+        )
+        if record and len(record) == size and checksum(record) == crc:
+            if damage_start is not None:
+                yield damage_start, None, position - damage_start
+                damage_start = None
+            yield position, record[:1], record[1:]
+            position += RECORD_HEADER.size + size
+        else:  # the next intact record may begin at any byte after this one
+            damage_start = position if damage_start is None else damage_start
+            position += 1
+    if damage_start is not None:
+        yield damage_start, None, position - damage_start
 
 
 class Segments(Journal):
-    """`texts`, `past` and the calls are the journal's own.
+    """A journal in segments, with the same interface, `texts` and `past`.
 
-    `sizes` holds each file's size, `homes` the live texts of each segment with what they take, `ended` the
-    ids whose end stands there; `damage` counts spans that could not be read.
+    `sizes` holds the size of each file in bytes, `live_sizes` the live texts of each segment with the sizes
+    of their records, `segment_of` the segment of each live text, `ended_by_segment` the ids whose end stands
+    in each segment; `damage_count` counts the spans that could not be read.
     """
 
-    def __init__(self, folder, most, offset, system, lasting, boot="", durable=False, out=None, now=None):
-        self.folder, self.durable, self.faults = folder, durable, FaultLog(now or system.now)
-        self.single_file = False  # whether a journal of the single-file form lies beside the segments
-        self.head = b""  # of the newest segment, until it is written
-        self.rewritten = {}  # ids whose home could not be synced: they are written anew to the next segment
-        self.sizes, self.homes, self.ended, self.home, self.number, self.damage, self.moved, self.written = (
+    def __init__(
+        self,
+        folder,
+        most,
+        offset,
+        system,
+        max_validity,
+        boot="",
+        durable=False,
+        in_flight_elsewhere=None,
+        now=None,
+    ):
+        self.folder, self.durable, self.fault_log = folder, durable, FaultLog(now or system.now)
+        self.legacy_file = False  # whether a journal in the single-file format is still beside the segments
+        self.segment_head = b""  # first records of the newest segment, until they are written
+        self.to_rewrite = {}  # ids of texts in a segment that could not be synced
+        (
+            self.sizes,
+            self.live_sizes,
+            self.ended_by_segment,
+            self.segment_of,
+            self.number,
+            self.damage_count,
+            self.moved_bytes,
+            self.written_bytes,
+        ) = (
             {},
             {},
             {},
@@ -74,185 +117,186 @@
             0,
             0,
         )
-        super().__init__(folder, most, offset, system, lasting, boot, out, now)
+        super().__init__(folder, most, offset, system, max_validity, boot, in_flight_elsewhere, now)
 
     def limit(self, most):
-        """So many bytes the folder may hold.
+        """Sets the number of bytes that the folder may hold.
 
-        Live records may fill half: no second copy of all is ever written.
+        Live records may fill half of it, since a second copy of all of them is never written.
         """
-        self.segment = plan.segment_size(most)
+        self.segment_bytes = plan.segment_size(most)
         self.most, self.most_live, self.most_past = most - most // 20, most // 2, most // 20
-        self.most_routes = self.segment // 2  # all of them stand at the head of each segment
+        self.most_routes = self.segment_bytes // 2  # all of them are written at the head of each segment
 
     def _path(self, number):
-        return os.path.join(self.folder, f"{number:08d}{ENDING}")
+        return os.path.join(self.folder, f"{number:08d}{SEGMENT_SUFFIX}")
 
     # Reading.
 
     def _replay(self):
         numbers = sorted(
-            int(name[: -len(ENDING)])
+            int(name[: -len(SEGMENT_SUFFIX)])
             for name in self.system.names(self.folder)
-            if name.endswith(ENDING) and name[: -len(ENDING)].isdecimal()
+            if name.endswith(SEGMENT_SUFFIX) and name[: -len(SEGMENT_SUFFIX)].isdecimal()
         )
-        self.single_file = super()._replay()  # of before, carried over once
+        self.legacy_file = super()._replay()  # in the format of earlier versions, converted once
         for ident in self.texts:
-            self._settle(ident, 0)
-        for number, after in zip(numbers, [*numbers[1:], None], strict=False):
+            self._assign(ident, 0)
+        for number, following in zip(numbers, [*numbers[1:], None], strict=False):
             self.number = number
-            self._segment(number)
-            if after is not None and after != number + 1:
-                self._damaged(
+            self._replay_segment(number)
+            if following is not None and following != number + 1:
+                self._record_damage(
                     number + 1,
                     0,
                     "segments are missing",
-                    "texts whose records stood there are lost or may go again",
+                    "texts recorded there are lost or may be submitted again",
                 )
-        self._come_back()
-        return self.single_file or bool(numbers)
+        self._mark_interrupted()
+        return self.legacy_file or bool(numbers)
 
-    def _segment(self, number):
-        data, count, sealed, holes = self.system.read(self._path(number)), 0, None, []
-        self.sizes[number], self.homes[number], self.ended[number] = len(data), {}, deque()
-        for place, kind, rest in frames(data, self._check):
+    def _replay_segment(self, number):
+        data, count, sealed, damaged = self.system.read(self._path(number)), 0, None, []
+        self.sizes[number], self.live_sizes[number], self.ended_by_segment[number] = len(data), {}, deque()
+        for position, kind, payload in scan_records(data, self._checksum):
             if kind is None:
-                holes.append((place, rest))
+                damaged.append((position, payload))
                 continue
             count += 1
             if kind == SEALED:
-                sealed = json.loads(rest)[0]
-            elif kind == BEGUN and json.loads(rest)[2:3] != [FORM]:
-                raise NewerFormError(f"{self._path(number)} has a form that this version does not read")
+                sealed = json.loads(payload)[0]
+            elif kind == HEADER and json.loads(payload)[2:3] != [FORMAT_VERSION]:
+                raise NewerFormatError(f"{self._path(number)} has a format that this version does not read")
             else:
-                self._apply(number, kind, rest)
-        torn = sealed is None and holes and holes[-1][0] + holes[-1][1] == len(data)
-        for place, size in holes[:-1] if torn else holes:
-            self._damaged(
+                self._apply_in_segment(number, kind, payload)
+        torn = sealed is None and damaged and damaged[-1][0] + damaged[-1][1] == len(data)
+        for position, size in damaged[:-1] if torn else damaged:
+            self._record_damage(
                 number,
-                place,
+                position,
                 f"{size} bytes cannot be read",
-                "a text may be lost, and none that lives may go again",
-            )
-        if sealed is not None and not holes and count != sealed + 1:
-            self._damaged(
-                number, 0, f"holds {count - 1} records where {sealed} were written", "a text may be lost"
+                "a text may be lost, and live texts are treated as possibly executed",
             )
+        if sealed is not None and not damaged and count != sealed + 1:
+            self._record_damage(number, 0, f"{count - 1} of {sealed} records found", "a text may be lost")
 
-    def _apply(self, number, kind, rest):
+    def _apply_in_segment(self, number, kind, payload):
         if kind == TAKEN:
-            ident = json.loads(rest.partition(b"\n")[0])["ident"]
-            self._read(kind, rest)
-            self._settle(ident, number, len(rest) + 1 + HEAD.size)
-        elif kind == OVER:
-            ident = json.loads(rest)[0]
-            known = ident in self.texts
-            self._read(kind, rest)
-            if known:
-                self._leave(ident)
-                self.ended[number].append(ident)
-        elif kind == PAST:
-            self._read(kind, rest)
-            self.ended[number] += [ident for ident, _ in json.loads(rest)]
+            ident = json.loads(payload.partition(b"\n")[0])["ident"]
+            self._apply_record(kind, payload)
+            self._assign(ident, number, len(payload) + 1 + RECORD_HEADER.size)
+        elif kind == ENDED:
+            ident = json.loads(payload)[0]
+            was_live = ident in self.texts
+            self._apply_record(kind, payload)
+            if was_live:
+                self._unassign(ident)
+                self.ended_by_segment[number].append(ident)
+        elif kind == ENDED_IDS:
+            self._apply_record(kind, payload)
+            self.ended_by_segment[number] += [ident for ident, _ in json.loads(payload)]
         else:
-            self._read(kind, rest)
+            self._apply_record(kind, payload)
 
-    def _damaged(self, number, place, what, cost):
-        """What could not be read may have been a submit or an end of any text that lives: none of them may
-        go again where that would be a second effect.
+    def _record_damage(self, number, position, problem, effect):
+        """Logs a damaged span. It may have held a submit or an end of any live text, so each live text is
+        marked as one that may have been executed: it is not submitted again where that could cause a second
+        effect.
         """
-        self.damage += 1
+        self.damage_count += 1
         logger.error(
-            "{path} at {place}: {what}; {cost}",
+            "{path} damaged at byte {place}: {what}; {cost}",
             event="store.damaged",
             path=self._path(number),
-            place=place,
-            what=what,
-            cost=cost,
+            place=position,
+            what=problem,
+            cost=effect,
         )
         for text in self.texts.values():
             if text.ran_at is None:
-                text.ran_at, text.ran_zone = text.until - self.lasting, text.out_zone
+                text.ran_at, text.ran_zone = text.until - self.max_validity, text.out_zone
 
-    _check = staticmethod(zlib.crc32)
+    _checksum = staticmethod(zlib.crc32)
 
-    # Homes.
+    # Live texts by segment.
 
-    def _settle(self, ident, number, size=0):
-        """The text's whole record stands in that segment now."""
-        self._leave(ident)
-        self.home[ident] = number
-        self.homes.setdefault(number, {})[ident] = size
+    def _assign(self, ident, number, size=0):
+        """Records that the text's complete record stands in that segment."""
+        self._unassign(ident)
+        self.segment_of[ident] = number
+        self.live_sizes.setdefault(number, {})[ident] = size
         self.costs[ident] = size
         self.live += size
 
-    def _leave(self, ident):
-        number = self.home.pop(ident, None)
+    def _unassign(self, ident):
+        number = self.segment_of.pop(ident, None)
         if number is not None:
-            self.live -= self.homes[number].pop(ident)
+            self.live -= self.live_sizes[number].pop(ident)
             self.costs.pop(ident, None)
 
     # Writing.
 
-    def _count(self, text, record):
-        self._settle(text.ident, self.number, len(record))
+    def _add_cost(self, text, record):
+        self._assign(text.ident, self.number, len(record))
         return record
 
     def over(self, text, now):
-        """Nothing is owed for the text any more; its id stands in the segment written now, from `now` (ms)
-        on.
+        """Records that nothing is owed for the text any more; its id is kept in the segment written now, from
+        `now` (ms) on.
         """
         if text.ident in self.texts:
             del self.texts[text.ident]
-            self._leave(text.ident)
-            self._put(OVER, text.ident, now + self.offset)
+            self._unassign(text.ident)
+            self._buffer_record(ENDED, text.ident, now + self.offset)
             self.past.add(text.ident, now)
-            # segment 0 stands for the first one, where that could not be made yet
-            self.ended.setdefault(self.number, deque()).append(text.ident)
+            # segment 0 stands for the first segment if that could not be created yet
+            self.ended_by_segment.setdefault(self.number, deque()).append(text.ident)
 
     def _rewrite(self):
-        """A new segment, with what the single file of before held and what lives in an unsynced segment."""
-        self.rewritten |= dict.fromkeys(self.homes.get(0, ()))
-        self._open()
+        """Begins a segment with the live texts of a legacy file and of a segment that could not be synced."""
+        self.to_rewrite |= dict.fromkeys(self.live_sizes.get(0, ()))
+        self._open_segment()
         self._write()
-        self.rewritten.clear()
+        self.to_rewrite.clear()
         try:
-            self._remove_single_file()
+            self._remove_legacy_file()
         except OSError as fault:
-            self._put_off(fault)
+            self._log_deferral(fault)
 
-    def _remove_single_file(self):
-        """The single file of before goes once all of it stands here. Until then no segment may go: it may
-        hold the end of a message that stands there.
+    def _remove_legacy_file(self):
+        """Removes the legacy file once all its texts are in segments. Until then no segment may be removed,
+        as it may hold the end of a text in the legacy file.
         """
-        if self.single_file and os.path.basename(self.path) in self.system.names(self.folder):
+        if self.legacy_file and os.path.basename(self.path) in self.system.names(self.folder):
             self.system.remove(self.path)
-        self.single_file = False
+        self.legacy_file = False
 
-    def _open(self):
-        """The next segment; the same one again while nothing is in it. `head` is what it begins with: its
-        header, all routes, and the messages that are to be written anew.
+    def _open_segment(self):
+        """Creates the next segment, or the same one again if nothing was written to it. `segment_head` holds
+        its first records: the header, all routes, and the texts to be written again.
         """
         number = self.number if self.sizes.get(self.number) == 0 else self.number + 1
         file = self.system.create(self._path(number))
         if self.durable:
-            self._sync_name(file)
+            self._sync_folder(file)
         if self.file is not None:
             self.system.close(self.file)
         self.file, self.size, self.number, self.records = file, 0, number, 0
         self.sizes.setdefault(number, 0)
-        self.homes.setdefault(number, {})
-        self.ended.setdefault(number, deque()).extend(self.ended.pop(0, ()))
-        header = self._record(BEGUN, json.dumps([self.boot, self.offset, FORM]).encode())
-        moved = [self.texts[ident] for ident in self.rewritten if ident in self.texts]
-        self.head = (
-            header + self._all_routes() + b"".join(self._count(text, self._taken(text)) for text in moved)
+        self.live_sizes.setdefault(number, {})
+        self.ended_by_segment.setdefault(number, deque()).extend(self.ended_by_segment.pop(0, ()))
+        header = self._record(HEADER, json.dumps([self.boot, self.offset, FORMAT_VERSION]).encode())
+        moved = [self.texts[ident] for ident in self.to_rewrite if ident in self.texts]
+        self.segment_head = (
+            header
+            + self._all_route_records()
+            + b"".join(self._add_cost(text, self._text_record(text)) for text in moved)
         )
-        if not self.homes.get(0):
-            self.homes.pop(0, None)
+        if not self.live_sizes.get(0):
+            self.live_sizes.pop(0, None)
 
-    def _sync_name(self, file):
-        """The name of a new segment is on the disk; where it is not, the segment is not written to."""
+    def _sync_folder(self, file):
+        """Makes the new segment's name durable; if that fails, the segment is not used."""
         try:
             self.system.sync_folder(self.folder)
         except OSError:
@@ -260,50 +304,50 @@
             raise
 
     def _write(self):
-        """The head and the buffer, to the newest segment."""
-        data = self.head + self.buffer
+        """Writes the segment head and the buffer to the newest segment."""
+        data = self.segment_head + self.buffer
         if data:
             self._append(data)
-            self.torn, self.head = False, b""
+            self.torn, self.segment_head = False, b""
             self.buffer.clear()
 
     def _append(self, data):
-        """Whole records, to the newest segment: all of them or, as far as can be had, none."""
+        """Appends complete records to the newest segment: all, or none if the rest can be cut off again."""
         try:
             write_all(self.system, self.file, data)
-        except OSError:  # a torn record in the middle would look like damage
-            self._cut_off()
+        except OSError:  # a torn record in the middle would be read as damage
+            self._truncate()
             raise
         if self.durable:
             self._sync()
-        place = 0
-        while place < len(data):
-            place += HEAD.size + HEAD.unpack_from(data, place)[0]
+        position = 0
+        while position < len(data):
+            position += RECORD_HEADER.size + RECORD_HEADER.unpack_from(data, position)[0]
             self.records += 1
         self.size += len(data)
-        self.written += len(data)
+        self.written_bytes += len(data)
         self.sizes[self.number] = self.size
 
     def _sync(self):
-        """The newest segment is on the disk. Behind a sync that failed the page cache may call clean what
-        the disk never took: nothing more goes into this segment, what was not synced is cut off and written
-        to the next one, and what lives here from before is written there anew.
+        """Syncs the newest segment. After a failed sync the page cache may mark pages as clean that never
+        reached the disk, so the segment is not written to any more: what was not synced is cut off and goes
+        to the next segment, and the live texts of this one are written there again.
         """
         try:
             self.system.sync(self.file)
         except OSError:
-            self._cut_off()
+            self._truncate()
             if self.file is not None:
-                self._leave_file()
-                self.torn = False  # it was cut off
-            for ident in list(self.homes[self.number]):
+                self._abandon_file()
+                self.torn = False  # the records that were not synced were cut off
+            for ident in list(self.live_sizes[self.number]):
                 if ident in self.texts:
-                    self.rewritten[ident] = None
+                    self.to_rewrite[ident] = None
             raise
 
     def flush(self):
-        """Everything so far is in the log once this returns; then a bounded step of cleaning. A fault of that
-        step is none of what was flushed: the step is taken again with the next flush.
+        """Writes the buffered records to the log, then cleans a bounded amount. An error in cleaning is only
+        logged, since the records are written; cleaning goes on with the next flush.
         """
         if self.file is None:
             self._rewrite()
@@ -312,81 +356,86 @@
             return
         self._write()
         try:
-            self._remove_single_file()
-            if self.size >= self.segment:
+            self._remove_legacy_file()
+            if self.size >= self.segment_bytes:
                 self._seal()
             self._clean(size)
         except OSError as fault:
-            self._put_off(fault)
+            self._log_deferral(fault)
 
-    def _put_off(self, fault):
-        """Cleaning that the system refuses is done later."""
-        self.faults.tell_refusal("store.cleaning-refused", "cleaning the store is put off", fault)
+    def _log_deferral(self, fault):
+        """Logs that cleaning was refused by the system and is deferred."""
+        self.fault_log.tell_refusal(
+            "store.cleaning-refused", "cleaning the segmented store is deferred", fault
+        )
 
     def _seal(self):
-        # not by way of the buffer: where it fails, the buffer may go to another segment
+        # not through the buffer: after a failure the buffer may go to another segment
         self._append(self._record(SEALED, json.dumps([self.records]).encode()))
         self.system.close(self.file)
-        self.file = None  # nothing goes behind the seal, also where the next segment cannot be made
+        self.file = None  # nothing is written after the seal, even if the next segment cannot be created
         self._rewrite()
 
     def total(self):
-        """Bytes of the log on disk."""
-        return sum(map(blocks, self.sizes.values()))
+        """The size of the log on disk, in bytes."""
+        return sum(map(allocated_bytes, self.sizes.values()))
 
-    def _clean(self, written):
-        """The oldest segment's live records move forward, a few at a time; an empty one goes.
+    def _clean(self, written_bytes):
+        """Moves live records of the oldest segment to the newest, some at a time, and removes a segment
+        without any.
 
-        Where the disk would else be full, one after the other until it is not.
+        Goes on with the next segments as long as the disk limit would otherwise be exceeded.
         """
-        stepped = False
+        cleaned = False
         for oldest in sorted(self.sizes)[
             :-1
-        ]:  # those that are there now: what this writes itself is left for later turns
-            homes, total = self.homes[oldest], self.total()
-            all_ = sum(homes.values()) + ENTRY * len(self.ended[oldest])
-            urgent = total + self.segment + all_ > self.most
-            if all_ and stepped and not urgent:
+        ]:  # the segments of this moment: those that this step creates are left for later steps
+            live_sizes, total = self.live_sizes[oldest], self.total()
+            remaining = sum(live_sizes.values()) + ENDED_ID_BYTES * len(self.ended_by_segment[oldest])
+            urgent = total + self.segment_bytes + remaining > self.most
+            if remaining and cleaned and not urgent:
                 return
-            left = plan.step(
+            budget = plan.bytes_to_move(
                 total,
-                self.live + min(self.most_past, ENTRY * len(self.past.idents)),
+                self.live + min(self.most_past, ENDED_ID_BYTES * len(self.past.idents)),
                 self.most,
-                self.segment,
-                written,
-                all_,
+                self.segment_bytes,
+                written_bytes,
+                remaining,
             )
-            if all_ and not left:
+            if remaining and not budget:
                 return
-            while homes and left > 0:
-                text = self.texts[next(iter(homes))]
-                record = self._count(text, self._taken(text))
+            while live_sizes and budget > 0:
+                text = self.texts[next(iter(live_sizes))]
+                record = self._add_cost(text, self._text_record(text))
                 self.buffer += record
-                left, self.moved = left - len(record), self.moved + len(record)
-            ended, stepped = self.ended[oldest], stepped or bool(all_)
-            while ended and not homes and left > 0:
-                left -= self._carry([ended.popleft() for _ in range(min(CHUNK, len(ended)))])
+                budget, self.moved_bytes = budget - len(record), self.moved_bytes + len(record)
+            ended_ids, cleaned = self.ended_by_segment[oldest], cleaned or bool(remaining)
+            while ended_ids and not live_sizes and budget > 0:
+                budget -= self._carry_over(
+                    [ended_ids.popleft() for _ in range(min(IDS_PER_RECORD, len(ended_ids)))]
+                )
             self._write()
-            if homes or ended:
+            if live_sizes or ended_ids:
                 return
             self.system.remove(self._path(oldest))
-            del self.sizes[oldest], self.homes[oldest], self.ended[oldest]
-            if self.size >= self.segment:
+            del self.sizes[oldest], self.live_sizes[oldest], self.ended_by_segment[oldest]
+            if self.size >= self.segment_bytes:
                 self._seal()
 
-    def _carry(self, idents):
-        """Ids that ended, for which a copy may still come, are written on before the segment of their end
-        goes.
+    def _carry_over(self, idents):
+        """Writes the ended ids that may still be submitted again to the newest segment, before the segment
+        with their end is removed; returns the size of the record in bytes.
         """
-        most = self.most_past // ENTRY
+        max_ids = self.most_past // ENDED_ID_BYTES
         kept = [
             (ident, at + self.offset)
             for ident in dict.fromkeys(idents)
-            if (at := self.past.when(ident, most)) is not None
+            if (at := self.past.ended_at(ident, max_ids)) is not None
         ]
         if not kept:
             return 0
-        record = self._record(PAST, json.dumps(kept).encode())
+        record = self._record(ENDED_IDS, json.dumps(kept).encode())
         self.buffer += record
-        self.ended[self.number] += [ident for ident, _ in kept]
+        self.ended_by_segment[self.number] += [ident for ident, _ in kept]
         return len(record)
