--- a/calicopin/state/known_list.py
+++ b/calicopin/state/known_list.py
@@ -1,9 +1,10 @@
-"""The part of the list that a courier subscribes to, kept in its folder so that a restart goes on with it.
+"""The part of the list that a courier subscribes to, stored in its folder so that a restart can continue with
+it.
 
-One file, replaced at once by a whole new one. Its first line tells form, checksum and length of the rest,
-which is JSON: the fleet, the time of the last news, and the endpoints by destination. That time is told by
-the monotonic clock, with the machine's run that it belongs to, and by the wall clock for after a reboot. A
-file that is damaged, too old or of another fleet is passed over with one line. Times are milliseconds.
+One file, replaced as a whole. Its first line holds the format, the checksum and the length of the rest, which
+is JSON: the fleet, the time of the last confirmation, and the endpoints by destination. That time is stored
+by the monotonic clock, with the boot it belongs to, and by the wall clock for use after a reboot. A file that
+is damaged, too old or of another fleet is ignored with one log line. Times are in ms.
 """
 
 import json
@@ -19,31 +20,29 @@
 from calicopin.system import patiently
 from calicopin.wire.loop import Until
 
-MARK = b"calicopin known list 1"  # the form of the file
-MOST_BYTES = 8 << 20  # of the file, however much disk there is
-SHARE = (
-    20  # the file takes at most a twentieth of the folder's disk, and as much once more while it is replaced
-)
-RESERVED = SHARE // 2  # so a tenth is set aside for both
-CHUNK = 64  # destinations that are encoded in one pass of the loop
-LOOK = 3000.0  # between two looks whether there is something to write
-REFRESH = 600_000.0  # after which a file is dated anew, if the list was confirmed since
+FORMAT_MARK = b"calicopin known list 1"  # format and version of the file
+MAX_FILE_BYTES = 8 << 20  # regardless of the disk limit
+DISK_DIVISOR = 20  # the file takes at most 1/20 of the disk limit, and as much again while it is replaced
+RESERVED_DIVISOR = DISK_DIVISOR // 2  # 1/10 of the disk limit is reserved for both files
+DESTINATIONS_PER_PASS = 64  # destinations encoded in one pass of the event loop
+LOOK = 3000.0  # interval between checks whether the file is due, ms
+REFRESH = 600_000.0  # age after which a file gets a new date if the list was confirmed since, ms
 
 
 class DamagedError(ValueError):
-    """A file that cannot be read back."""
+    """The file cannot be decoded."""
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
-    """A time by both clocks, in ms: `wall` is Unix time, `monotonic` belongs to the machine's run `boot`."""
+class Timestamp:
+    """A time by both clocks, in ms: `wall` is Unix time, `monotonic` belongs to the boot `boot`."""
 
     wall: float
     monotonic: float
     boot: str
 
-    def age(self, now: "Moment") -> float:
-        """How long ago it was: by the clock that cannot be set, within one run of the machine."""
+    def age(self, now: "Timestamp") -> float:
+        """How long ago it was, in ms: by the monotonic clock within one boot, else by the wall clock."""
         if self.boot and self.boot == now.boot:
             return now.monotonic - self.monotonic
         return now.wall - self.wall
@@ -51,64 +50,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """What a file holds; `at` is the time of the last news."""
+    """The contents of a file; `at` is the time of the last confirmation by a discovery node."""
 
     fleet: str
-    at: Moment
+    at: Timestamp
     places: dict[int, list[Place]]
 
 
 def journal_bytes(disk: int) -> int:
-    """What is left of the folder's disk for the journal."""
-    return disk - disk // RESERVED
+    """The bytes of the folder's disk limit that are left for the journal."""
+    return disk - disk // RESERVED_DIVISOR
 
 
-def _row(place: Place) -> list:
+def _endpoint_row(place: Place) -> list:
     return [place.ident, place.address, place.kind, place.zone, place.ready, place.agreed]
 
 
 def encode_destination(destination: int, places: Iterable[Place]) -> bytes:
-    """One destination of the file's table."""
-    rows = json.dumps([_row(place) for place in places], separators=(",", ":"))
+    """One entry of the file's table of destinations."""
+    rows = json.dumps([_endpoint_row(place) for place in places], separators=(",", ":"))
     return b'"%d":%s' % (destination, rows.encode())
 
 
-def encode(fleet: str, at: Moment, destinations: Iterable[bytes]) -> bytes:
-    """A whole file."""
-    told = {"fleet": fleet, "at": at.wall, "monotonic": at.monotonic, "boot": at.boot}
-    head = json.dumps(told, separators=(",", ":"))
-    body = head[:-1].encode() + b',"destinations":{' + b",".join(destinations) + b"}}"
-    return b"%s %08x %d\n%s" % (MARK, zlib.crc32(body), len(body), body)
+def encode(fleet: str, at: Timestamp, destinations: Iterable[bytes]) -> bytes:
+    """The complete file."""
+    header = {"fleet": fleet, "at": at.wall, "monotonic": at.monotonic, "boot": at.boot}
+    encoded_header = json.dumps(header, separators=(",", ":"))
+    body = encoded_header[:-1].encode() + b',"destinations":{' + b",".join(destinations) + b"}}"
+    return b"%s %08x %d\n%s" % (FORMAT_MARK, zlib.crc32(body), len(body), body)
 
 
 def decode(data: bytes) -> Snapshot:
-    """Raises DamagedError where the file is not whole."""
-    head, _, body = data.partition(b"\n")
-    if head != b"%s %08x %d" % (MARK, zlib.crc32(body), len(body)):
-        raise DamagedError("it is cut short, damaged or of another form")
+    """Raises DamagedError if the file is damaged, incomplete or of another format."""
+    first_line, _, body = data.partition(b"\n")
+    if first_line != b"%s %08x %d" % (FORMAT_MARK, zlib.crc32(body), len(body)):
+        raise DamagedError("truncated, damaged or of another format")
     try:
-        told = json.loads(body)
+        contents = json.loads(body)
         places = {
-            int(destination): [_place(int(destination), row) for row in rows]
-            for destination, rows in told["destinations"].items()
+            int(destination): [_place_from_row(int(destination), row) for row in rows]
+            for destination, rows in contents["destinations"].items()
         }
-        # a file of an earlier version tells the wall time alone
-        at = Moment(float(told["at"]), float(told.get("monotonic", 0.0)), str(told.get("boot", "")))
-        return Snapshot(str(told["fleet"]), at, places)
+        # files of earlier versions hold the wall time only
+        at = Timestamp(
+            float(contents["at"]), float(contents.get("monotonic", 0.0)), str(contents.get("boot", ""))
+        )
+        return Snapshot(str(contents["fleet"]), at, places)
     except (ValueError, KeyError, TypeError, AttributeError) as fault:
-        raise DamagedError(f"it cannot be read: {fault!r}") from None
+        raise DamagedError(f"cannot be decoded: {fault!r}") from None
 
 
-def _place(destination: int, row: list) -> Place:
+def _place_from_row(destination: int, row: list) -> Place:
     ident, address, kind, zone, ready, agreed = row
     return Place(str(ident), str(address), destination, str(kind), str(zone), bool(ready), float(agreed))
 
 
 class KnownList:
-    """Reads the file at a start and keeps it up to date from then on.
+    """Reads the file at the start and keeps it up to date afterwards.
 
-    `max_age` is how old a list may be at a start; `known` tells the subscribed destinations with their
-    endpoints.
+    `max_age` (ms) is how old a list may be at the start; `known` returns the subscribed destinations with
+    their endpoints.
     """
 
     def __init__(self, loop, folder: str, fleet: str, max_age: float, disk: int):
@@ -122,86 +123,88 @@
         self.limit(disk)
         self._changed = False
         self.boot = patiently(loop.system, loop.system.boot)
-        self._confirmed_at = self._written_at = None  # Moments; the second one as it stands in the file
-        self._refused = self._cut = False
+        self._confirmed_at = self._written_at = None  # Timestamps; _written_at is the one in the file
+        self._write_error_logged = self._truncation_logged = False
 
     def limit(self, disk: int) -> None:
-        """So many bytes may the folder hold."""
-        self.most = min(MOST_BYTES, disk // SHARE)
+        """Sets the number of bytes that the folder may hold."""
+        self.most = min(MAX_FILE_BYTES, disk // DISK_DIVISOR)
 
     def read(self) -> dict[int, list[Place]]:
-        """The list of the last process; empty where there is none that may be used."""
+        """The list of the last process; empty if there is none that may be used."""
         try:
             snapshot = decode(self.loop.system.read(self.path))
         except FileNotFoundError:
             return {}
         except (OSError, DamagedError) as fault:
-            self._pass_over(str(fault))
+            self._log_ignored(str(fault))
             return {}
         age = snapshot.at.age(self._now())
         if snapshot.fleet != self.fleet:
-            self._pass_over(f"it is of fleet {snapshot.fleet[:40]!r}")
-        elif abs(age) > self.max_age:  # far in the future: the wall clock cannot be relied on
-            self._pass_over(f"it is dated {age / 3_600_000.0:.1f} hours ago")
+            self._log_ignored(f"it belongs to fleet {snapshot.fleet[:40]!r}")
+        elif abs(age) > self.max_age:  # a date far in the future: the wall clock is not reliable
+            self._log_ignored(f"it is {age / 3_600_000.0:.1f} hours old")
         else:
             return snapshot.places
         return {}
 
-    def _pass_over(self, why: str) -> None:
+    def _log_ignored(self, reason: str) -> None:
         logger.warning(
-            "{path}, the list known at the last end, is passed over: {why}",
+            "stored list {path} is passed over: {why}",
             event="subscription.list-unread",
             path=self.path,
-            why=why,
+            why=reason,
         )
 
-    def _now(self) -> Moment:
+    def _now(self) -> Timestamp:
         system = self.loop.system
-        return Moment(system.wall(), self.loop.now(), self.boot)
+        return Timestamp(system.wall(), self.loop.now(), self.boot)
 
     def confirmed(self) -> None:
-        """A node has answered: the list holds as of now."""
+        """Records that a discovery node has answered: the list is valid as of now."""
         self._confirmed_at = self._now()
 
     def changed(self) -> None:
-        """The list is another one than before."""
+        """Records that the list has changed."""
         self._changed = True
 
     def due(self) -> bool:
-        """Whether the file is behind."""
+        """Whether the file has to be written again."""
         if self._confirmed_at is None:
             return False
-        aged = self._written_at is None or self._written_at.age(self._confirmed_at) >= REFRESH
-        return self._changed or aged
+        outdated = self._written_at is None or self._written_at.age(self._confirmed_at) >= REFRESH
+        return self._changed or outdated
 
     def keep(self):
-        """For ever: writes the file every few seconds where something changed."""
+        """A coroutine that writes the file every few seconds if it is due."""
         while True:
             yield Until(self.loop.now() + LOOK)
             if self.due():
                 yield from self.write()
 
     def write(self):
-        """The file anew, a part in each pass; a disk that refuses is tried again at the next look."""
-        at, self._changed = self._confirmed_at, False
-        parts, size = [], 0
+        """A coroutine that writes the file, encoding a part in each pass of the event loop. After an OSError
+        the file is due again.
+        """
+        confirmed_at, self._changed = self._confirmed_at, False
+        encoded_destinations, size = [], 0
         known: Mapping[int, list[Place]] = self.known()
         for number, (destination, places) in enumerate(known.items(), 1):
-            part = encode_destination(destination, places)
-            size += len(part) + 1
-            if size > self.most - 1024:  # the head and the names
+            encoded = encode_destination(destination, places)
+            size += len(encoded) + 1
+            if size > self.most - 1024:  # reserve for the header, with the names of fleet and boot
                 break
-            parts.append(part)
-            if number % CHUNK == 0:
+            encoded_destinations.append(encoded)
+            if number % DESTINATIONS_PER_PASS == 0:
                 yield Until(self.loop.now())
-        self._tell_of_cut(len(parts), len(known))
+        self._log_truncation(len(encoded_destinations), len(known))
         try:
-            self._replace(encode(self.fleet, at, parts))
+            self._replace(encode(self.fleet, confirmed_at, encoded_destinations))
         except OSError as fault:
             self._changed = True
-            self._tell_of_refusal(fault)
+            self._log_write_error(fault)
             return
-        self._written_at, self._refused = at, False
+        self._written_at, self._write_error_logged = confirmed_at, False
 
     def _replace(self, data: bytes) -> None:
         system, successor = self.loop.system, self.path + ".new"
@@ -212,23 +215,23 @@
             system.close(file)
         system.replace(successor, self.path)
 
-    def _tell_of_cut(self, kept: int, known: int) -> None:
-        if kept < known and not self._cut:
+    def _log_truncation(self, written: int, known: int) -> None:
+        if written < known and not self._truncation_logged:
             logger.warning(
-                "{path} has room for {kept} of {known} destinations: raise the disk's limit",
+                "{path} has room for {kept} of {known} destinations: raise the disk limit",
                 event="subscription.list-cut",
                 path=self.path,
-                kept=kept,
+                kept=written,
                 known=known,
             )
-        self._cut = kept < known
+        self._truncation_logged = written < known
 
-    def _tell_of_refusal(self, fault: OSError) -> None:
-        if not self._refused:
+    def _log_write_error(self, fault: OSError) -> None:
+        if not self._write_error_logged:
             logger.error(
-                "{path} cannot be written, it is tried again: {fault}",
+                "{path} cannot be written, retrying: {fault}",
                 event="subscription.list-refused",
                 path=self.path,
                 fault=fault,
             )
-        self._refused = True
+        self._write_error_logged = True
--- a/calicopin/store/measure.py
+++ b/calicopin/store/measure.py
@@ -79,8 +79,8 @@
 
 
 STORES = {
-    "journal": lambda folder, most: Journal(folder, most, 5e11, HERE, 60000.0, "b"),
-    "segments": lambda folder, most: Segments(folder, most, 5e11, HERE, 60000.0, "b"),
+    "journal": lambda folder, limit: Journal(folder, limit, 5e11, HERE, 60000.0, "b"),
+    "segments": lambda folder, limit: Segments(folder, limit, 5e11, HERE, 60000.0, "b"),
     "plain append": PlainAppend,
     "sqlite": Sqlite,
 }
--- a/calicopin/store/segments.py
+++ b/calicopin/store/segments.py
@@ -178,7 +178,7 @@
                 "a text may be lost, and live texts are treated as possibly executed",
             )
         if sealed is not None and not damaged and count != sealed + 1:
-            self._record_damage(number, 0, f"{count - 1} of {sealed} records found", "a text may be lost")
+            self._record_damage(number, 0, f"holds {count - 1} of {sealed} records", "a text may be lost")
 
     def _apply_in_segment(self, number, kind, payload):
         if kind == TAKEN:
