--- a/calicopin/handover/__init__.py
+++ b/calicopin/handover/__init__.py
@@ -1,1 +1,1 @@
-"""A new version under load: one process gives all it holds to the next, which goes on where it was."""
+"""Handover under load: a serving process passes its state and connections to the process that replaces it."""
--- a/calicopin/handover/giver.py
+++ b/calicopin/handover/giver.py
@@ -1,37 +1,38 @@
-"""The process that serves: hears the one that is to follow it, gives it all, and stands by until SIGTERM.
+"""The serving process's part of a handover: it accepts its successor, sends it all state and connections, and
+stands by until SIGTERM.
 
-Until `go` is out nothing here has changed and whatever fails leaves this process serving. From `go` on the
-other one decides, and this one does nothing but end what cannot change hands. If the other one dies before
-SIGTERM comes, this one begins anew from the folder, as after a crash.
+Until `go` is sent nothing has changed here, and after any failure this process goes on serving. From `go` on
+the successor decides, and this process only ends what cannot be handed over. If the successor dies before
+SIGTERM comes, this process restarts from the folder, as after a crash.
 """
 
 import base64
 
 from loguru import logger
 
-from calicopin.handover.meeting import HandoverError, Talk, ours
+from calicopin.handover.meeting import Channel, HandoverError, is_same_user
 from calicopin.handover.state import FORM, written
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
-PATIENCE = 2.0  # seconds: this process stands still meanwhile
-HELLO = 1000.0
-MOST_HELLO = 4096
-AT_ONCE = 24  # connections in one frame: so few more descriptors than one courier's are open at any moment
+ANSWER_TIMEOUT_S = 2.0  # this process serves nothing while it waits
+HELLO_TIMEOUT_MS = 1000.0
+MAX_HELLO_BYTES = 4096
+CONNECTIONS_PER_FRAME = 24  # limits the descriptors that both processes hold open in addition at any moment
 
 
-def coded(data):
-    """Bytes as they go into a frame: base64."""
+def encode_base64(data):
+    """Bytes as base64, the form in which frames carry them."""
     return base64.b64encode(bytes(data)).decode()
 
 
 class Giver:
-    """Gives away the courier whose parts it is handed.
+    """Hands over the courier that consists of the given parts.
 
-    `lock` is the folder's; `again` begins this process anew.
+    `lock` is the descriptor of the folder's lock; `restart` starts this process anew.
     """
 
-    def __init__(self, place, lock, again, loop, runtime, clients, discovery, renewal, stop):
-        self.lock, self.again = lock, again
+    def __init__(self, place, lock, restart, loop, runtime, clients, discovery, renewal, stop):
+        self.lock, self.restart = lock, restart
         self.loop, self.runtime, self.clients, self.discovery, self.renewal, self.stop = (
             loop,
             runtime,
@@ -41,10 +42,12 @@
             stop,
         )
         self.listener = place.listen()
-        self.task = loop.keep(self.host)
+        self.task = loop.keep(self.accept_successors)
 
-    def host(self):
-        """A coroutine that waits for new versions at the meeting place and begins the handover with each."""
+    def accept_successors(self):
+        """A coroutine that accepts successors on the handover socket and begins a handover with each that is
+        accepted.
+        """
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -52,46 +55,44 @@
                 yield Until(FOREVER, self.listener.fileno(), READ)
                 continue
             except OSError as fault:
-                logger.warning("accept of a new version failed: {fault}", event="accept.failed", fault=fault)
+                logger.warning("accepting a successor failed: {fault}", event="accept.failed", fault=fault)
                 yield Until(self.loop.now() + AGAIN)
                 continue
             sock.setblocking(False)
-            data, until = b"", self.loop.now() + HELLO
-            while b"\n" not in data and len(data) < MOST_HELLO:
-                if not (yield Until(until, sock.fileno(), READ)):
+            hello, deadline = b"", self.loop.now() + HELLO_TIMEOUT_MS
+            while b"\n" not in hello and len(hello) < MAX_HELLO_BYTES:
+                if not (yield Until(deadline, sock.fileno(), READ)):
                     break
                 try:
-                    more = sock.recv(MOST_HELLO)
+                    more = sock.recv(MAX_HELLO_BYTES)
                 except OSError:
                     break
                 if not more:
                     break
-                data += more
-            self.loop.close(sock) if not self.fit(sock, data) else self.loop.after.append(
-                lambda sock=sock: self.give(sock)
+                hello += more
+            self.loop.close(sock) if not self.accepts(sock, hello) else self.loop.after.append(
+                lambda sock=sock: self.hand_over(sock)
             )
 
-    def fit(self, sock, data):
-        """Whether all may be given to whoever said so."""
-        why = (
-            "another user's"
-            if not ours(sock)
-            else "it says nothing that can be read"
-            if data != b"calicopin %d\n" % FORM
+    def accepts(self, sock, hello):
+        """Whether the handover may be made to the process that sent this greeting; logs the reason if not."""
+        reason = (
+            "it runs as another user"
+            if not is_same_user(sock)
+            else "its greeting is not understood"
+            if hello != b"calicopin %d\n" % FORM
             else "a stop is under way"
             if self.stop.stopping
             else "the journal cannot be written"
             if self.runtime.stuck
             else None
         )
-        if why:
-            logger.warning("a new version is given nothing: {why}", event="handover.refused", why=why)
-        return not why
+        if reason:
+            logger.warning("handover to a successor refused: {why}", event="handover.refused", why=reason)
+        return not reason
 
-    def settle(self):
-        """Calls that have not begun come back, what is decided is in the journal, and answers are on their
-        way.
-        """
+    def finish_pending_work(self):
+        """Cancels calls that have not begun, journals what has been decided, and sends pending answers."""
         for _ in range(8):
             self.loop.step()
             for flight in [flight for flight in self.runtime.flights if not flight.far]:
@@ -100,80 +101,82 @@
             if self.runtime.stuck or not self.loop.ready:
                 break
 
-    def give(self, sock):
-        """The handover itself: where it fails before `go` this process serves on as it was, behind it this
-        process retires.
-        """
+    def hand_over(self, sock):
+        """Makes the handover. On failure before `go` this process goes on serving; after `go` it retires."""
         runtime, began = self.runtime, self.loop.now()
         self.loop.forget(sock)
-        calling, runtime.calling = runtime.calling, False
+        was_calling, runtime.calling = runtime.calling, False
         try:
-            talk = Talk(sock, PATIENCE)
-            self.settle()
+            channel = Channel(sock, ANSWER_TIMEOUT_S)
+            self.finish_pending_work()
             if runtime.stuck:
                 raise HandoverError("the journal cannot be written")
             flights = [flight for flight in runtime.flights if flight.call.open]
-            talk.say(self.told(flights))
-            if talk.hear()[0].get("ready") is not True:
-                raise HandoverError("it is not ready")
+            channel.send(self.snapshot(flights))
+            if channel.receive()[0].get("ready") is not True:
+                raise HandoverError("the successor is not ready")
             if self.stop.stopping or runtime.journal.buffer:
-                raise HandoverError("this process has gone on")
-            talk.say({"go": True, "fds": 1}, [self.lock])
-        except Exception as fault:  # whatever it is, this process serves on
+                raise HandoverError("a stop began or the journal has unwritten records")
+            channel.send({"go": True, "fds": 1}, [self.lock])
+        except Exception as fault:  # after any error this process goes on serving
             logger.warning(
-                "a new version takes nothing over, this one serves on: {fault!r}",
+                "handover refused, this process goes on serving: {fault!r}",
                 event="handover.refused",
                 fault=fault,
             )
-            runtime.calling = calling
+            runtime.calling = was_calling
             sock.close()
             return
-        held = len(runtime.facade.texts)
+        text_count = len(runtime.facade.texts)
         try:
-            self.part(talk, flights)
-        except Exception as fault:  # behind `go` nothing may bring this process to serve on
-            logger.error("the new version broke off: {fault}", event="handover.broken", fault=fault)
+            self.send_connections(channel, flights)
+        except Exception as fault:  # after `go` this process must not serve, whatever the error
+            logger.error(
+                "the successor broke off the handover: {fault}", event="handover.broken", fault=fault
+            )
         self.retire(sock)
         logger.info(
-            "handed over in {ms:.0f} ms: {texts} texts, {out} calls out",
+            "handed over in {ms:.0f} ms: {texts} texts, {out} calls in flight",
             event="handover.given",
             ms=self.loop.now() - began,
-            texts=held,
+            texts=text_count,
             out=len(flights),
         )
 
-    def told(self, flights):
-        """What the new version is told of decisions, calls out, the list and connections."""
+    def snapshot(self, flights):
+        """The state for the successor: decisions, calls in flight, the list, and figures of connections."""
         stop, calls = self.stop, [flight.call for flight in flights]
-        lines = self.runtime.lines
+        pool = self.runtime.lines
         return written(self.runtime.facade, calls) | dict(
             until=[flight.until for flight in flights],
             began=[flight.began for flight in flights],
             version=None if self.runtime.subscribed else getattr(self.discovery, "version", None),
             current=self.runtime.current,
             renewed=self.renewal.renewed,
-            trust=lines.trust,
-            fastest=[[*shelf, best] for shelf, best in lines.fastest.items()],
+            trust=pool.trust,
+            fastest=[[*key, elapsed] for key, elapsed in pool.fastest.items()],
             drained=stop.drain.began if stop.drain else None,
         )
 
-    def part(self, talk, flights):
-        """Connections, a few at a time; each is closed here as soon as it is on its way."""
+    def send_connections(self, channel, flights):
+        """Sends the connections, some in each frame, and closes each here once it is sent."""
         runtime, clients = self.runtime, self.clients
-        moved = []
+        connections = []
         for number, flight in enumerate(flights):
             flight.given = True
-            moved.append(("call", dict(call=number, heard=coded(flight.line.heard)), flight.line))
+            connections.append(
+                ("call", dict(call=number, heard=encode_base64(flight.line.heard)), flight.line)
+            )
             self.loop.cancel(flight.task)
-        for flight in list(runtime.flights):  # its texts have all ended, the rest of its answer is nobody's
+        for flight in list(runtime.flights):  # all its texts have ended, its answer is not needed
             self.loop.cancel(flight.task)
         for visit in list(clients.visits):
             if line := clients.give(visit):
-                moved.append(
+                connections.append(
                     (
                         "client",
                         dict(
-                            heard=coded(line.heard),
+                            heard=encode_base64(line.heard),
                             fresh=visit.fresh,
                             since=visit.since,
                             until=min(visit.until, 1e15),
@@ -181,27 +184,27 @@
                         line,
                     )
                 )
-        for shelf, kept in runtime.lines.idle.items():
-            moved += [("idle", dict(shelf=shelf, since=since), line) for line, since in kept]
+        for key, idle in runtime.lines.idle.items():
+            connections += [("idle", dict(shelf=key, since=since), line) for line, since in idle]
         runtime.lines.idle = {}
-        for at in range(0, len(moved), AT_ONCE):
-            some = moved[at : at + AT_ONCE]
-            talk.say(
-                {"connections": [dict(what, kind=kind) for kind, what, _ in some], "fds": len(some)},
-                [line.sock.fileno() for _, _, line in some],
+        for start in range(0, len(connections), CONNECTIONS_PER_FRAME):
+            batch = connections[start : start + CONNECTIONS_PER_FRAME]
+            channel.send(
+                {"connections": [dict(fields, kind=kind) for kind, fields, _ in batch], "fds": len(batch)},
+                [line.sock.fileno() for _, _, line in batch],
             )
-            for _, _, line in some:
+            for _, _, line in batch:
                 line.close()
-        talk.say({"end": True})
+        channel.send({"end": True})
 
     def retire(self, sock):
-        """From here on this process decides nothing."""
+        """Stops this process from deciding anything."""
         loop, runtime = self.loop, self.runtime
         loop.turn = lambda: FOREVER
         for task in (self.clients.accepting, self.task):
             loop.cancel(task)
-        for part in filter(None, (self.discovery, runtime.notices)):
-            part.retire()
+        for client in filter(None, (self.discovery, runtime.notices)):
+            client.retire()
         loop.close(self.listener)
         loop.system.close(self.lock)
         if runtime.journal.file is not None:
@@ -218,10 +221,10 @@
         self.stop.end_drain()
         self.clients.closing = self.clients.leaving = True
         sock.setblocking(False)
-        loop.keep(lambda: self.stand_by(sock))
+        loop.keep(lambda: self.watch_successor(sock))
 
-    def stand_by(self, sock):
-        """Until SIGTERM ends this process, or the other one dies."""
+    def watch_successor(self, sock):
+        """A coroutine that ends with SIGTERM, or restarts this process if the successor dies."""
         while True:
             yield Until(FOREVER, sock.fileno(), READ)
             try:
@@ -233,5 +236,5 @@
                 pass
             if self.stop.stopping:
                 return
-            logger.error("the new version is gone: this one begins again", event="handover.again")
-            self.again()
+            logger.error("the successor has died, this process restarts", event="handover.again")
+            self.restart()
--- a/calicopin/handover/meeting.py
+++ b/calicopin/handover/meeting.py
@@ -1,5 +1,5 @@
-"""Where the process that serves and the one that is to follow it meet: a Unix socket, frames of JSON,
-descriptors beside them.
+"""The channel of a handover between the serving process and its successor: a Unix socket that carries frames
+of JSON, and descriptors with them.
 """
 
 import json
@@ -8,121 +8,126 @@
 import struct
 import zlib
 
-HEAD = struct.Struct("<I")
-MOST_FRAME = 64 << 20
-MOST_FDS = 64  # with one frame
-CHUNK = 1 << 18
-CREDENTIALS = struct.Struct("3i")
+FRAME_HEADER = struct.Struct("<I")
+MAX_FRAME_BYTES = 64 << 20
+MAX_FRAME_DESCRIPTORS = 64  # in one frame
+RECEIVE_BYTES = 1 << 18
+PEER_CREDENTIALS = struct.Struct("3i")
 
 
 class HandoverError(ConnectionAbortedError):
-    """The other side is gone, silent for too long, or says what cannot be read."""
+    """The other process has gone, did not answer in time, or sent something that cannot be read."""
 
 
-def name(folder):
-    """The socket's name, of its own for each folder that lasts."""
+def socket_name(folder):
+    """The socket's name, different for each courier folder."""
     return f"calicopin-{zlib.crc32(os.path.abspath(folder).encode()):08x}"
 
 
 class Place:
-    """The meeting place of the courier whose texts lie in `folder`; `where` is a folder that both
-    processes see.
+    """The handover socket of the courier whose texts are stored in `folder`; `shared_folder` is a folder that
+    both processes can see.
     """
 
-    def __init__(self, where, folder):
-        self.where, self.name = where, name(folder)
+    def __init__(self, shared_folder, folder):
+        self.shared_folder, self.socket_name = shared_folder, socket_name(folder)
 
-    def _socket(self, act):
-        """A Unix socket with which `act(sock, path, parent)` was done, the folder being open as `parent`."""
-        parent = os.open(self.where, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    def _open_socket(self, action):
+        """A Unix socket after `action(sock, path, folder_descriptor)`, where the descriptor is that of the
+        shared folder.
+        """
+        folder_descriptor = os.open(self.shared_folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
             try:
-                act(
-                    sock, f"/proc/self/fd/{parent}/{self.name}", parent
-                )  # however long the folder's own path is
+                # short enough for a socket address, however long the folder's path is
+                action(sock, f"/proc/self/fd/{folder_descriptor}/{self.socket_name}", folder_descriptor)
             except OSError:
                 sock.close()
                 raise
             return sock
         finally:
-            os.close(parent)
+            os.close(folder_descriptor)
 
     def listen(self):
-        """A listening socket that does not block, in place of any that lies there."""
+        """A non-blocking listening socket, which replaces any socket file of the same name."""
 
-        def bind(sock, path, parent):
+        def bind(sock, path, folder_descriptor):
             try:
-                os.unlink(self.name, dir_fd=parent)
+                os.unlink(self.socket_name, dir_fd=folder_descriptor)
             except FileNotFoundError:
                 pass
             sock.bind(path)
             sock.listen(4)
             sock.setblocking(False)
 
-        return self._socket(bind)
+        return self._open_socket(bind)
 
-    def visit(self):
-        """A connection to whoever listens there; OSError where nobody does."""
-        return self._socket(lambda sock, path, parent: sock.connect(path))
+    def connect(self):
+        """A connection to the listening process; OSError if there is none."""
+        return self._open_socket(lambda sock, path, folder_descriptor: sock.connect(path))
 
 
-def ours(sock):
-    """Whether the other side runs under our own user: nobody else is given a thing."""
+def is_same_user(sock):
+    """Whether the peer process runs as the same user; a handover is made with no other."""
     return (
-        CREDENTIALS.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size))[1]
+        PEER_CREDENTIALS.unpack(
+            sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+        )[1]
         == os.getuid()
     )
 
 
-class Talk:
-    """Frames on one connection. `patience` (seconds) bounds each wait for the other side."""
+class Channel:
+    """Frames on one connection. `timeout` (seconds) bounds each wait for the other process."""
 
-    def __init__(self, sock, patience):
-        self.sock, self.data, self.fds = sock, bytearray(), []
-        sock.settimeout(patience)
+    def __init__(self, sock, timeout):
+        self.sock, self.buffer, self.descriptors = sock, bytearray(), []
+        sock.settimeout(timeout)
 
-    def say(self, what, fds=()):
-        """One frame, with descriptors that become the other side's."""
-        data = json.dumps(what).encode()
-        data = HEAD.pack(len(data)) + data
+    def send(self, message, descriptors=()):
+        """Sends one frame, with descriptors that the other process receives. Raises HandoverError."""
+        data = json.dumps(message).encode()
+        data = FRAME_HEADER.pack(len(data)) + data
         try:
-            done = socket.send_fds(self.sock, [data], list(fds)) if fds else 0
-            self.sock.sendall(memoryview(data)[done:])
+            sent = socket.send_fds(self.sock, [data], list(descriptors)) if descriptors else 0
+            self.sock.sendall(memoryview(data)[sent:])
         except OSError as fault:
-            raise HandoverError(f"it does not listen: {fault}") from None
+            raise HandoverError(f"sending to the other process failed: {fault}") from None
 
-    def hear(self):
-        """(what, descriptors) of the next frame; they are the caller's to close."""
+    def receive(self):
+        """(message, descriptors) of the next frame; the caller closes them. Raises HandoverError."""
         while True:
-            if len(self.data) >= HEAD.size:
-                (size,) = HEAD.unpack_from(self.data)
-                if size > MOST_FRAME:
-                    raise HandoverError("a frame that is too long")
-                if len(self.data) >= HEAD.size + size:
+            if len(self.buffer) >= FRAME_HEADER.size:
+                (size,) = FRAME_HEADER.unpack_from(self.buffer)
+                if size > MAX_FRAME_BYTES:
+                    raise HandoverError("frame is longer than 64 MiB")
+                if len(self.buffer) >= FRAME_HEADER.size + size:
                     break
             try:
-                data, fds, _, _ = socket.recv_fds(self.sock, CHUNK, MOST_FDS, socket.MSG_CMSG_CLOEXEC)
+                data, descriptors, _, _ = socket.recv_fds(
+                    self.sock, RECEIVE_BYTES, MAX_FRAME_DESCRIPTORS, socket.MSG_CMSG_CLOEXEC
+                )
             except OSError as fault:
-                raise HandoverError(f"it does not answer: {fault}") from None
+                raise HandoverError(f"no answer from the other process: {fault}") from None
             if not data:
-                raise HandoverError("it is gone")
-            self.data += data
-            self.fds += fds
+                raise HandoverError("the other process closed the connection")
+            self.buffer += data
+            self.descriptors += descriptors
         try:
-            what = json.loads(bytes(self.data[HEAD.size : HEAD.size + size]))
-            count = int(what.get("fds", 0))
+            message = json.loads(bytes(self.buffer[FRAME_HEADER.size : FRAME_HEADER.size + size]))
+            count = int(message.get("fds", 0))
         except (ValueError, AttributeError, TypeError, RecursionError) as fault:
-            raise HandoverError(f"a frame that cannot be read: {fault}") from None
-        del self.data[: HEAD.size + size]
-        fds, self.fds = self.fds[:count], self.fds[count:]
-        if len(fds) < count:
-            raise HandoverError("a frame without its descriptors")
-        return what, fds
+            raise HandoverError(f"frame cannot be decoded: {fault}") from None
+        del self.buffer[: FRAME_HEADER.size + size]
+        descriptors, self.descriptors = self.descriptors[:count], self.descriptors[count:]
+        if len(descriptors) < count:
+            raise HandoverError("frame without its descriptors")
+        return message, descriptors
 
     def close(self):
-        """Closes the connection, and descriptors that came and were not taken."""
-        for fd in self.fds:
+        """Closes the connection, and received descriptors that were not handed to a caller."""
+        for fd in self.descriptors:
             os.close(fd)
-        self.fds = []
+        self.descriptors = []
         self.sock.close()
--- a/calicopin/handover/taker.py
+++ b/calicopin/handover/taker.py
@@ -1,5 +1,5 @@
-"""The process that is to follow another: waits for the folder, takes over all that the other one holds,
-and only then serves.
+"""The successor's part of a handover: it waits for the folder, takes over all that the serving process holds,
+and then serves.
 """
 
 import base64
@@ -9,124 +9,132 @@
 import h11
 from loguru import logger
 
-from calicopin.handover.meeting import HandoverError, Talk
+from calicopin.handover.meeting import Channel, HandoverError
 from calicopin.handover.state import FORM, read
 from calicopin.wire.clients import Visit
 from calicopin.wire.endpoints import Flight
 from calicopin.wire.http import Line
 
-PATIENCE = 3.0  # seconds: the other one stands still for less
-STEP = 0.05
-TELL = 5.0  # between two lines while it waits
+ANSWER_TIMEOUT_S = 3.0  # longer than the other process's own time-out
+POLL_INTERVAL_S = 0.05
+LOG_INTERVAL_S = 5.0  # between two log lines while waiting
 
 
 class StoppedError(Exception):
-    """A signal came before there was anything to stop."""
+    """A stop signal came before this process had taken anything over."""
 
 
 class Taker:
-    """`told` is what the other process said; nothing of it counts before `take`."""
+    """Receives a handover. `told` is the state sent by the other process; nothing of it takes effect before
+    `take`.
+    """
 
-    def __init__(self, talk, told):
-        self.talk, self.told = talk, told
+    def __init__(self, channel, told):
+        self.channel, self.told = channel, told
 
     @property
     def flying(self):
-        """Ids of texts whose calls are out."""
+        """Ids of texts whose calls are in flight."""
         return {ident for call in self.told["calls"] for ident in call["open"]}
 
     def read(self, facade, journal, now):
-        """The decisions as they were, and the texts that wait for a notice only."""
+        """Restores the decisions into `facade`; returns the texts that only wait for a notice."""
         live = [text for text in journal.texts.values() if text.verdict is None]
         self.calls = read(facade, self.told, live, now)
         return [text for text in journal.texts.values() if text.verdict is not None]
 
     def take(self, loop, runtime, clients):
-        """From here on this process decides.
+        """Completes the handover: from here on this process decides.
 
-        Returns the folder's lock. HandoverError where it does not come to that.
+        Returns the descriptor of the folder's lock. Raises HandoverError if the handover fails before that.
         """
-        self.talk.say({"ready": True})
-        go, fds = self.talk.hear()
+        self.channel.send({"ready": True})
+        go, fds = self.channel.receive()
         if go.get("go") is not True or len(fds) != 1:
-            raise HandoverError("it was not told to go on")
-        lock, kinds = fds[0], {"call": self.call, "client": self.client, "idle": self.idle}
+            raise HandoverError("the other process did not send `go`")
+        lock, kinds = (
+            fds[0],
+            {"call": self.resume_call, "client": self.adopt_client, "idle": self.adopt_idle_connection},
+        )
         self.flights = dict(enumerate(self.calls))
         try:
             while True:
-                what, fds = self.talk.hear()
-                if what.get("end"):
+                message, fds = self.channel.receive()
+                if message.get("end"):
                     break
-                for one, fd in zip(what["connections"], fds, strict=False):
-                    kinds[one["kind"]](loop, runtime, clients, one, socket.socket(fileno=fd))
-        except HandoverError as fault:  # it died on the way: what did not come is broken, as after a crash
-            logger.warning("the old process broke off: {fault}", event="handover.broken", fault=fault)
+                for connection, fd in zip(message["connections"], fds, strict=False):
+                    kinds[connection["kind"]](loop, runtime, clients, connection, socket.socket(fileno=fd))
+        except HandoverError as fault:  # what did not arrive counts as broken, as after a crash
+            logger.warning(
+                "the other process broke off the handover: {fault}", event="handover.broken", fault=fault
+            )
         for call in self.flights.values():
             runtime.lost(call)
         return lock
 
-    def call(self, loop, runtime, clients, one, sock):
-        """Goes on with a call that was out: its connection and what was heard on it."""
-        number, call = one["call"], self.flights.pop(one["call"])
-        # an older version lets each text of a shared call end for itself: here the first of them ends it
-        ends = [at for at, shared, _ in self.told.get("due", ()) if shared == number]
-        flight = Flight(call, min([self.told["until"][number], *ends]))
+    def resume_call(self, loop, runtime, clients, connection, sock):
+        """Resumes a call in flight with its connection and the bytes received on it."""
+        number, call = connection["call"], self.flights.pop(connection["call"])
+        # older versions end the texts of a shared call one by one; here the first of them ends the call
+        deadlines = [end_at for end_at, shared_call, _ in self.told.get("due", ()) if shared_call == number]
+        flight = Flight(call, min([self.told["until"][number], *deadlines]))
         flight.began = self.told["began"][number]
-        runtime.go_on(flight, Line(loop, sock, h11.CLIENT), base64.b64decode(one["heard"]))
+        runtime.go_on(flight, Line(loop, sock, h11.CLIENT), base64.b64decode(connection["heard"]))
 
-    def client(self, loop, runtime, clients, one, sock):
-        """Serves a client's connection on, with what was heard of its request."""
+    def adopt_client(self, loop, runtime, clients, connection, sock):
+        """Goes on serving a client's connection with the bytes received of its request."""
         line = Line(loop, sock, h11.SERVER)
-        if one["heard"]:
-            line.hear(base64.b64decode(one["heard"]))
+        if connection["heard"]:
+            line.hear(base64.b64decode(connection["heard"]))
         visit = Visit(line, loop.now())
-        visit.fresh, visit.since, visit.until = one["fresh"], one["since"], one["until"]
+        visit.fresh, visit.since, visit.until = connection["fresh"], connection["since"], connection["until"]
         clients.receive(visit)
 
-    def idle(self, loop, runtime, clients, one, sock):
-        """Keeps an idle connection to an endpoint, idle since when it was."""
-        runtime.lines.idle.setdefault(tuple(one["shelf"]), []).append(
-            (Line(loop, sock, h11.CLIENT), one["since"])
+    def adopt_idle_connection(self, loop, runtime, clients, connection, sock):
+        """Adds an idle connection to an endpoint to the pool, with the time since which it has been idle."""
+        runtime.lines.idle.setdefault(tuple(connection["shelf"]), []).append(
+            (Line(loop, sock, h11.CLIENT), connection["since"])
         )
 
 
 def begin(place, folder, signal_reader, system):
-    """(the folder's lock, None) where no other process holds it, else (None, a Taker) once the other has
-    told all. StoppedError where a signal comes first.
+    """(the folder's lock, None) once no other process holds it, or (None, a Taker) once the process that
+    holds it has sent its state. Raises StoppedError if a stop signal comes first.
     """
-    said = -TELL
+    logged_at = -LOG_INTERVAL_S
     while True:
         try:
             return system.lock(folder), None
         except BlockingIOError:
             pass
-        taker = ask(place)
+        taker = request_handover(place)
         if taker:
             return None, taker
-        if time.monotonic() >= said + TELL:
+        if time.monotonic() >= logged_at + LOG_INTERVAL_S:
             logger.info(
-                "another process holds the folder and gives nothing yet; waiting", event="handover.waiting"
+                "another process holds the folder and offers no handover yet; waiting",
+                event="handover.waiting",
             )
-            said = time.monotonic()
+            logged_at = time.monotonic()
         if signal_reader.heard().intersection(signal_reader.STOPS):
             raise StoppedError
-        time.sleep(STEP)
+        time.sleep(POLL_INTERVAL_S)
 
 
-def ask(place):
-    """A Taker, or None where nobody is there, or gives nothing now."""
+def request_handover(place):
+    """A Taker with the state of the serving process; None if there is none or it refuses now."""
     try:
-        sock = place.visit()
+        sock = place.connect()
     except OSError:
         return None
-    talk = Talk(sock, PATIENCE)
+    channel = Channel(sock, ANSWER_TIMEOUT_S)
     try:
         sock.sendall(b"calicopin %d\n" % FORM)
-        told, _ = talk.hear()
+        told, _ = channel.receive()
         if told.get("form") != FORM:
-            raise HandoverError(f"it speaks form {told.get('form')!r}, this process {FORM}")
-        return Taker(talk, told)
+            raise HandoverError(f"the other process uses form {told.get('form')!r}, this one {FORM}")
+        return Taker(channel, told)
     except OSError as fault:
-        logger.warning("no handover: {fault}", event="handover.refused", fault=fault)
-        talk.close()
+        logger.warning("handover not possible: {fault}", event="handover.refused", fault=fault)
+        channel.close()
         return None
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,6 +1,6 @@
-"""A new version under load: two real processes on loopback, one listening socket, one folder.
+"""Handovers under load: two real processes on loopback with one listening socket and one folder.
 
-The whole sweep of kills: CALICOPIN_SWEEP=all python -m pytest -q tests/test_handover.py
+A sample of the kill steps is run; with CALICOPIN_SWEEP=all in the environment, all of them.
 """
 
 import http.client
@@ -18,7 +18,7 @@
 from helper import free_address, terms
 
 from calicopin.handover import state
-from calicopin.handover.meeting import HandoverError, Talk
+from calicopin.handover.meeting import Channel, HandoverError
 
 ROOT = os.path.join(os.path.dirname(__file__), "..")
 DRIVER = """
@@ -28,19 +28,19 @@
 signal_reader = SignalReader()
 from calicopin import send_guard
 from calicopin.handover import giver, meeting, state, taker
-if sys.argv[1] == "forgets-waits":
-    whole = state.written
-    def forgetful(facade, calls):
-        told = whole(facade, calls)
+if sys.argv[1] == "loses-waits":
+    original = state.written
+    def without_waits(facade, calls):
+        told = original(facade, calls)
         for route in (route for dest in told["dests"] for route in dest.get("routes", ())):
             for name in ("pause", "tokens", "mode"):
                 del route[name]
         return told
-    giver.written = forgetful
-if sys.argv[1] == "forgets-drains":
-    send_guard.SendGuard.may_call = lambda *_: True  # it would hold the call back
-    real = giver.Giver.told
-    giver.Giver.told = lambda self, flights: real(self, flights) | dict(drained=None)
+    giver.written = without_waits
+if sys.argv[1] == "loses-drains":
+    send_guard.SendGuard.may_call = lambda *_: True  # else the guard would delay the call
+    real = giver.Giver.snapshot
+    giver.Giver.snapshot = lambda self, flights: real(self, flights) | dict(drained=None)
 role, at = sys.argv[1], int(sys.argv[2])
 count, armed = 0, False
 def step():
@@ -60,8 +60,8 @@
     watch(system.System, name, True)
 for name in ("send_fds", "recv_fds"):
     watch(socket, name)
-for name in ("say", "hear"):
-    watch(meeting.Talk, name)
+for name in ("send", "receive"):
+    watch(meeting.Channel, name)
 def arm(owner, name):
     real = getattr(owner, name)
     def call(*args):
@@ -75,9 +75,9 @@
         armed = False
         real(*args)
     return begin
-giver.Giver.__init__ = disarm()  # the handover is over: a kill from here on is any crash
-# a broken variant counts its steps and is never killed
-arm(giver.Giver, "fit") if role == "old" else arm(taker, "ask")
+giver.Giver.__init__ = disarm()  # the handover is complete: a kill from here on is an ordinary crash
+# for the other roles the steps are counted and no kill follows
+arm(giver.Giver, "accepts") if role == "old" else arm(taker, "request_handover")
 system.System.again = staticmethod(lambda: os.execv(sys.executable, [sys.executable, "-m", "calicopin"]))
 sys.argv = sys.argv[:1]
 from calicopin.lifecycle.start import main
@@ -85,8 +85,8 @@
 """
 
 
-def serve(listener, talk):
-    """A stand-in: each connection on a thread of its own."""
+def serve(listener, handler):
+    """A test server that handles each connection in a thread of its own."""
 
     def accept():
         while True:
@@ -94,13 +94,13 @@
                 sock, _ = listener.accept()
             except OSError:
                 return
-            threading.Thread(target=talk, args=(sock,), daemon=True).start()
+            threading.Thread(target=handler, args=(sock,), daemon=True).start()
 
     threading.Thread(target=accept, daemon=True).start()
 
 
 def requests(sock):
-    """(head, body) of one request after the other, until the other side is gone."""
+    """(target, headers, body) of each request until the other side closes."""
     data = b""
     while True:
         while b"\r\n\r\n" not in data:
@@ -118,21 +118,23 @@
 
 
 class Platform:
-    """The platform, one endpoint of destination 7, and couriers that are started on one inherited socket."""
+    """The platform, one endpoint of destination 7, and couriers started with one inherited socket."""
 
     def __init__(self, folder):
         self.folder, self.release, self.wait = folder, threading.Event(), 0
-        self.door, self.agent = (socket.create_server(("127.0.0.1", 0)) for _ in range(2))
+        self.endpoint_listener, self.agent_listener = (
+            socket.create_server(("127.0.0.1", 0)) for _ in range(2)
+        )
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=128)
-        self.heard, self.delivered, self.notices, self.watches, self.connections = [], [], [], 0, 0
+        self.heard, self.delivered, self.notices, self.list_requests, self.connections = [], [], [], 0, 0
         self.address = "127.0.0.1:%d" % self.listener.getsockname()[1]
-        serve(self.door, self.endpoint)
-        serve(self.agent, self.talk)
-        self.running = []
+        serve(self.endpoint_listener, self.serve_endpoint)
+        serve(self.agent_listener, self.serve_agent)
+        self.processes = []
         for name in ("state", "tmp"):
             (folder / name).mkdir()
 
-    def endpoint(self, sock):
+    def serve_endpoint(self, sock):
         self.connections += 1
         try:
             for _, fields, _ in requests(sock):
@@ -148,17 +150,17 @@
         except OSError:
             pass
 
-    def talk(self, sock):
+    def serve_agent(self, sock):
         try:
             for target, _, body in requests(sock):
                 if target == "/v1/outcomes":
                     self.notices += [json.loads(line) for line in body.splitlines()]
                     sock.sendall(b"HTTP/1.1 204 X\r\n\r\n")
                 else:
-                    self.watches += 1
+                    self.list_requests += 1
                     answer = json.dumps(self.known()).encode()
                     if "index" in target:
-                        time.sleep(2.0)  # nothing new
+                        time.sleep(2.0)  # no change of the list
                         answer = b'{"version": 4, "full": false, "servers": []}'
                     sock.sendall(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
         except OSError:
@@ -171,7 +173,7 @@
             "servers": [
                 {
                     "id": "s-1",
-                    "addr": "127.0.0.1:%d" % self.door.getsockname()[1],
+                    "addr": "127.0.0.1:%d" % self.endpoint_listener.getsockname()[1],
                     "zone": "a",
                     "kind": "one",
                     "cell": 7,
@@ -181,11 +183,11 @@
         }
 
     def start(self, role=None, at=0, **env):
-        """A process, with its admin address; killed at a step of the handover where `role` is told."""
+        """Starts a courier with an admin address; with a `role` it is killed at step `at` of the handover."""
         config = dict(
             name="n0",
             listen=self.address,
-            discovery="127.0.0.1:%d" % self.agent.getsockname()[1],
+            discovery="127.0.0.1:%d" % self.agent_listener.getsockname()[1],
             seed="5",
             known=self.known(),
             limits=dict(sockets=256, disk_mb=3),
@@ -203,9 +205,11 @@
             "PYTHONPATH": ROOT,
             **env,
         }
-        order = [sys.executable, "-c", DRIVER, role, str(at)] if role else [sys.executable, "-m", "calicopin"]
+        command = (
+            [sys.executable, "-c", DRIVER, role, str(at)] if role else [sys.executable, "-m", "calicopin"]
+        )
         process = subprocess.Popen(
-            order,
+            command,
             env=env,
             cwd=self.folder,
             pass_fds=(self.listener.fileno(),),
@@ -214,45 +218,45 @@
         )
         process.admin, process.lines = admin, []
         threading.Thread(target=lambda: process.lines.extend(process.stderr), daemon=True).start()
-        self.running.append(process)
+        self.processes.append(process)
         return process
 
     def call(self, process, path, method="GET"):
-        """The answer's body, or None where there is no yes."""
-        line = http.client.HTTPConnection(process.admin, timeout=3.0)
+        """The body of the admin answer, or None if the answer is not 200."""
+        connection = http.client.HTTPConnection(process.admin, timeout=3.0)
         try:
-            line.request(method, f"/admin/{path}")
-            answer = line.getresponse()
+            connection.request(method, f"/admin/{path}")
+            answer = connection.getresponse()
             return json.loads(answer.read()) if answer.status == 200 else None
         except (OSError, http.client.HTTPException):
             return None
         finally:
-            line.close()
+            connection.close()
 
     def up(self, *processes, patience=15.0):
-        """The first of them that says yes."""
+        """The first of the processes that reports health."""
         until = time.monotonic() + patience
         while time.monotonic() < until:
             for process in processes:
                 if process.poll() is None and self.call(process, "health"):
                     return process
             time.sleep(0.02)
-        raise AssertionError(f"nobody came up: {[process.lines[-5:] for process in processes]}")
+        raise AssertionError(f"no process became healthy: {[process.lines[-5:] for process in processes]}")
 
     def client(self):
         return http.client.HTTPConnection(self.address, timeout=5.0)
 
-    def post(self, ident, product="notice", line=None):
-        line = line or self.client()
-        line.request(
+    def post(self, ident, product="notice", connection=None):
+        connection = connection or self.client()
+        connection.request(
             "POST", f"/{product}", b"xyz", {"X-Request-ID": ident, "X-Timeout": "15", "X-Envelope": "dest=7"}
         )
-        answer = line.getresponse()
+        answer = connection.getresponse()
         answer.read()
         return answer.status
 
-    def answered(self):
-        """A client whose connection ends unanswered comes again."""
+    def accepts_messages(self):
+        """Whether a message is accepted or already known; a client whose connection breaks tries again."""
         try:
             return self.post("after") in (202, 409)
         except (OSError, http.client.HTTPException):
@@ -265,16 +269,16 @@
                 self.heard,
                 self.delivered,
                 self.notices,
-                [process.lines[-8:] for process in self.running],
+                [process.lines[-8:] for process in self.processes],
             )
             time.sleep(0.02)
 
     def end(self):
-        for process in self.running:
+        for process in self.processes:
             if process.poll() is None:
                 process.kill()
             process.wait()
-        for sock in (self.door, self.agent, self.listener):
+        for sock in (self.endpoint_listener, self.agent_listener, self.listener):
             sock.close()
 
 
@@ -286,15 +290,15 @@
     stand.end()
 
 
-def test_a_new_version_goes_on_where_the_old_one_was(platform):
+def test_a_new_version_continues_calls_and_connections(platform):
     old = platform.up(platform.start())
-    idle, half = platform.client(), socket.create_connection(platform.listener.getsockname())
+    idle, partial = platform.client(), socket.create_connection(platform.listener.getsockname())
     assert (
-        platform.post("first", line=idle) == 202
+        platform.post("first", connection=idle) == 202
         and platform.post("hold-1", "once") == 202
         and platform.post("hold-once", "once") == 202
     )
-    half.sendall(
+    partial.sendall(
         b"POST /notice HTTP/1.1\r\nHost: x\r\nX-Request-ID: half\r\nX-Timeout: 15\r\nX-Envelope: dest=7\r\n"
         b"Content-Length: 4\r\n\r\nab"
     )
@@ -310,26 +314,26 @@
     new = platform.up(platform.start())
     old.send_signal(signal.SIGTERM)
     assert old.wait(5.0) == 0 and new.poll() is None
-    half.sendall(b"cd")
-    assert b" 202 " in half.recv(4096).split(b"\r\n")[0] + b" "
+    partial.sendall(b"cd")
+    assert b" 202 " in partial.recv(4096).split(b"\r\n")[0] + b" "
     platform.until(lambda: "half" in platform.delivered)
-    assert platform.connections == connections, "idle connections to the endpoint came over too"
-    assert platform.post("second", line=idle) == 202 and platform.post("hold-1") == 409, (
-        "a connection and an id that both know"
+    assert platform.connections == connections, "idle connections to the endpoint were handed over"
+    assert platform.post("second", connection=idle) == 202 and platform.post("hold-1") == 409, (
+        "the connection and the id were handed over"
     )
     platform.release.set()
     platform.until(
         lambda: sorted(platform.delivered) == ["first", "half", "hold-1", "hold-once", "second", "warm"]
     )
     platform.until(lambda: platform.call(new, "stats")["outstanding"] == 0)
-    told = platform.call(new, "stats")
-    assert told["succeeded"] == {"notice": 2, "order": 0, "once": 2} and told["forwards"] == 2, (
-        "it counts from 0"
+    stats = platform.call(new, "stats")
+    assert stats["succeeded"] == {"notice": 2, "order": 0, "once": 2} and stats["forwards"] == 2, (
+        "counts start from 0"
     )
     assert not platform.notices and sorted(platform.heard) == sorted(platform.delivered)
 
 
-def test_a_told_wait_binds_across_both_and_a_second_upgrade_works(platform):
+def test_a_wait_applies_across_two_upgrades(platform):
     old = platform.up(platform.start())
     assert platform.post("wait-1") == 202
     platform.until(lambda: platform.heard == ["wait-1"])
@@ -345,19 +349,19 @@
     assert platform.call(new, "stats")["outstanding"] == 3
 
 
-def test_broken_variants_are_seen(platform):
-    """What the tests around this hold would not hold if waits or drains stayed behind. The second call has to
-    come within the wait: one that came behind it showed nothing.
+def test_versions_that_lose_waits_or_drains_are_detected(platform):
+    """Checks that the other tests here would fail if waits or drains were not handed over. The second call
+    has to come within the wait, as one after it would show nothing.
     """
-    old = platform.up(platform.start("forgets-waits"))
+    old = platform.up(platform.start("loses-waits"))
     assert platform.post("wait-1") == 202
     platform.until(lambda: platform.heard == ["wait-1"])
-    told = time.monotonic()
-    platform.up(platform.start("forgets-drains"))
+    wait_told_at = time.monotonic()
+    platform.up(platform.start("loses-drains"))
     old.send_signal(signal.SIGTERM)
     platform.until(lambda: len(platform.heard) > 1)
-    assert time.monotonic() < told + 4.9, "the wait was told as 5 s"
-    drained = platform.running[-1]
+    assert time.monotonic() < wait_told_at + 4.9, "the endpoint asked for a wait of 5 s"
+    drained = platform.processes[-1]
     platform.call(drained, "quiesce", "POST")
     new = platform.up(platform.start())
     assert platform.call(new, "resume", "POST")["quiesced"] is False and not any(
@@ -365,11 +369,11 @@
     )
 
 
-def test_a_drain_goes_on_in_the_new_version(platform):
+def test_a_drain_continues_in_the_new_version(platform):
     old = platform.up(platform.start())
     platform.call(old, "quiesce", "POST")
     new = platform.up(platform.start())
-    assert platform.call(old, "resume", "POST") is None, "the old one says no: all was handed over"
+    assert platform.call(old, "resume", "POST") is None, "the old process has retired"
     assert (
         platform.call(new, "quiesce", "POST")["quiesced"] is True
         and platform.call(new, "resume", "POST")["quiesced"] is False
@@ -377,24 +381,28 @@
     assert platform.post("a") == 202
 
 
-@pytest.mark.parametrize("said", [b"calicopin 999\n", b"x" * 5000, b"", b"calicopin 1\n"])
-def test_a_new_version_that_cannot_go_on_changes_nothing_for_the_old(platform, said):
-    """Another form, nonsense, silence, or all of it heard and then death before it was ready."""
+@pytest.mark.parametrize("hello", [b"calicopin 999\n", b"x" * 5000, b"", b"calicopin 1\n"])
+def test_a_failed_handover_changes_nothing_for_the_old_version(platform, hello):
+    """The successor sends another form, garbage or nothing, or dies after receiving the state and before it
+    is ready.
+    """
     from calicopin.handover.meeting import Place
 
     old = platform.up(platform.start())
     assert platform.post("hold-1") == 202
     platform.until(lambda: "hold-1" in platform.heard)  # a call that has not begun is not handed over
-    sock = Place(str(platform.folder / "tmp"), str(platform.folder / "state")).visit()
-    sock.sendall(said)
-    if said.endswith(b" 1\n"):
-        told, _ = Talk(sock, 5.0).hear()
-        assert told["form"] == state.FORM and [call["texts"] for call in told["calls"]] == [["hold-1"]]
+    sock = Place(str(platform.folder / "tmp"), str(platform.folder / "state")).connect()
+    sock.sendall(hello)
+    if hello.endswith(b" 1\n"):
+        state_sent, _ = Channel(sock, 5.0).receive()
+        assert state_sent["form"] == state.FORM and [call["texts"] for call in state_sent["calls"]] == [
+            ["hold-1"]
+        ]
     sock.close()
     platform.until(
         lambda: (
-            any("refused" in line or "given nothing" in line or "takes nothing" in line for line in old.lines)
-            or not said
+            any("handover to a successor refused" in line or "handover refused" in line for line in old.lines)
+            or not hello
         )
     )
     assert platform.post("b") == 202
@@ -402,7 +410,7 @@
     platform.until(lambda: sorted(platform.delivered) == ["b", "hold-1"])
 
 
-def test_a_new_version_killed_after_the_handover_leaves_the_old_one_to_begin_again(platform):
+def test_the_old_version_restarts_if_the_new_one_is_killed(platform):
     old = platform.up(platform.start())
     platform.release.clear()
     assert platform.post("hold-once", "once") == 202 and platform.post("hold-1") == 202
@@ -423,25 +431,27 @@
     assert platform.heard.count("hold-once") == 1
 
 
-@pytest.mark.parametrize("word", ["x", "99", "0", str(2**70)])
-def test_a_descriptor_that_is_none_is_a_plain_refusal(platform, word):
-    process = platform.start(LB_PASSED_SOCKET=word)
+@pytest.mark.parametrize("passed_socket", ["x", "99", "0", str(2**70)])
+def test_an_invalid_descriptor_gives_a_plain_error(platform, passed_socket):
+    process = platform.start(LB_PASSED_SOCKET=passed_socket)
     assert process.wait(15.0) == 2
     platform.until(lambda: process.lines)
     assert "LB_PASSED_SOCKET" in process.lines[0] and not any("Traceback" in line for line in process.lines)
 
 
-def sweep(role, steps, sample):
+def sweep(role, steps, sample_size):
     if os.environ.get("CALICOPIN_SWEEP") == "all":
         return range(1, steps)
-    return sorted(random.Random(f"{role} 7").sample(range(1, steps), sample))
+    return sorted(random.Random(f"{role} 7").sample(range(1, steps), sample_size))
 
 
 @pytest.mark.parametrize(
     "role, at", [("old", at) for at in sweep("old", 44, 4)] + [("new", at) for at in sweep("new", 40, 4)]
 )
-def test_a_kill_at_any_step_of_a_handover_loses_and_doubles_nothing(platform, role, at):
-    """Whichever lives serves on: what was accepted ends once, and what must not run twice does not."""
+def test_a_kill_at_any_step_of_a_handover_loses_and_duplicates_nothing(platform, role, at):
+    """The surviving process goes on serving: each accepted text ends once, and once-only texts are not
+    submitted twice.
+    """
     old = platform.up(platform.start(*(("old", at) if role == "old" else ())))
     accepted = [
         ident
@@ -455,41 +465,41 @@
     ]
     platform.until(lambda: len(platform.heard) == 4)
     new = platform.start(*(("new", at) if role == "new" else ()))
-    victim, other = (old, new) if role == "old" else (new, old)
+    victim, survivor = (old, new) if role == "old" else (new, old)
     platform.until(lambda: victim.poll() is not None or platform.call(new, "health"))
     platform.until(lambda: not (role == "old" and victim.poll() is None) or platform.call(new, "health"))
     if victim.poll() is None:  # the handover has fewer steps
         old.send_signal(signal.SIGTERM)
-        other = new
-    platform.up(other)
-    platform.until(platform.answered)
+        survivor = new
+    platform.up(survivor)
+    platform.until(platform.accepts_messages)
     platform.release.set()
-    platform.until(lambda: (platform.call(other, "stats") or {}).get("outstanding") == 0)
-    dead = [notice["ref"] for notice in platform.notices]
-    ended = set(platform.delivered) | set(dead)
+    platform.until(lambda: (platform.call(survivor, "stats") or {}).get("outstanding") == 0)
+    dead_refs = [notice["ref"] for notice in platform.notices]
+    ended = set(platform.delivered) | set(dead_refs)
     assert (
         ended == {*accepted, "after"}
         and platform.heard.count("hold-once") == platform.heard.count("late-once") == 1
     )
-    assert len(dead) == len(set(dead)) and "after" in platform.delivered
+    assert len(dead_refs) == len(set(dead_refs)) and "after" in platform.delivered
 
 
-def test_a_frame_that_cannot_be_read_is_a_value_and_its_descriptors_are_closed():
-    a, b = socket.socketpair()
-    talk = Talk(b, 1.0)
-    for said in (b"\xff\xff\xff\xff", b"\x03\x00\x00\x00{{{"):
-        a.sendall(said)
+def test_an_unreadable_frame_raises_and_its_descriptors_are_closed():
+    sender, receiver = socket.socketpair()
+    channel = Channel(receiver, 1.0)
+    for data in (b"\xff\xff\xff\xff", b"\x03\x00\x00\x00{{{"):
+        sender.sendall(data)
         with pytest.raises(HandoverError):
-            talk.hear()
-        talk.data.clear()
-    Talk(a, 1.0).say({"fds": 2}, [a.fileno()])
+            channel.receive()
+        channel.buffer.clear()
+    Channel(sender, 1.0).send({"fds": 2}, [sender.fileno()])
     with pytest.raises(HandoverError):
-        talk.hear()
-    talk.close()
-    a.close()
+        channel.receive()
+    channel.close()
+    sender.close()
 
 
-def test_an_operators_file_without_an_agent_hands_over_too(platform):
+def test_a_handover_with_an_operators_file_and_no_agent(platform):
     (platform.folder / "c.toml").write_text(f"""
 version = 1
 [courier]
@@ -507,7 +517,7 @@
 destination = 7
 kind = "any"
 [[partner.endpoint]]
-address = "127.0.0.1:{platform.door.getsockname()[1]}"
+address = "127.0.0.1:{platform.endpoint_listener.getsockname()[1]}"
 """)
     config = dict(LB_CONFIG=str(platform.folder / "c.toml"))
     old = platform.up(platform.start(**config))
