--- a/calicopin/handover/giver.py
+++ b/calicopin/handover/giver.py
@@ -64,12 +64,12 @@
                 if not (yield Until(deadline, sock.fileno(), READ)):
                     break
                 try:
-                    more = sock.recv(MAX_HELLO_BYTES)
+                    received = sock.recv(MAX_HELLO_BYTES)
                 except OSError:
                     break
-                if not more:
+                if not received:
                     break
-                hello += more
+                hello += received
             self.loop.close(sock) if not self.accepts(sock, hello) else self.loop.after.append(
                 lambda sock=sock: self.hand_over(sock)
             )
@@ -171,30 +171,30 @@
         for flight in list(runtime.flights):  # all its texts have ended, its answer is not needed
             self.loop.cancel(flight.task)
         for visit in list(clients.visits):
-            if line := clients.give(visit):
+            if connection := clients.give(visit):
                 connections.append(
                     (
                         "client",
                         dict(
-                            heard=encode_base64(line.heard),
+                            heard=encode_base64(connection.heard),
                             fresh=visit.fresh,
                             since=visit.since,
                             until=min(visit.until, 1e15),
                         ),
-                        line,
+                        connection,
                     )
                 )
         for key, idle in runtime.lines.idle.items():
-            connections += [("idle", dict(shelf=key, since=since), line) for line, since in idle]
+            connections += [("idle", dict(shelf=key, since=since), connection) for connection, since in idle]
         runtime.lines.idle = {}
         for start in range(0, len(connections), CONNECTIONS_PER_FRAME):
             batch = connections[start : start + CONNECTIONS_PER_FRAME]
             channel.send(
                 {"connections": [dict(fields, kind=kind) for kind, fields, _ in batch], "fds": len(batch)},
-                [line.sock.fileno() for _, _, line in batch],
+                [connection.sock.fileno() for _, _, connection in batch],
             )
-            for _, _, line in batch:
-                line.close()
+            for _, _, connection in batch:
+                connection.close()
         channel.send({"end": True})
 
     def retire(self, sock):
--- a/calicopin/state/connections.py
+++ b/calicopin/state/connections.py
@@ -5,12 +5,12 @@
 from loguru import logger
 
 
-def close(line, endpoint, why):
+def close(connection, endpoint, why):
     """Closes a connection to an endpoint and logs the reason at DEBUG."""
     logger.debug(
         "connection to {endpoint} closed: {why}", event="connection.closed", endpoint=endpoint, why=why
     )
-    line.close()
+    connection.close()
 
 
 class Budget:
@@ -19,14 +19,10 @@
     OWN = 16  # loop, listener, standard streams, journal and its successor, discovery, notices, signals
 
     def __init__(self, descriptors, slots, admin=False):
-        self.admin = (
-            max(4, min(16, descriptors // 16)) if admin else 0
-        )  # connections to the admin address, and its listener
+        self.admin = max(4, min(16, descriptors // 16)) if admin else 0  # connections to the admin server
         available = max(2, descriptors - self.OWN - self.admin)
         self.calls = min(slots, max(1, available // 2))  # calls in flight at once
-        self.endpoints = min(
-            max(1, available // 2), 4 * self.calls
-        )  # connections to endpoints, including idle ones
+        self.endpoints = min(max(1, available // 2), 4 * self.calls)  # connections to endpoints, idle or not
         self.clients = max(1, min(descriptors // 3, available - self.endpoints))  # clients with a request
         self.porch = available - self.endpoints - self.clients  # further clients: new, idle or being closed
 
@@ -37,16 +33,16 @@
     Idle connections are kept by endpoint and address, since an address may pass to another endpoint. The one
     used last is taken first; the oldest is closed where room is needed.
 
-    `trust` is how long (ms) a connection may have been idle and still be used: an endpoint may close an idle
-    connection while the next call is being written to it, and then it is unknown whether that call was
-    executed. A new connection costs less than that.
+    `trust` is how long (ms) a connection may have been idle and still be used, at most `idle_limit`: an
+    endpoint may close an idle connection while the next call is being written to it, and then it is unknown
+    whether that call was executed. A new connection costs less than that.
     """
 
     MIN_TRUST_MS = 10.0  # `trust` is not reduced below this
 
     def __init__(self, most, idle_limit):
         self.most, self.idle_limit, self.idle, self.used, self.listed = most, idle_limit, {}, 0, None
-        self.trust, self.fastest, self.unlisted = idle_limit, {}, set()
+        self.trust, self.fastest, self.answered_unlisted = idle_limit, {}, set()
 
     @property
     def count(self):
@@ -58,20 +54,20 @@
         """The key under which idle connections to an endpoint are kept."""
         return place.ident, place.address
 
-    def good(self, line, since, now):
+    def good(self, connection, since, now):
         """Whether a connection that is idle since `since` (ms) may still be used."""
-        return now - since < self.trust and line.quiet()
+        return now - since < self.trust and connection.quiet()
 
     def take(self, place, now):
         """A usable idle connection; None where the caller has to open a new one, for which room was made."""
         self.used += 1
         idle = self.idle.get(self.key(place), [])
         while idle:
-            line, since = idle.pop()
-            if self.good(line, since, now):
-                line.stood = now - since
-                return line
-            close(line, place.ident, "idle for too long, or closed by the endpoint")
+            connection, since = idle.pop()
+            if self.good(connection, since, now):
+                connection.stood = now - since
+                return connection
+            close(connection, place.ident, "idle for too long, or closed by the endpoint")
         if self.used + self.count > self.most:
             oldest_by_key = [(idle[0][1], key) for key, idle in self.idle.items() if idle]
             if oldest_by_key:
@@ -79,24 +75,24 @@
                 close(self.idle[oldest].pop(0)[0], oldest[0], "its place is needed for another endpoint")
         return None
 
-    def keep(self, place, line, now):
+    def keep(self, place, connection, now):
         """Returns a connection to the pool for later calls; closes it if its endpoint is no longer listed."""
         if self.listed is not None and self.key(place) not in self.listed:
-            self.drop(line, place.ident, "its endpoint is no longer listed")
+            self.drop(connection, place.ident, "its endpoint is no longer listed")
             return
         self.used -= 1
-        self.idle.setdefault(self.key(place), []).append((line, now))
+        self.idle.setdefault(self.key(place), []).append((connection, now))
 
-    def drop(self, line, endpoint="", why="it cannot be used for another call"):
+    def drop(self, connection, endpoint="", why="it cannot be used for another call"):
         """Removes a connection that was taken and is not to be used again, or that could not be opened."""
         self.used -= 1
-        if line:
-            close(line, endpoint, why)
+        if connection:
+            close(connection, endpoint, why)
 
     def give_back(self, place):
         """Closes the idle connections to an endpoint that may accept only a few from all its callers."""
-        for line, _ in self.idle.pop(self.key(place), ()):
-            close(line, place.ident, "the endpoint may accept only a few connections")
+        for connection, _ in self.idle.pop(self.key(place), ()):
+            close(connection, place.ident, "the endpoint may accept only a few connections")
 
     def answered(self, place, elapsed):
         """Records how long an answer took (`elapsed`, ms). The fastest answer of an endpoint tells which
@@ -105,26 +101,26 @@
         key = self.key(place)
         self.fastest[key] = min(elapsed, self.fastest.get(key, elapsed))
         if self.listed is not None and key not in self.listed:
-            self.unlisted.add(key)
+            self.answered_unlisted.add(key)
 
-    def gone(self, place, line, elapsed):
+    def gone(self, place, connection, elapsed):
         """Whether a connection that broke under a call had been closed before it: it had been idle, and broke
         after a shorter time (`elapsed`, ms) than the endpoint's fastest answer. `trust` is then reduced to
         half the time that it had been idle.
         """
-        closed_while_idle = line.stood is not None and elapsed < self.fastest.get(self.key(place), 0.0)
+        closed_while_idle = connection.stood is not None and elapsed < self.fastest.get(self.key(place), 0.0)
         if closed_while_idle:
-            self.trust = max(self.MIN_TRUST_MS, min(self.trust, line.stood / 2.0))
+            self.trust = max(self.MIN_TRUST_MS, min(self.trust, connection.stood / 2.0))
         return closed_while_idle
 
     def list(self, places):
         """Sets the endpoints that are listed now and closes idle connections to all others."""
         self.listed = {self.key(place) for place in places}
         for key in [key for key in self.idle if key not in self.listed]:
-            for line, _ in self.idle.pop(key):
-                close(line, key[0], "its endpoint is no longer listed")
+            for connection, _ in self.idle.pop(key):
+                close(connection, key[0], "its endpoint is no longer listed")
         self.fastest = {key: elapsed for key, elapsed in self.fastest.items() if key in self.listed}
-        self.unlisted.clear()
+        self.answered_unlisted.clear()
 
     def change(self, removed, added):
         """Updates the listed endpoints at a cost that depends on the number of changes only. `removed` holds
@@ -133,11 +129,11 @@
         removed = {self.key(place) for place in removed}
         self.listed.difference_update(removed)
         self.listed.update(self.key(place) for place in added)
-        for key in (removed | self.unlisted) - self.listed:
+        for key in (removed | self.answered_unlisted) - self.listed:
             self.fastest.pop(key, None)
-            for line, _ in self.idle.pop(key, ()):
-                close(line, key[0], "its endpoint is no longer listed")
-        self.unlisted.clear()
+            for connection, _ in self.idle.pop(key, ()):
+                close(connection, key[0], "its endpoint is no longer listed")
+        self.answered_unlisted.clear()
 
     def sweep(self, now):
         """Closes connections that were idle for too long or that the endpoint closed, and doubles `trust` up
@@ -146,11 +142,11 @@
         self.trust = min(self.idle_limit, 2.0 * self.trust)
         for key, idle in list(self.idle.items()):
             usable = []
-            for line, since in idle:
-                if self.good(line, since, now):
-                    usable.append((line, since))
+            for connection, since in idle:
+                if self.good(connection, since, now):
+                    usable.append((connection, since))
                 else:
-                    close(line, key[0], "idle for too long, or closed by the endpoint")
+                    close(connection, key[0], "idle for too long, or closed by the endpoint")
             if usable:
                 self.idle[key] = usable
             else:
--- a/calicopin/state/journal.py
+++ b/calicopin/state/journal.py
@@ -21,7 +21,15 @@
 RECORD_HEADER = struct.Struct("<II")
 BLOCK_BYTES = 512
 UNLIMITED = float("inf")
-TAKEN, SENT, RETURNED, GIVEN_UP, ENDED, ENDED_IDS, HEADER = b"T", b"S", b"B", b"G", b"O", b"P", b"H"
+ACCEPTED, SENT, SUBMIT_ENDED, GIVEN_UP, ENDED, ENDED_IDS, FILE_HEADER = (
+    b"T",
+    b"S",
+    b"B",
+    b"G",
+    b"O",
+    b"P",
+    b"H",
+)
 ROUTE = b"R"  # state of a route with an outage, or with a wait that an endpoint asked for
 ENDED_ID_BYTES = 48  # approximate size of the id of an ended text
 
@@ -103,13 +111,11 @@
         self.in_flight_elsewhere = in_flight_elsewhere or ()
         self.past = EndedIds(max_validity)
         self.limit(most)
-        self.texts, self.costs, self.live, self.buffer, self.file = {}, {}, 0, bytearray(), None
+        self.texts, self.costs, self.live_bytes, self.buffer, self.file = {}, {}, 0, bytearray(), None
         self.routes = KeptRoutes()
         self.interrupted = {}  # destinations to which the last process had a call in flight, in order
         self.continuous = True  # whether the records read are of this boot's monotonic clock
-        self.torn = (
-            False  # whether the file may hold records that were not flushed, which a restart would read
-        )
+        self.torn = False  # whether a restart may read records that were not flushed
         self.size, self.again = 0, self._replay()
         if in_flight_elsewhere is None:
             self.begin()
@@ -118,9 +124,7 @@
         """Opens the journal for writing."""
         try:
             self._rewrite()
-        except (
-            OSError
-        ) as fault:  # retried by the next flush; ending the courier here would not let it wait for its disk
+        except OSError as fault:  # not fatal: the courier waits for its disk, and the next flush tries again
             logger.error(
                 "the journal cannot be opened for writing, the next flush tries again: {fault}",
                 event="journal.refused",
@@ -129,8 +133,8 @@
 
     def limit(self, most):
         """Sets the number of bytes that the folder may hold; the old file and its successor both fit."""
-        self.most, self.most_live, self.most_past = most // 2, most * 2 // 5, most // 20
-        self.most_routes = most // 10
+        self.most, self.max_live_bytes, self.max_ended_id_bytes = most // 2, most * 2 // 5, most // 20
+        self.max_route_bytes = most // 10
 
     # Reading.
 
@@ -160,7 +164,7 @@
                 text.came_back(True)
 
     def _apply_record(self, kind, payload):
-        if kind == TAKEN:
+        if kind == ACCEPTED:
             head, _, body = payload.partition(b"\n")
             values = json.loads(head)
             left_ms = values.pop("left", None)  # not in journals of older versions
@@ -178,7 +182,7 @@
                 self.past.add(ident, min(at - self.read_offset, self.now()))
             return
         ident, *values = json.loads(payload)
-        if kind == HEADER:  # (boot, offset)
+        if kind == FILE_HEADER:  # (boot, offset)
             self.continuous = bool(ident) and ident == self.boot
             self.read_offset = values[0] if self.continuous else self.offset
             return
@@ -194,7 +198,7 @@
             return
         if kind == SENT:
             text.went_out(values[0] - self.read_offset, values[1])
-        elif kind == RETURNED:
+        elif kind == SUBMIT_ENDED:
             text.came_back(values[0])
         elif kind == GIVEN_UP:
             text.verdict, text.wait = values
@@ -229,14 +233,14 @@
             wait=text.wait,
             left=round(text.until - self.now(), 1),  # ms
         )
-        return self._record(TAKEN, json.dumps(head).encode() + b"\n" + text.body)
+        return self._record(ACCEPTED, json.dumps(head).encode() + b"\n" + text.body)
 
     def _buffer_record(self, kind, *values):
         self.buffer += self._record(kind, json.dumps(values).encode())
 
     def room(self, size):
         """Whether there is room for a text with a body of `size` bytes."""
-        return self.live + self.routes.size + size + 2 * BLOCK_BYTES <= self.most_live
+        return self.live_bytes + self.routes.size + size + 2 * BLOCK_BYTES <= self.max_live_bytes
 
     def _route_record(self, key, state):
         dest, endpoint = key
@@ -250,7 +254,7 @@
         record = self._route_record((dest, endpoint), state)
         self.routes.put((dest, endpoint), state, state and len(record))
         self.buffer += record
-        for key in self.routes.over(self.most_routes):
+        for key in self.routes.over(self.max_route_bytes):
             logger.error(
                 "no room in the journal for the route state of destination {destination}, dropped",
                 event="journal.route-dropped",
@@ -259,16 +263,15 @@
             self.buffer += self._route_record(key, None)
 
     def _all_route_records(self):
-        """The records of all routes that are kept."""
         return b"".join(self._route_record(key, state) for key, state in self.routes.states.items())
 
     def _add_cost(self, text, record):
         self.costs[text.ident] = len(record)
-        self.live += len(record)
+        self.live_bytes += len(record)
         return record
 
     def taken(self, text):
-        """Records that a text was accepted; durable once `flush` has returned."""
+        """Records that a text was accepted; it survives a crash of the process once `flush` has returned."""
         self.texts[text.ident] = text
         self.buffer += self._add_cost(text, self._text_record(text))
 
@@ -282,7 +285,7 @@
         it.
         """
         text.came_back(may_have_run)
-        self._buffer_record(RETURNED, text.ident, may_have_run)
+        self._buffer_record(SUBMIT_ENDED, text.ident, may_have_run)
 
     def given_up(self, text, verdict, wait):
         """Records that the text ends undelivered: `verdict` is the notice that is owed now, `wait` the ms
@@ -294,7 +297,7 @@
     def over(self, text, now):
         """Records that nothing is owed for the text any more; its id is kept from `now` (ms) on."""
         if self.texts.pop(text.ident, None) is not None:
-            self.live -= self.costs.pop(text.ident)
+            self.live_bytes -= self.costs.pop(text.ident)
             self._buffer_record(ENDED, text.ident, now + self.offset)
             self.past.add(text.ident, now)
 
@@ -333,13 +336,14 @@
 
     def _rewrite(self):
         """Writes the live records to a new file, which then replaces the old one."""
-        self.costs, self.live = {}, 0
+        self.costs, self.live_bytes = {}, 0
         ended_ids = [
-            (ident, at + self.offset) for ident, at in self.past.newest(self.most_past // ENDED_ID_BYTES)
+            (ident, at + self.offset)
+            for ident, at in self.past.newest(self.max_ended_id_bytes // ENDED_ID_BYTES)
         ]
         data = b"".join(
             [
-                self._record(HEADER, json.dumps([self.boot, self.offset]).encode()),
+                self._record(FILE_HEADER, json.dumps([self.boot, self.offset]).encode()),
                 self._record(ENDED_IDS, json.dumps(ended_ids).encode()),
                 self._all_route_records(),
                 *(self._add_cost(text, self._text_record(text)) for text in self.texts.values()),
--- a/calicopin/store/__main__.py
+++ b/calicopin/store/__main__.py
@@ -116,7 +116,7 @@
     possibly_executed = sum(text.ran_at is not None for text in store.texts.values())
     awaiting_notice = sum(text.verdict is not None for text in store.texts.values())
     click.echo(
-        f"{len(store.texts)} texts live ({store.live} bytes): {possibly_executed} may have run, "
+        f"{len(store.texts)} texts live ({store.live_bytes} bytes): {possibly_executed} may have run, "
         f"{awaiting_notice} wait for their notice to be heard"
     )
 
--- a/calicopin/store/segments.py
+++ b/calicopin/store/segments.py
@@ -22,12 +22,12 @@
 
 from calicopin.fault_log import FaultLog
 from calicopin.state.journal import (
+    ACCEPTED,
     ENDED,
     ENDED_ID_BYTES,
     ENDED_IDS,
-    HEADER,
+    FILE_HEADER,
     RECORD_HEADER,
-    TAKEN,
     Journal,
     allocated_bytes,
     write_all,
@@ -125,8 +125,8 @@
         Live records may fill half of it, since a second copy of all of them is never written.
         """
         self.segment_bytes = plan.segment_size(most)
-        self.most, self.most_live, self.most_past = most - most // 20, most // 2, most // 20
-        self.most_routes = self.segment_bytes // 2  # all of them are written at the head of each segment
+        self.most, self.max_live_bytes, self.max_ended_id_bytes = most - most // 20, most // 2, most // 20
+        self.max_route_bytes = self.segment_bytes // 2  # all of them are written at the head of each segment
 
     def _path(self, number):
         return os.path.join(self.folder, f"{number:08d}{SEGMENT_SUFFIX}")
@@ -165,7 +165,7 @@
             count += 1
             if kind == SEALED:
                 sealed = json.loads(payload)[0]
-            elif kind == HEADER and json.loads(payload)[2:3] != [FORMAT_VERSION]:
+            elif kind == FILE_HEADER and json.loads(payload)[2:3] != [FORMAT_VERSION]:
                 raise NewerFormatError(f"{self._path(number)} has a format that this version does not read")
             else:
                 self._apply_in_segment(number, kind, payload)
@@ -181,7 +181,7 @@
             self._record_damage(number, 0, f"holds {count - 1} of {sealed} records", "a text may be lost")
 
     def _apply_in_segment(self, number, kind, payload):
-        if kind == TAKEN:
+        if kind == ACCEPTED:
             ident = json.loads(payload.partition(b"\n")[0])["ident"]
             self._apply_record(kind, payload)
             self._assign(ident, number, len(payload) + 1 + RECORD_HEADER.size)
@@ -226,12 +226,12 @@
         self.segment_of[ident] = number
         self.live_sizes.setdefault(number, {})[ident] = size
         self.costs[ident] = size
-        self.live += size
+        self.live_bytes += size
 
     def _unassign(self, ident):
         number = self.segment_of.pop(ident, None)
         if number is not None:
-            self.live -= self.live_sizes[number].pop(ident)
+            self.live_bytes -= self.live_sizes[number].pop(ident)
             self.costs.pop(ident, None)
 
     # Writing.
@@ -281,11 +281,11 @@
             self._sync_folder(file)
         if self.file is not None:
             self.system.close(self.file)
-        self.file, self.size, self.number, self.records = file, 0, number, 0
+        self.file, self.size, self.number, self.record_count = file, 0, number, 0
         self.sizes.setdefault(number, 0)
         self.live_sizes.setdefault(number, {})
         self.ended_by_segment.setdefault(number, deque()).extend(self.ended_by_segment.pop(0, ()))
-        header = self._record(HEADER, json.dumps([self.boot, self.offset, FORMAT_VERSION]).encode())
+        header = self._record(FILE_HEADER, json.dumps([self.boot, self.offset, FORMAT_VERSION]).encode())
         moved = [self.texts[ident] for ident in self.to_rewrite if ident in self.texts]
         self.segment_head = (
             header
@@ -323,7 +323,7 @@
         position = 0
         while position < len(data):
             position += RECORD_HEADER.size + RECORD_HEADER.unpack_from(data, position)[0]
-            self.records += 1
+            self.record_count += 1
         self.size += len(data)
         self.written_bytes += len(data)
         self.sizes[self.number] = self.size
@@ -371,7 +371,7 @@
 
     def _seal(self):
         # not through the buffer: after a failure the buffer may go to another segment
-        self._append(self._record(SEALED, json.dumps([self.records]).encode()))
+        self._append(self._record(SEALED, json.dumps([self.record_count]).encode()))
         self.system.close(self.file)
         self.file = None  # nothing is written after the seal, even if the next segment cannot be created
         self._rewrite()
@@ -387,9 +387,8 @@
         Goes on with the next segments as long as the disk limit would otherwise be exceeded.
         """
         cleaned = False
-        for oldest in sorted(self.sizes)[
-            :-1
-        ]:  # the segments of this moment: those that this step creates are left for later steps
+        # segments that are created below are left for later steps
+        for oldest in sorted(self.sizes)[:-1]:
             live_sizes, total = self.live_sizes[oldest], self.total()
             remaining = sum(live_sizes.values()) + ENDED_ID_BYTES * len(self.ended_by_segment[oldest])
             urgent = total + self.segment_bytes + remaining > self.most
@@ -397,7 +396,7 @@
                 return
             budget = plan.bytes_to_move(
                 total,
-                self.live + min(self.most_past, ENDED_ID_BYTES * len(self.past.idents)),
+                self.live_bytes + min(self.max_ended_id_bytes, ENDED_ID_BYTES * len(self.past.idents)),
                 self.most,
                 self.segment_bytes,
                 written_bytes,
@@ -427,7 +426,7 @@
         """Writes the ended ids that may still be submitted again to the newest segment, before the segment
         with their end is removed; returns the size of the record in bytes.
         """
-        max_ids = self.most_past // ENDED_ID_BYTES
+        max_ids = self.max_ended_id_bytes // ENDED_ID_BYTES
         kept = [
             (ident, at + self.offset)
             for ident in dict.fromkeys(idents)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -130,7 +130,7 @@
             rng.choice([end, submit, partial(journal.back, one, True)])()
         journal.flush()
         # a rewrite adds a second file with the live records
-        peak = max(peak, disk_bytes(tmp_path) + allocated_bytes(journal.live))
+        peak = max(peak, disk_bytes(tmp_path) + allocated_bytes(journal.live_bytes))
     assert number > 100 and peak < limit and not journal.room(limit)
     for one in journal.texts.values():
         one.came_back(True) if one.out_at is not None else None
@@ -176,26 +176,26 @@
 
 
 def test_a_connection_is_reused_only_within_the_idle_limit():
-    pool, old, young = Lines(5, 1000.0), FakeConnection(), FakeConnection()
-    for at, line in ((0.0, old), (500.0, young)):
+    pool, old, recent = Lines(5, 1000.0), FakeConnection(), FakeConnection()
+    for at, connection in ((0.0, old), (500.0, recent)):
         pool.take(place("y"), at)
-        pool.keep(place("x"), line, at)
-    assert pool.take(place("x"), 1100.0) is young and pool.take(place("x"), 1100.0) is None and old.closed
+        pool.keep(place("x"), connection, at)
+    assert pool.take(place("x"), 1100.0) is recent and pool.take(place("x"), 1100.0) is None and old.closed
 
 
 def test_a_connection_closed_by_the_endpoint_is_not_used():
-    pool, line = Lines(5, 1000.0), FakeConnection()
-    pool.keep(place("x"), line, 0.0)
-    line.is_quiet = False
-    assert pool.take(place("x"), 1.0) is None and line.closed and pool.count == 0
+    pool, connection = Lines(5, 1000.0), FakeConnection()
+    pool.keep(place("x"), connection, 0.0)
+    connection.is_quiet = False
+    assert pool.take(place("x"), 1.0) is None and connection.closed and pool.count == 0
 
 
 def test_the_oldest_idle_connection_is_closed_to_make_room():
     pool, connections = Lines(3, 1000.0), [FakeConnection() for _ in range(3)]
-    for at, line in enumerate(connections):
+    for at, connection in enumerate(connections):
         assert pool.take(place("new"), float(at)) is None
-        pool.keep(place(str(at)), line, float(at))
-    assert pool.take(place("new"), 3.0) is None and [line.closed for line in connections] == [
+        pool.keep(place(str(at)), connection, float(at))
+    assert pool.take(place("new"), 3.0) is None and [connection.closed for connection in connections] == [
         True,
         False,
         False,
@@ -228,23 +228,23 @@
 
 
 def test_the_trusted_idle_time_falls_at_once_and_recovers_with_time():
-    pool, line = Lines(5, 8000.0), FakeConnection()
+    pool, connection = Lines(5, 8000.0), FakeConnection()
     pool.answered(place("s-1"), 40.0)
-    line.stood = 200.0
+    connection.stood = 200.0
     assert (
-        not pool.gone(place("s-1"), line, 41.0)
-        and not pool.gone(place("s-2"), line, 1.0)
+        not pool.gone(place("s-1"), connection, 41.0)
+        and not pool.gone(place("s-2"), connection, 1.0)
         and pool.trust == 8000.0
     )
-    assert pool.gone(place("s-1"), line, 1.0) and pool.trust == 100.0
+    assert pool.gone(place("s-1"), connection, 1.0) and pool.trust == 100.0
     pool.take(place("s-1"), 0.0)
-    pool.keep(place("s-1"), line, 0.0)
-    assert pool.take(place("s-1"), 101.0) is None and line.closed
+    pool.keep(place("s-1"), connection, 0.0)
+    assert pool.take(place("s-1"), 101.0) is None and connection.closed
     for _ in range(8):
         pool.sweep(0.0)
     assert pool.trust == 8000.0
-    line.stood = 0.0
-    assert pool.gone(place("s-1"), line, 1.0) and pool.trust == Lines.MIN_TRUST_MS
+    connection.stood = 0.0
+    assert pool.gone(place("s-1"), connection, 1.0) and pool.trust == Lines.MIN_TRUST_MS
     pool.list([place("s-2")])
     assert not pool.fastest
 
@@ -339,9 +339,9 @@
 
 def test_giving_back_closes_the_connections_of_that_endpoint_only():
     pool, closed_early, other = Lines(5, 1000.0), FakeConnection(), FakeConnection()
-    for name, line in (("a", closed_early), ("b", other)):
+    for name, connection in (("a", closed_early), ("b", other)):
         assert pool.take(place(name), 0.0) is None
-        pool.keep(place(name), line, 0.0)
+        pool.keep(place(name), connection, 0.0)
     pool.give_back(place("a"))
     pool.give_back(place("never called"))
     assert closed_early.closed and not other.closed and pool.count == 1
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -87,7 +87,8 @@
     reopened = open_store(tmp_path, 100_000)
     assert text_states(reopened) == before and peak <= 100_000 and len(reopened.sizes) > 2
     assert (
-        len(ended_ids & set(reopened.past.idents)) >= min(len(ended_ids), reopened.most_past // 48) * 0.9
+        len(ended_ids & set(reopened.past.idents))
+        >= min(len(ended_ids), reopened.max_ended_id_bytes // 48) * 0.9
         and not reopened.damage_count
     )
     assert store.moved_bytes < 3 * store.written_bytes
