--- a/calicopin/handover/taker.py
+++ b/calicopin/handover/taker.py
@@ -130,10 +130,10 @@
     channel = Channel(sock, ANSWER_TIMEOUT_S)
     try:
         sock.sendall(b"calicopin %d\n" % FORM)
-        told, _ = channel.receive()
-        if told.get("form") != FORM:
-            raise HandoverError(f"the other process uses form {told.get('form')!r}, this one {FORM}")
-        return Taker(channel, told)
+        sent_state, _ = channel.receive()
+        if sent_state.get("form") != FORM:
+            raise HandoverError(f"the other process uses form {sent_state.get('form')!r}, this one {FORM}")
+        return Taker(channel, sent_state)
     except OSError as fault:
         logger.warning("handover not possible: {fault}", event="handover.refused", fault=fault)
         channel.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -31,11 +31,11 @@
 if sys.argv[1] == "loses-waits":
     original = state.written
     def without_waits(facade, calls):
-        told = original(facade, calls)
-        for route in (route for dest in told["dests"] for route in dest.get("routes", ())):
+        snapshot = original(facade, calls)
+        for route in (route for dest in snapshot["dests"] for route in dest.get("routes", ())):
             for name in ("pause", "tokens", "mode"):
                 del route[name]
-        return told
+        return snapshot
     giver.written = without_waits
 if sys.argv[1] == "loses-drains":
     send_guard.SendGuard.may_call = lambda *_: True  # else the guard would delay the call
@@ -284,10 +284,10 @@
 
 @pytest.fixture
 def platform(tmp_path):
-    stand = Platform(tmp_path)
-    yield stand
-    stand.release.set()
-    stand.end()
+    test_platform = Platform(tmp_path)
+    yield test_platform
+    test_platform.release.set()
+    test_platform.end()
 
 
 def test_a_new_version_continues_calls_and_connections(platform):
