--- a/calicopin/state/journal.py
+++ b/calicopin/state/journal.py
@@ -214,9 +214,7 @@
         return RECORD_HEADER.pack(len(record), zlib.crc32(record)) + record
 
     def _text_record(self, text):
-        wall_times = [
-            time if time is None else time + self.offset for time in (text.until, text.ran_at, text.out_at)
-        ]
+        wall_times = [at if at is None else at + self.offset for at in (text.until, text.ran_at, text.out_at)]
         head = dict(
             ident=text.ident,
             dest=text.dest,
