--- a/calicopin/configuration/convert.py
+++ b/calicopin/configuration/convert.py
@@ -9,8 +9,8 @@
 
 from calicopin.configuration import partners as lists
 from calicopin.configuration import units
+from calicopin.configuration.model import CourierPart, KindPart, ProductPart, ReturnPart, Sheet
 from calicopin.configuration.read import Read, merge
-from calicopin.configuration.sheet import CourierPart, KindPart, ProductPart, ReturnPart, Sheet
 from calicopin.deployment_settings import gives_back
 
 REPEATS = {"resendable": "read_like", "referenced": "idempotency_key", "once-only": "non_idempotent"}
--- a/calicopin/configuration/pages.py
+++ b/calicopin/configuration/pages.py
@@ -2,22 +2,22 @@
 
 import msgspec
 
-from calicopin.configuration import sheet
+from calicopin.configuration import model
 
 PARTS = (
-    ("", sheet.Sheet),
-    ("[courier]", sheet.CourierPart),
-    ("[returning]", sheet.ReturnPart),
-    ("[[product]]", sheet.ProductPart),
-    ("[[kind]]", sheet.KindPart),
-    ("[[partner]]", sheet.PartnerPart),
-    ("[[partner.endpoint]]", sheet.EndpointPart),
+    ("", model.Sheet),
+    ("[courier]", model.CourierPart),
+    ("[returning]", model.ReturnPart),
+    ("[[product]]", model.ProductPart),
+    ("[[kind]]", model.KindPart),
+    ("[[partner]]", model.PartnerPart),
+    ("[[partner.endpoint]]", model.EndpointPart),
 )
 
 
 def schema():
     """JSON Schema (2020-12) of the whole form."""
-    return msgspec.json.schema(sheet.Sheet) | {"$schema": "https://json-schema.org/draft/2020-12/schema"}
+    return msgspec.json.schema(model.Sheet) | {"$schema": "https://json-schema.org/draft/2020-12/schema"}
 
 
 def _kind(told):
--- a/calicopin/configuration/partners.py
+++ b/calicopin/configuration/partners.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from calicopin.configuration import units
+from calicopin.configuration.model import PartnerPart
 from calicopin.configuration.read import Fault, UnusableError, decode, types
-from calicopin.configuration.sheet import PartnerPart
 
 END = b"[end]"
 
--- a/calicopin/configuration/read.py
+++ b/calicopin/configuration/read.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from calicopin.configuration import sheet
-from calicopin.configuration.sheet import VERSION, Sheet
+from calicopin.configuration import model
+from calicopin.configuration.model import VERSION, Sheet
 from calicopin.system_errors import of_a_moment
 
 MOST = 4 << 20  # bytes of a file: 50 MB of anything is no configuration
@@ -202,12 +202,12 @@
     name: {part.name: part for part in msgspec.structs.fields(kind)}
     for name, kind in (
         ("", Sheet),
-        ("courier", sheet.CourierPart),
-        ("returning", sheet.ReturnPart),
-        ("product", sheet.ProductPart),
-        ("kind", sheet.KindPart),
-        ("partner", sheet.PartnerPart),
-        ("endpoint", sheet.EndpointPart),
+        ("courier", model.CourierPart),
+        ("returning", model.ReturnPart),
+        ("product", model.ProductPart),
+        ("kind", model.KindPart),
+        ("partner", model.PartnerPart),
+        ("endpoint", model.EndpointPart),
     )
 }
 
