--- a/calicopin/configuration/check.py
+++ b/calicopin/configuration/check.py
@@ -7,20 +7,21 @@
 import os
 import stat
 
-from calicopin.configuration import partners as lists
+from calicopin.configuration import partners as partner_list
 from calicopin.configuration import units
-from calicopin.configuration.read import Fault, UnreadableNowError, UnusableError
+from calicopin.configuration.read import Finding, TemporarilyUnreadableError, UnusableError
 from calicopin.state.connections import Budget
 
-LEAST_BODY, RECORD = 512, 400  # bytes of disk for a text, without its body: what the journal counts with
-TIMES = {
+# bytes that the journal counts on disk for a text: its body, and its records without the body
+MIN_BODY_BYTES, RECORD_BYTES = 512, 400
+DURATION_KEYS = {
     "courier": ("connect", "idle", "advice", "settle", "tick", "list_age"),
     "returning": ("cold", "span"),
     "product": ("sla", "validity", "memory"),
     "kind": ("answers",),
 }
-LONGEST = 86_400_000.0  # a day: clients may name no longer validity period
-SOCKET_PATH = 100  # bytes of a Unix socket's path
+MAX_VALIDITY_MS = 86_400_000.0  # a day: clients may name no longer validity period
+MAX_SOCKET_PATH_BYTES = 100  # bytes of a Unix socket's path
 
 
 class Checks:
@@ -28,419 +29,437 @@
     know.
     """
 
-    def __init__(self, read):
-        self.read, self.sheet, self.faults, self.doubts, self.ms = read, read.sheet, [], [], {}
+    def __init__(self, loaded):
+        self.loaded, self.configuration, self.errors, self.warnings, self.durations_ms = (
+            loaded,
+            loaded.sheet,
+            [],
+            [],
+            {},
+        )
 
-    def fault(self, key, why, do=""):
+    def add_error(self, key, reason, remedy=""):
         """Adds what stops the configuration, at the place where the key stands; `do` says what to do."""
-        self.faults.append(Fault(self.read.place(key), why, do))
+        self.errors.append(Finding(self.loaded.place(key), reason, remedy))
 
-    def doubt(self, key, why, do=""):
+    def add_warning(self, key, reason, remedy=""):
         """Adds what an operator should know, at the place where the key stands; `do` says what to do."""
-        self.doubts.append(Fault(self.read.place(key), why, do))
+        self.warnings.append(Finding(self.loaded.place(key), reason, remedy))
 
-    def times(self):
+    def parse_durations(self):
         """Every time in milliseconds, by its key."""
-        for table, names in TIMES.items():
-            part = getattr(self.sheet, table)
-            many = isinstance(part, list)
-            for number, one in enumerate(part if many else [part]):
-                for name in names:
-                    key = f"{table}[{number}].{name}" if many else f"{table}.{name}"
+        for table_name, keys in DURATION_KEYS.items():
+            value = getattr(self.configuration, table_name)
+            is_list = isinstance(value, list)
+            for index, entry in enumerate(value if is_list else [value]):
+                for entry_key in keys:
+                    key = f"{table_name}[{index}].{entry_key}" if is_list else f"{table_name}.{entry_key}"
                     try:
-                        self.ms[key] = units.milliseconds(getattr(one, name))
-                    except ValueError as fault:
-                        self.fault(key, str(fault))
+                        self.durations_ms[key] = units.milliseconds(getattr(entry, entry_key))
+                    except ValueError as error:
+                        self.add_error(key, str(error))
         try:
-            self.disk = units.size(self.sheet.courier.disk)
-        except ValueError as fault:
-            self.fault("courier.disk", str(fault))
-        return not self.faults
+            self.disk_bytes = units.size(self.configuration.courier.disk)
+        except ValueError as error:
+            self.add_error("courier.disk", str(error))
+        return not self.errors
 
     def run(self):
         """All of it; what needs readable times is left out where one is not."""
-        self.names()
-        self.addresses()
-        if self.times():
-            self.products()
-            self.courier()
-            self.returning()
-            self.kinds()
-        self.partners()
+        self.check_names()
+        self.check_addresses()
+        if self.parse_durations():
+            self.check_products()
+            self.check_courier()
+            self.check_returning()
+            self.check_late_revenue()
+        self.check_partners()
         return self
 
-    def names(self):
+    def check_names(self):
         """Names that stand twice, kinds that are not told, and a number beyond the senders."""
         for table in ("product", "kind"):
             seen = set()
-            for number, one in enumerate(getattr(self.sheet, table)):
-                if one.name in seen:
-                    self.fault(
-                        f"{table}[{number}].name", f"{one.name!r} stands twice", "give each a name of its own"
+            for index, entry in enumerate(getattr(self.configuration, table)):
+                if entry.name in seen:
+                    self.add_error(
+                        f"{table}[{index}].name",
+                        f"{entry.name!r} stands twice",
+                        "give each a name of its own",
                     )
-                seen.add(one.name)
-        kinds = [kind.name for kind in self.sheet.kind]
-        for number, product in enumerate(self.sheet.product):
+                seen.add(entry.name)
+        kinds = [kind.name for kind in self.configuration.kind]
+        for index, product in enumerate(self.configuration.product):
             for kind in product.kinds:
                 if kind not in kinds:
-                    self.fault(
-                        f"product[{number}].kinds",
+                    self.add_error(
+                        f"product[{index}].kinds",
                         f"{kind!r} is no kind of partner",
                         f"known are {', '.join(kinds)}",
                     )
-        if len(set(self.sheet.zones)) < len(self.sheet.zones):
-            self.fault("zones", "a zone stands twice", "name each once")
-        if self.sheet.courier.number >= self.sheet.courier.senders:
-            self.fault(
+        if len(set(self.configuration.zones)) < len(self.configuration.zones):
+            self.add_error("zones", "a zone stands twice", "name each once")
+        if self.configuration.courier.number >= self.configuration.courier.senders:
+            self.add_error(
                 "courier.number",
-                f"{self.sheet.courier.number} is not among {self.sheet.courier.senders} senders, "
-                "which count from 0",
+                f"{self.configuration.courier.number} is not among "
+                f"{self.configuration.courier.senders} senders, which count from 0",
                 "raise senders or lower number",
             )
 
-    def addresses(self):
+    def check_addresses(self):
         """Addresses that cannot be read, or that stand where another is needed."""
-        courier = self.sheet.courier
+        courier = self.configuration.courier
         if courier.listen.startswith("unix:"):
             path = courier.listen[5:]
-            if not path.startswith("/") or len(path.encode()) > SOCKET_PATH:
-                self.fault(
+            if not path.startswith("/") or len(path.encode()) > MAX_SOCKET_PATH_BYTES:
+                self.add_error(
                     "courier.listen",
                     f"{path!r} is no path for a socket",
-                    f"give an absolute one of at most {SOCKET_PATH} bytes",
+                    f"give an absolute one of at most {MAX_SOCKET_PATH_BYTES} bytes",
                 )
         else:
-            self.address("courier.listen", courier.listen)
+            self.check_address("courier.listen", courier.listen)
         if courier.agent:
-            self.address("courier.agent", courier.agent)
+            self.check_address("courier.agent", courier.agent)
             if courier.agent == courier.listen:
-                self.fault(
+                self.add_error(
                     "courier.agent",
                     f"{courier.agent} is where the courier itself listens",
                     "give the platform's agent",
                 )
         if courier.admin:
-            self.address("courier.admin", courier.admin)
+            self.check_address("courier.admin", courier.admin)
             if courier.admin in (courier.listen, courier.agent):
-                self.fault(
+                self.add_error(
                     "courier.admin",
                     f"{courier.admin} is taken by {'listen' if courier.admin == courier.listen else 'agent'}",
                     "give it a port of its own",
                 )
         if courier.notices:
-            self.address("courier.notices", courier.notices)
+            self.check_address("courier.notices", courier.notices)
             if courier.agent:
-                self.fault(
+                self.add_error(
                     "courier.notices",
                     "notices go to the agent where there is one",
                     "take notices or agent out",
                 )
 
-        self.nodes()
+        self.check_discovery_nodes()
 
-    def nodes(self):
+    def check_discovery_nodes(self):
         """Discovery nodes and what goes with them."""
-        courier = self.sheet.courier
-        for number, node in enumerate(courier.nodes):
-            self.address(f"courier.nodes[{number}]", node)
-            if node in courier.nodes[:number]:
-                self.fault(f"courier.nodes[{number}]", f"{node} stands there twice", "name each once")
+        courier = self.configuration.courier
+        for index, node in enumerate(courier.nodes):
+            self.check_address(f"courier.nodes[{index}]", node)
+            if node in courier.nodes[:index]:
+                self.add_error(f"courier.nodes[{index}]", f"{node} stands there twice", "name each once")
             if node in (courier.listen, courier.admin):
-                self.fault(
-                    f"courier.nodes[{number}]",
+                self.add_error(
+                    f"courier.nodes[{index}]",
                     f"{node} is where the courier itself listens",
                     "give the discovery node's address",
                 )
         if courier.nodes and not courier.fleet:
-            self.fault(
+            self.add_error(
                 "courier.fleet",
                 "which fleet the nodes serve is not said",
                 "give the name that the nodes were started with",
             )
         if courier.fleet and not courier.nodes:
-            self.fault(
+            self.add_error(
                 "courier.fleet", "there are no nodes that serve it", "give courier.nodes, or take it out"
             )
 
-    def address(self, key, word):
+    def check_address(self, key, text):
         """A fault at the key where the word is no address."""
         try:
-            units.address(word)
-        except ValueError as fault:
-            self.fault(key, str(fault))
+            units.address(text)
+        except ValueError as error:
+            self.add_error(key, str(error))
 
-    def products(self):
+    def check_products(self):
         """Times, repeats and revenues of each product against one another and the courier's."""
-        connect, courier = self.ms["courier.connect"], self.sheet.courier
-        for number, product in enumerate(self.sheet.product):
-            key = f"product[{number}]"
-            sla, validity, memory = (self.ms[f"{key}.{name}"] for name in ("sla", "validity", "memory"))
-            if sla <= 0.0:
-                self.fault(
+        connect_ms, courier = self.durations_ms["courier.connect"], self.configuration.courier
+        for index, product in enumerate(self.configuration.product):
+            key = f"product[{index}]"
+            sla_ms, validity_ms, memory_ms = (
+                self.durations_ms[f"{key}.{name}"] for name in ("sla", "validity", "memory")
+            )
+            if sla_ms <= 0.0:
+                self.add_error(
                     f"{key}.sla",
                     "no text can be delivered in no time",
                     "give the time in which a delivery earns in full",
                 )
-            if sla > validity:
-                self.fault(
+            if sla_ms > validity_ms:
+                self.add_error(
                     f"{key}.sla",
                     f"{product.sla} is longer than the validity period {product.validity}",
                     "lower it, or raise validity",
                 )
-            if validity > LONGEST:
-                self.fault(
+            if validity_ms > MAX_VALIDITY_MS:
+                self.add_error(
                     f"{key}.validity",
                     f"{product.validity} is over a day, the longest that a client may ask for",
                     "lower it",
                 )
-            if product.repeat == "referenced" and memory <= 0.0:
-                self.fault(
+            if product.repeat == "referenced" and memory_ms <= 0.0:
+                self.add_error(
                     f"{key}.memory",
                     f"{product.name!r} is referenced, and how long partners know a reference is not said",
                     "give memory, or make it once-only",
                 )
-            if product.repeat != "referenced" and (memory > 0.0 or product.memory_by_zone):
-                self.fault(
+            if product.repeat != "referenced" and (memory_ms > 0.0 or product.memory_by_zone):
+                self.add_error(
                     f"{key}.memory",
                     f"{product.name!r} is {product.repeat}, so no reference is ever sent",
                     "take memory out, or make the product referenced",
                 )
-            if product.repeat == "referenced" and 0.0 < memory < min(sla, validity):
-                self.fault(
+            if product.repeat == "referenced" and 0.0 < memory_ms < min(sla_ms, validity_ms):
+                self.add_error(
                     f"{key}.memory",
                     f"partners forget a reference after {product.memory}, "
                     f"before a text's SLA time {product.sla} is over, "
                     "so it may not be sent again in time",
                     "ask the partner for a longer memory, or make it once-only",
                 )
-            kinds = [kind for kind in self.sheet.kind if not product.kinds or kind.name in product.kinds]
-            answers = min((units_or(kind.answers) for kind in kinds), default=0.0)
-            if answers >= validity:
-                self.fault(
+            kinds = [
+                kind for kind in self.configuration.kind if not product.kinds or kind.name in product.kinds
+            ]
+            answer_ms = min((milliseconds_or_zero(kind.answers) for kind in kinds), default=0.0)
+            if answer_ms >= validity_ms:
+                self.add_error(
                     f"{key}.validity",
                     f"{product.validity} is over before any of its partners answers, "
-                    f"which takes {units.spell(answers)}",
+                    f"which takes {units.format_duration(answer_ms)}",
                     "raise validity",
                 )
-            elif product.repeat != "once-only" and validity < connect + 2.0 * answers:
-                self.fault(
+            elif product.repeat != "once-only" and validity_ms < connect_ms + 2.0 * answer_ms:
+                self.add_error(
                     f"{key}.validity",
-                    f"{product.validity} is shorter than one lost call ({units.spell(connect)} to connect, "
-                    f"{units.spell(answers)} to answer) and its repeat",
+                    f"{product.validity} is shorter than one lost call "
+                    f"({units.format_duration(connect_ms)} to connect, "
+                    f"{units.format_duration(answer_ms)} to answer) and its repeat",
                     "raise validity or lower courier.connect",
                 )
-            if answers > sla:
-                self.doubt(
+            if answer_ms > sla_ms:
+                self.add_warning(
                     f"{key}.sla",
-                    f"partners mostly answer after {units.spell(answers)}, beyond it",
+                    f"partners mostly answer after {units.format_duration(answer_ms)}, beyond it",
                     "its texts will mostly be late",
                 )
-            if connect >= validity:
-                self.fault(
+            if connect_ms >= validity_ms:
+                self.add_error(
                     "courier.connect",
                     f"{courier.connect} is longer than the validity period of {product.name!r}, "
                     f"{product.validity}",
                     "lower connect: a connection that does not come up must leave time for another",
                 )
-            if product.in_order and self.ms["courier.settle"] >= validity:
-                self.fault(
+            if product.in_order and self.durations_ms["courier.settle"] >= validity_ms:
+                self.add_error(
                     "courier.settle",
                     f"an order key rests for {courier.settle}, "
                     f"longer than a text of {product.name!r} is valid",
                     "lower settle",
                 )
 
-    def courier(self):
+    def check_courier(self):
         """Descriptors, disk, times, store and folder of the courier against what it is to hold and call."""
-        courier = self.sheet.courier
+        courier = self.configuration.courier
         budget = Budget(courier.descriptors, courier.slots, bool(courier.admin))
         if budget.calls < courier.slots:
-            self.fault(
+            self.add_error(
                 "courier.descriptors",
                 f"{courier.descriptors} leave descriptors for {budget.calls} calls, "
                 f"not for {courier.slots} slots",
-                f"raise it to {least_descriptors(courier.slots)} at least, or lower slots",
+                f"raise it to {min_descriptors(courier.slots)} at least, or lower slots",
             )
-        needs = courier.held * (LEAST_BODY + RECORD)
-        if needs > self.disk * 2 // 5:
-            self.fault(
+        required_bytes = courier.held * (MIN_BODY_BYTES + RECORD_BYTES)
+        if required_bytes > self.disk_bytes * 2 // 5:
+            self.add_error(
                 "courier.disk",
-                f"{courier.held} texts of {LEAST_BODY} bytes need "
-                f"{units.spell_size(math.ceil(needs * 2.5 / 1e5) * 1e5)}; live "
+                f"{courier.held} texts of {MIN_BODY_BYTES} bytes need "
+                f"{units.format_size(math.ceil(required_bytes * 2.5 / 1e5) * 1e5)}; live "
                 "texts may fill two fifths of it",
                 "raise disk or lower held",
             )
         if courier.held < courier.slots:
-            self.fault(
+            self.add_error(
                 "courier.held",
                 f"holds {courier.held} texts, fewer than its {courier.slots} slots send at once",
                 "raise held or lower slots",
             )
-        idle, connect = self.ms["courier.idle"], self.ms["courier.connect"]
-        if idle <= connect:
-            self.doubt(
+        idle_ms, connect_ms = self.durations_ms["courier.idle"], self.durations_ms["courier.connect"]
+        if idle_ms <= connect_ms:
+            self.add_warning(
                 "courier.idle",
                 f"connections idle for {courier.idle} are closed in the time that one takes to open, "
                 f"{courier.connect}",
                 "few calls will find one",
             )
-        if courier.give_back and idle <= 0.0:
-            self.fault(
+        if courier.give_back and idle_ms <= 0.0:
+            self.add_error(
                 "courier.give_back",
                 f"partners close idle connections after {courier.idle}, so there is none to give back",
                 "take it out, or say how long partners keep them",
             )
-        if self.ms["courier.tick"] <= 0.0 or self.ms["courier.tick"] > 1000.0:
-            self.fault(
+        if self.durations_ms["courier.tick"] <= 0.0 or self.durations_ms["courier.tick"] > 1000.0:
+            self.add_error(
                 "courier.tick", f"{courier.tick} is no time between two turns", "give 1ms to 1s; 5ms is usual"
             )
-        if self.ms["courier.list_age"] <= 0.0:
-            self.fault("courier.list_age", "no list is as new as that", "give a time; 24h is usual")
+        if self.durations_ms["courier.list_age"] <= 0.0:
+            self.add_error("courier.list_age", "no list is as new as that", "give a time; 24h is usual")
         if courier.durability == "machine" and courier.store != "segments":
-            self.fault(
+            self.add_error(
                 "courier.durability",
                 "only segments are written through to the disk",
                 'set store = "segments"',
             )
-        self.folder("courier.state", courier.state)
+        self.check_folder("courier.state", courier.state)
 
-    def folder(self, key, path):
+    def check_folder(self, key, path):
         """The folder as far as it can be looked at without changing anything."""
         path = (
-            os.path.join(os.path.dirname(self.read.paths[-1]), path)
-            if self.read.paths and not os.path.isabs(path)
+            os.path.join(os.path.dirname(self.loaded.paths[-1]), path)
+            if self.loaded.paths and not os.path.isabs(path)
             else path
         )
         try:
-            what = os.stat(path)
+            status = os.stat(path)
         except FileNotFoundError:
             parent = os.path.dirname(os.path.abspath(path))
             while not os.path.exists(parent) and parent != os.path.dirname(parent):
                 parent = os.path.dirname(parent)
             if not os.path.isdir(parent) or not os.access(parent, os.W_OK | os.X_OK):
-                self.fault(
+                self.add_error(
                     key,
                     f"{path} does not exist and cannot be made in {parent}",
                     "make it, owned by the courier's user",
                 )
             return
-        except OSError as fault:
-            self.fault(key, f"{path}: {fault.strerror}", "give a folder")
+        except OSError as error:
+            self.add_error(key, f"{path}: {error.strerror}", "give a folder")
             return
-        if not stat.S_ISDIR(what.st_mode):
-            self.fault(key, f"{path} is no folder", "give a folder of the courier's own")
+        if not stat.S_ISDIR(status.st_mode):
+            self.add_error(key, f"{path} is no folder", "give a folder of the courier's own")
         elif not os.access(path, os.W_OK | os.X_OK):
-            self.fault(key, f"{path} cannot be written", "give the courier's user the right to")
+            self.add_error(key, f"{path} cannot be written", "give the courier's user the right to")
 
-    def returning(self):
+    def check_returning(self):
         """The rule on returning partners: its times, multiple and share against one another."""
-        part = self.sheet.returning
-        if self.ms["returning.span"] <= 0.0:
-            self.fault("returning.span", "a span of no time cannot be counted over", "give a second or more")
-        if self.ms["returning.cold"] < self.ms["returning.span"]:
-            self.doubt(
+        returning = self.configuration.returning
+        if self.durations_ms["returning.span"] <= 0.0:
+            self.add_error(
+                "returning.span", "a span of no time cannot be counted over", "give a second or more"
+            )
+        if self.durations_ms["returning.cold"] < self.durations_ms["returning.span"]:
+            self.add_warning(
                 "returning.cold",
-                f"{part.cold} is shorter than the span {part.span}",
+                f"{returning.cold} is shorter than the span {returning.span}",
                 "partners will hardly be spared",
             )
-        if part.cold_from * part.multiple >= 1.0:
-            self.doubt(
+        if returning.cold_from * returning.multiple >= 1.0:
+            self.add_warning(
                 "returning.multiple",
-                f"{part.multiple:g} times the {part.cold_from:g} that a cold partner can do is all it can "
-                "do when warm",
+                f"{returning.multiple:g} times the {returning.cold_from:g} that a cold partner can do is all "
+                "it can do when warm",
                 "nothing will be spared; lower one of them",
             )
 
-    def kinds(self):
+    def check_late_revenue(self):
         """Revenues that have nothing left to fade."""
-        if self.sheet.late == "linear":
+        if self.configuration.late == "linear":
             return
-        for number, product in enumerate(self.sheet.product):
+        for index, product in enumerate(self.configuration.product):
             if product.late_revenue >= 1.0:
-                self.doubt(
-                    f"product[{number}].late_revenue",
+                self.add_warning(
+                    f"product[{index}].late_revenue",
                     "all of the revenue is left at the end, so nothing fades",
                     "",
                 )
 
-    def partners(self):
+    def check_partners(self):
         """The list, where it stands here or in a file of its own."""
-        sheet = self.sheet
-        ways = [
-            bool(sheet.courier.agent or sheet.courier.nodes),
-            bool(sheet.partner),
-            bool(sheet.partners_file),
+        configuration = self.configuration
+        sources = [
+            bool(configuration.courier.agent or configuration.courier.nodes),
+            bool(configuration.partner),
+            bool(configuration.partners_file),
         ]
-        if sum(ways) != 1:
-            self.fault(
-                "courier.agent" if not any(ways) else "partners_file" if ways[2] else "partner",
-                "there is no list of partners" if not any(ways) else "the list of partners is given twice",
+        if sum(sources) != 1:
+            self.add_error(
+                "courier.agent" if not any(sources) else "partners_file" if sources[2] else "partner",
+                "there is no list of partners" if not any(sources) else "the list of partners is given twice",
                 "give one of courier.agent, courier.nodes, [[partner]] tables or partners_file",
             )
             return
-        some, place = sheet.partner, self.read.place
-        if sheet.partners_file:
+        partners, place = configuration.partner, self.loaded.place
+        if configuration.partners_file:
             path = (
-                os.path.join(os.path.dirname(self.read.paths[-1]), sheet.partners_file)
-                if self.read.paths
-                else sheet.partners_file
+                os.path.join(os.path.dirname(self.loaded.paths[-1]), configuration.partners_file)
+                if self.loaded.paths
+                else configuration.partners_file
             )
             try:
-                some, origin = lists.load(path)
-            except UnreadableNowError:
+                partners, origin = partner_list.load(path)
+            except TemporarilyUnreadableError:
                 raise
-            except UnusableError as faults:
-                self.faults += faults.faults
+            except UnusableError as error:
+                self.errors += error.faults
                 return
             place = lambda key: f"{origin.get(key, path)}: {key}"  # noqa: E731
-        self.faults += lists.faults(some, sheet, place)
-        if not sheet.courier.nodes:  # the nodes tell which partners there are
-            self.reach(some, place)
-        if self.faults:
+        self.errors += partner_list.check_partners(partners, configuration, place)
+        if not configuration.courier.nodes:  # the nodes tell which partners there are
+            self.check_reachable_products(partners, place)
+        if self.errors:
             return
-        for number, partner in enumerate(some):
+        for index, partner in enumerate(partners):
             if partner.limit > 0.0:
-                longest = max(self.ms[f"product[{at}].validity"] for at, _ in enumerate(sheet.product))
-                each = calls_each(partner.limit, sheet.courier.senders, longest)
-                if each < 1.0:
-                    self.fault(
-                        place(f"partner[{number}].limit").rpartition(": ")[2]
-                        if not sheet.partners_file
+                max_validity_ms = max(
+                    self.durations_ms[f"product[{product_index}].validity"]
+                    for product_index, _ in enumerate(configuration.product)
+                )
+                calls = calls_per_sender(partner.limit, configuration.courier.senders, max_validity_ms)
+                if calls < 1.0:
+                    self.add_error(
+                        place(f"partner[{index}].limit").rpartition(": ")[2]
+                        if not configuration.partners_file
                         else "partners_file",
-                        f"{partner.limit:g} calls a second of {sheet.courier.senders} senders are "
-                        f"{each:.2f} calls of this one "
+                        f"{partner.limit:g} calls a second of {configuration.courier.senders} senders are "
+                        f"{calls:.2f} calls of this one "
                         f"to {partner.name!r} in the longest validity period",
                         "agree a higher limit, or send from fewer couriers",
                     )
 
-    def reach(self, some, place):
+    def check_reachable_products(self, partners, place):
         """Products that nobody gets, and kinds that a product may not reach though a partner is to get it."""
-        kinds = {partner.kind for partner in some}
-        for number, product in enumerate(self.sheet.product):
-            if product.kinds and not kinds & set(product.kinds):
-                self.fault(
-                    f"product[{number}].kinds",
+        listed_kinds = {partner.kind for partner in partners}
+        for index, product in enumerate(self.configuration.product):
+            if product.kinds and not listed_kinds & set(product.kinds):
+                self.add_error(
+                    f"product[{index}].kinds",
                     f"{product.name!r} may go to {', '.join(product.kinds)} only, and no partner is one",
                     "give a partner that kind, or allow another",
                 )
 
 
-def calls_each(limit, senders, longest):
+def calls_per_sender(limit, senders, period_ms):
     """Calls of one sender at a limit in calls a second of all, in the longest validity period in
     milliseconds.
     """
-    return limit / senders * longest / 1000.0
+    return limit / senders * period_ms / 1000.0
 
 
-def units_or(word):
+def milliseconds_or_zero(text):
     """A time in ms; 0 where the word is none."""
     try:
-        return units.milliseconds(word)
+        return units.milliseconds(text)
     except ValueError:
         return 0.0
 
 
-def least_descriptors(slots):
+def min_descriptors(slots):
     """The fewest descriptors that leave room for so many calls at once."""
     count = 32
     while Budget(count, slots).calls < slots:
@@ -448,7 +467,7 @@
     return count
 
 
-def examine(read):
+def examine(loaded):
     """(faults, doubts) of a configuration that was read."""
-    done = Checks(read).run()
-    return done.faults, done.doubts
+    checks = Checks(loaded).run()
+    return checks.errors, checks.warnings
--- a/calicopin/configuration/compare.py
+++ b/calicopin/configuration/compare.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-AT_ONCE = (
+RELOADABLE_KEYS = (
     "courier.agent",
     "courier.notices",
     "courier.nodes",
@@ -16,42 +16,46 @@
 )
 
 
-def flat(value, key=""):
+def flatten(value, key=""):
     """Plain keys and their values."""
     if isinstance(value, dict):
         for name, inner in value.items():
-            yield from flat(inner, f"{key}.{name}" if key else name)
-    elif isinstance(value, list) and value and all(isinstance(one, dict) for one in value):
-        for number, inner in enumerate(value):
-            label = inner.get("name", number)
-            yield from flat(inner, f"{key}[{label}]")
+            yield from flatten(inner, f"{key}.{name}" if key else name)
+    elif isinstance(value, list) and value and all(isinstance(entry, dict) for entry in value):
+        for index, inner in enumerate(value):
+            label = inner.get("name", index)
+            yield from flatten(inner, f"{key}[{label}]")
     else:
         yield key, value
 
 
-def whole(sheet):
+def whole(configuration):
     """Every key with its value, defaults too."""
 
-    def plain(part):
-        if isinstance(part, msgspec.Struct):
+    def to_plain(value):
+        if isinstance(value, msgspec.Struct):
             return {
-                field.name: plain(getattr(part, field.name)) for field in msgspec.structs.fields(type(part))
+                field.name: to_plain(getattr(value, field.name))
+                for field in msgspec.structs.fields(type(value))
             }
-        return [plain(one) for one in part] if isinstance(part, list) else part
+        return [to_plain(entry) for entry in value] if isinstance(value, list) else value
 
-    return dict(flat(plain(sheet)))
+    return dict(flatten(to_plain(configuration)))
 
 
-def at_once(key):
+def is_reloadable(key):
     """Whether a running courier takes the key up at SIGHUP."""
-    bare = "".join(
-        part.split("]", 1)[-1] if number else part
-        for number, part in enumerate(key.replace("[", "\0[").split("\0"))
+    without_indices = "".join(
+        part.split("]", 1)[-1] if index else part
+        for index, part in enumerate(key.replace("[", "\0[").split("\0"))
     )
-    marked = key[: key.find("[")] + "[]" + key[key.find("]") + 1 :] if "[" in key else key
+    first_list_marked = key[: key.find("[")] + "[]" + key[key.find("]") + 1 :] if "[" in key else key
     return any(
-        bare == name or bare.startswith(f"{name}.") or key.startswith(f"{name}[") or marked == name
-        for name in AT_ONCE
+        without_indices == name
+        or without_indices.startswith(f"{name}.")
+        or key.startswith(f"{name}[")
+        or first_list_marked == name
+        for name in RELOADABLE_KEYS
     )
 
 
@@ -61,7 +65,7 @@
     """
     before, after = whole(old), whole(new)
     return [
-        (key, before.get(key), after.get(key), "SIGHUP" if at_once(key) else "restart")
+        (key, before.get(key), after.get(key), "SIGHUP" if is_reloadable(key) else "restart")
         for key in dict.fromkeys([*before, *after])
         if before.get(key) != after.get(key)
     ]
--- a/calicopin/configuration/convert.py
+++ b/calicopin/configuration/convert.py
@@ -7,105 +7,114 @@
 import os
 import zlib
 
-from calicopin.configuration import partners as lists
+from calicopin.configuration import partners as partner_list
 from calicopin.configuration import units
-from calicopin.configuration.model import CourierPart, KindPart, ProductPart, ReturnPart, Sheet
-from calicopin.configuration.read import Read, merge
+from calicopin.configuration.model import Configuration, CourierPart, KindPart, ProductPart, ReturnPart
+from calicopin.configuration.read import LoadedConfiguration, merge
 from calicopin.deployment_settings import gives_back
 
-REPEATS = {"resendable": "read_like", "referenced": "idempotency_key", "once-only": "non_idempotent"}
-BACK = {value: key for key, value in REPEATS.items()}
+IDEMPOTENCY_BY_REPEAT = {
+    "resendable": "read_like",
+    "referenced": "idempotency_key",
+    "once-only": "non_idempotent",
+}
+REPEAT_BY_IDEMPOTENCY = {value: key for key, value in IDEMPOTENCY_BY_REPEAT.items()}
 
 
-def seconds(word):
+def parse_seconds(text):
     """A time with its unit as seconds; ValueError where it is none."""
-    return units.milliseconds(word) / 1000.0
+    return units.milliseconds(text) / 1000.0
 
 
-def settings(sheet):
+def platform_settings(configuration):
     """The settings that the module reads."""
-    courier, returning = sheet.courier, sheet.returning
-    grades = []
-    for product in sheet.product:
-        grade = dict(
+    courier, returning = configuration.courier, configuration.returning
+    products = []
+    for product in configuration.product:
+        product_settings = dict(
             name=product.name,
-            idempotency=REPEATS[product.repeat],
-            aim=seconds(product.sla),
-            giveUp=seconds(product.validity),
+            idempotency=IDEMPOTENCY_BY_REPEAT[product.repeat],
+            aim=parse_seconds(product.sla),
+            giveUp=parse_seconds(product.validity),
             points=product.revenue,
             lateWorth=product.late_revenue,
-            keyTtl=seconds(product.memory),
+            keyTtl=parse_seconds(product.memory),
             group="zone" if product.memory_by_zone else "all",
             inOrder=product.in_order,
         )
-        grades.append(grade)
-    told = dict(
+        products.append(product_settings)
+    result = dict(
         slotNo=courier.number,
         groupSize=courier.senders,
-        tick=seconds(courier.tick),
-        kinds=[kind.name for kind in sheet.kind],
-        zones=list(sheet.zones),
-        grades=grades,
+        tick=parse_seconds(courier.tick),
+        kinds=[kind.name for kind in configuration.kind],
+        zones=list(configuration.zones),
+        grades=products,
         familyInfo=dict(
             workers=courier.slots,
-            bundleMax=[kind.bundle for kind in sheet.kind],
-            ownLimits=[kind.apart for kind in sheet.kind],
-            fades=sheet.late,
+            bundleMax=[kind.bundle for kind in configuration.kind],
+            ownLimits=[kind.apart for kind in configuration.kind],
+            fades=configuration.late,
         ),
         ceilings=dict(
             mostHeld=courier.held,
             tryLimit=courier.tries,
-            connectTimeout=seconds(courier.connect),
-            idleClose=seconds(courier.idle),
-            retryAfter=seconds(courier.advice) > 0.0,
-            maxRetryAfter=seconds(courier.advice),
+            connectTimeout=parse_seconds(courier.connect),
+            idleClose=parse_seconds(courier.idle),
+            retryAfter=parse_seconds(courier.advice) > 0.0,
+            maxRetryAfter=parse_seconds(courier.advice),
         ),
         rules=dict(
             coldFrom=returning.cold_from,
-            cold=seconds(returning.cold),
+            cold=parse_seconds(returning.cold),
             tipMultiple=returning.multiple,
-            fall=seconds(returning.span),
-            orderSettle=seconds(courier.settle),
+            fall=parse_seconds(returning.span),
+            orderSettle=parse_seconds(courier.settle),
             askWithin=10.0,
         ),
         loadInfo=dict(
-            columns=["x0", "x1"] if sheet.reports else [], source="piggyback" if sheet.reports else "silent"
+            columns=["x0", "x1"] if configuration.reports else [],
+            source="piggyback" if configuration.reports else "silent",
         ),
-        weights="nominal" if sheet.limits_listed else "silent",
+        weights="nominal" if configuration.limits_listed else "silent",
         discovery="push",
     )
     if not courier.give_back:  # on the platform they are given back unless it says otherwise
-        told["ceilings"]["giveBack"] = False
-    return merge(told, copy.deepcopy(sheet.platform.get("settings", {})))
+        result["ceilings"]["giveBack"] = False
+    return merge(result, copy.deepcopy(configuration.platform.get("settings", {})))
 
 
-def to_platform(read):
+def to_platform(loaded):
     """The platform's JSON as an object, from a configuration that was read and found sound."""
-    sheet, folder = (
-        read.sheet,
-        os.path.dirname(os.path.abspath(read.paths[-1])) if read.paths else os.getcwd(),
+    configuration, folder = (
+        loaded.sheet,
+        os.path.dirname(os.path.abspath(loaded.paths[-1])) if loaded.paths else os.getcwd(),
     )
-    courier = sheet.courier
-    some = sheet.partner
-    if sheet.partners_file:
-        some, _ = lists.load(os.path.join(folder, sheet.partners_file))
-    told = dict(
+    courier = configuration.courier
+    partners = configuration.partner
+    if configuration.partners_file:
+        partners, _ = partner_list.load(os.path.join(folder, configuration.partners_file))
+    result = dict(
         name=courier.name,
         listen=courier.listen,
         discovery=courier.agent,
         state=os.path.join(folder, courier.state),
         seed=f"{courier.seed or zlib.crc32(courier.name.encode()):x}",
         limits=dict(sockets=courier.descriptors, disk_mb=units.size(courier.disk) / 1e6),
-        known=lists.listed(some) if some else {"version": 0, "full": True, "servers": []},
-        settings=settings(sheet),
+        known=partner_list.discovery_list(partners)
+        if partners
+        else {"version": 0, "full": True, "servers": []},
+        settings=platform_settings(configuration),
     )
-    if sheet.partners_file:
-        told["watched"] = os.path.join(folder, sheet.partners_file)
+    if configuration.partners_file:
+        result["watched"] = os.path.join(folder, configuration.partners_file)
     if courier.admin:
-        told["admin_addr"] = courier.admin
+        result["admin_addr"] = courier.admin
     if courier.nodes:
-        told |= dict(nodes=list(courier.nodes), fleet=courier.fleet, list_age=seconds(courier.list_age))
-    told |= dict(
+        result |= dict(
+            nodes=list(courier.nodes), fleet=courier.fleet, list_age=parse_seconds(courier.list_age)
+        )
+    result |= dict(
         status=courier.status,
         notices=courier.notices,
         log=courier.log,
@@ -113,85 +122,86 @@
         durability=courier.durability,
     )
     return merge(
-        told, copy.deepcopy({key: value for key, value in sheet.platform.items() if key != "settings"})
+        result,
+        copy.deepcopy({key: value for key, value in configuration.platform.items() if key != "settings"}),
     )
 
 
-def difference(whole, ours):
+def difference(full, converted):
     """What `whole` says beyond `ours`, or differently."""
-    out = {}
-    for key, value in whole.items():
-        if isinstance(value, dict) and isinstance(ours.get(key), dict):
-            inner = difference(value, ours[key])
+    rest = {}
+    for key, value in full.items():
+        if isinstance(value, dict) and isinstance(converted.get(key), dict):
+            inner = difference(value, converted[key])
             if inner:
-                out[key] = inner
-        elif key not in ours or ours[key] != value:
-            out[key] = value
-    return out
+                rest[key] = inner
+        elif key not in converted or converted[key] != value:
+            rest[key] = value
+    return rest
 
 
-def time_word(value):
+def format_seconds(value):
     """Seconds as a time with its unit."""
-    return units.spell(float(value or 0.0) * 1000.0)
+    return units.format_duration(float(value or 0.0) * 1000.0)
 
 
-def from_platform(told):
+def from_platform(platform):
     """A sheet that converts back to the same JSON; ValueError where the JSON lacks what a courier needs."""
     try:
-        env, limits = told["settings"], told.get("limits", {})
-        family, ceilings, rules = env["familyInfo"], env["ceilings"], env["rules"]
-        kinds = env.get("kinds") or ["any"]
-        if told.get("watched"):
+        settings, limits = platform["settings"], platform.get("limits", {})
+        family_info, ceilings, rules = settings["familyInfo"], settings["ceilings"], settings["rules"]
+        kinds = settings.get("kinds") or ["any"]
+        if platform.get("watched"):
             raise KeyError("a list of its own: it was made from a file with partners_file")
-        bundles, apart = family.get("bundleMax") or [], family.get("ownLimits") or []
-        sheet = Sheet(
+        bundles, apart = family_info.get("bundleMax") or [], family_info.get("ownLimits") or []
+        configuration = Configuration(
             version=1,
-            late=family.get("fades", "linear"),
-            zones=list(env.get("zones") or []),
-            reports=bool(env.get("loadInfo", {}).get("columns")),
-            limits_listed=env.get("weights") in ("nominal", "rough", "live"),
+            late=family_info.get("fades", "linear"),
+            zones=list(settings.get("zones") or []),
+            reports=bool(settings.get("loadInfo", {}).get("columns")),
+            limits_listed=settings.get("weights") in ("nominal", "rough", "live"),
             courier=CourierPart(
-                name=told.get("name") or "courier",
-                listen=told["listen"],
-                state=told.get("state") or "state",
-                agent=told.get("discovery") or "",
-                admin=told.get("admin_addr") or "",
-                nodes=list(told.get("nodes") or []),
-                fleet=told.get("fleet") or "",
-                list_age=time_word(told["list_age"]) if told.get("list_age") else "24h",
-                status=bool(told.get("status")),
-                log=told.get("log") or "lines",
-                store=told.get("store") or "file",
-                durability=told.get("durability") or "process",
-                notices=told.get("notices") or "",
-                number=env["slotNo"],
-                senders=env["groupSize"],
-                seed=int(str(told.get("seed") or "0"), 16),
-                slots=family["workers"],
+                name=platform.get("name") or "courier",
+                listen=platform["listen"],
+                state=platform.get("state") or "state",
+                agent=platform.get("discovery") or "",
+                admin=platform.get("admin_addr") or "",
+                nodes=list(platform.get("nodes") or []),
+                fleet=platform.get("fleet") or "",
+                list_age=format_seconds(platform["list_age"]) if platform.get("list_age") else "24h",
+                status=bool(platform.get("status")),
+                log=platform.get("log") or "lines",
+                store=platform.get("store") or "file",
+                durability=platform.get("durability") or "process",
+                notices=platform.get("notices") or "",
+                number=settings["slotNo"],
+                senders=settings["groupSize"],
+                seed=int(str(platform.get("seed") or "0"), 16),
+                slots=family_info["workers"],
                 held=ceilings["mostHeld"],
                 tries=ceilings["tryLimit"],
                 descriptors=int(limits.get("sockets") or 1024),
-                disk=units.spell_size(float(limits.get("disk_mb") or 3) * 1e6),
-                connect=time_word(ceilings.get("connectTimeout", 1.0)),
-                idle=time_word(ceilings.get("idleClose", 10.0)),
+                disk=units.format_size(float(limits.get("disk_mb") or 3) * 1e6),
+                connect=format_seconds(ceilings.get("connectTimeout", 1.0)),
+                idle=format_seconds(ceilings.get("idleClose", 10.0)),
                 give_back=gives_back(ceilings),
-                advice=time_word(ceilings.get("maxRetryAfter") if ceilings.get("retryAfter") else 0.0),
-                settle=time_word(rules.get("orderSettle")),
-                tick=time_word(env["tick"]),
+                advice=format_seconds(ceilings.get("maxRetryAfter") if ceilings.get("retryAfter") else 0.0),
+                settle=format_seconds(rules.get("orderSettle")),
+                tick=format_seconds(settings["tick"]),
             ),
             returning=ReturnPart(
                 cold_from=rules["coldFrom"],
-                cold=time_word(rules["cold"]),
+                cold=format_seconds(rules["cold"]),
                 multiple=rules["tipMultiple"],
-                span=time_word(rules["fall"]),
+                span=format_seconds(rules["fall"]),
             ),
             product=[
                 ProductPart(
                     name=grade["name"],
-                    repeat=BACK[grade["idempotency"]],
-                    sla=time_word(grade["aim"]),
-                    validity=time_word(grade["giveUp"]),
-                    memory=time_word(
+                    repeat=REPEAT_BY_IDEMPOTENCY[grade["idempotency"]],
+                    sla=format_seconds(grade["aim"]),
+                    validity=format_seconds(grade["giveUp"]),
+                    memory=format_seconds(
                         grade.get("keyTtl") if grade["idempotency"] == "idempotency_key" else 0.0
                     ),
                     memory_by_zone=grade.get("group", "all") != "all"
@@ -200,27 +210,27 @@
                     late_revenue=float(grade.get("lateWorth", 0.0)),
                     in_order=bool(grade.get("inOrder")),
                 )
-                for grade in env["grades"]
+                for grade in settings["grades"]
             ],
             kind=[
                 KindPart(
                     name=name,
-                    bundle=int(bundles[i]) if i < len(bundles) else 1,
-                    apart=bool(apart[i]) if i < len(apart) else False,
+                    bundle=int(bundles[index]) if index < len(bundles) else 1,
+                    apart=bool(apart[index]) if index < len(apart) else False,
                 )
-                for i, name in enumerate(kinds)
+                for index, name in enumerate(kinds)
             ],
         )
-    except (KeyError, TypeError, AttributeError, IndexError) as fault:
-        raise ValueError(f"the platform's JSON lacks or garbles {fault}") from None
-    ours = to_platform(Read(sheet, {}, []))
-    sheet.platform = difference(told, ours)
-    return sheet
+    except (KeyError, TypeError, AttributeError, IndexError) as error:
+        raise ValueError(f"the platform's JSON lacks or garbles {error}") from None
+    converted = to_platform(LoadedConfiguration(configuration, {}, []))
+    configuration.platform = difference(platform, converted)
+    return configuration
 
 
-def as_toml(sheet):
+def as_toml(configuration):
     """An operator's file. Its libraries are read in here: a courier that starts from one never writes one."""
     import msgspec
     import tomli_w
 
-    return tomli_w.dumps({"version": 1} | msgspec.to_builtins(sheet))
+    return tomli_w.dumps({"version": 1} | msgspec.to_builtins(configuration))
--- a/calicopin/configuration/migrate.py
+++ b/calicopin/configuration/migrate.py
@@ -8,9 +8,9 @@
 import os
 
 from calicopin.configuration import check, convert, units
-from calicopin.configuration.read import PREFIX, Fault, Read, UnusableError
+from calicopin.configuration.read import ENVIRONMENT_PREFIX, Finding, LoadedConfiguration, UnusableError
 
-STANDS_OVER = {
+OVERRIDING_KEYS = {
     ("settings", "groupSize"): "courier.senders",
     ("settings", "loadInfo"): "reports",
     ("settings", "weights"): "limits_listed",
@@ -18,21 +18,21 @@
 }  # of the platform's own keys, what would undo the new values
 
 
-def taken_out(tables, way):
+def remove_key(tables, path):
     """Removes the key at `way`, with tables that it leaves empty; whether it was there."""
-    if way[0] not in tables:
+    if path[0] not in tables:
         return False
-    if len(way) == 1:
-        del tables[way[0]]
+    if len(path) == 1:
+        del tables[path[0]]
         return True
-    inner = tables[way[0]]
-    done = isinstance(inner, dict) and taken_out(inner, way[1:])
-    if done and not inner:
-        del tables[way[0]]
-    return done
+    inner = tables[path[0]]
+    removed = isinstance(inner, dict) and remove_key(inner, path[1:])
+    if removed and not inner:
+        del tables[path[0]]
+    return removed
 
 
-def migrate(told, senders, reports=None, once_only=(), environ=os.environ):
+def migrate(loaded, senders, reports=None, once_only=(), environ=os.environ):
     """(the new sheet, what was not carried over as (place, why) pairs).
 
     `told` is a file as it was read; `reports` says whether partners' answers still tell their limits (None:
@@ -40,61 +40,65 @@
     in
     the file or the number of senders does not hold the courier's own.
     """
-    sheet, lost, faults = copy.deepcopy(told.sheet), [], []
-    names = [product.name for product in sheet.product]
+    configuration, not_carried_over, findings = copy.deepcopy(loaded.sheet), [], []
+    names = [product.name for product in configuration.product]
     for name in once_only:
         if name not in names:
-            faults.append(
-                Fault(f"--once-only {name}", "is no product of the file", f"known are {', '.join(names)}")
+            findings.append(
+                Finding(f"--once-only {name}", "is no product of the file", f"known are {', '.join(names)}")
             )
-    if sheet.courier.number >= senders:
-        faults.append(
-            Fault(
-                told.place("courier.number"),
-                f"{sheet.courier.number} is not among {senders} senders, which count from 0",
+    if configuration.courier.number >= senders:
+        findings.append(
+            Finding(
+                loaded.place("courier.number"),
+                f"{configuration.courier.number} is not among {senders} senders, which count from 0",
                 "give this courier its new number first",
             )
         )
-    if faults:
-        raise UnusableError(faults)
-    if sheet.include:
-        lost.append(
+    if findings:
+        raise UnusableError(findings)
+    if configuration.include:
+        not_carried_over.append(
             (
                 "include",
-                f"{', '.join(sheet.include)} are written into the one new file; comments are left behind",
+                f"{', '.join(configuration.include)} are written into the one new file; "
+                "comments are left behind",
             )
         )
-        sheet.include = []
+        configuration.include = []
     for name in sorted(environ):
-        if name.startswith(PREFIX):
-            lost.append(
+        if name.startswith(ENVIRONMENT_PREFIX):
+            not_carried_over.append(
                 (name, "a variable of this process is not written down: set it again where the new file runs")
             )
-    for way, key in STANDS_OVER.items():
-        if taken_out(sheet.platform, way):
-            lost.append(("platform." + ".".join(way), f"would stand over {key} and is left out"))
-    for product in sheet.product:
+    for path, key in OVERRIDING_KEYS.items():
+        if remove_key(configuration.platform, path):
+            not_carried_over.append(("platform." + ".".join(path), f"would stand over {key} and is left out"))
+    for product in configuration.product:
         if product.name in once_only and product.repeat != "once-only":
             if product.repeat == "referenced":
-                lost.append(
+                not_carried_over.append(
                     (
                         f"product[{product.name}].memory",
                         f"{product.memory}: once-only texts are sent with no reference",
                     )
                 )
             product.repeat, product.memory, product.memory_by_zone = "once-only", "0s", False
-    sheet.courier.senders, sheet.courier.give_back = senders, True
-    if units.milliseconds(sheet.courier.idle) <= 0.0:
-        lost.append(
-            ("courier.idle", f"{sheet.courier.idle}: no idle connection is kept, so none is given back")
+    configuration.courier.senders, configuration.courier.give_back = senders, True
+    if units.milliseconds(configuration.courier.idle) <= 0.0:
+        not_carried_over.append(
+            (
+                "courier.idle",
+                f"{configuration.courier.idle}: no idle connection is kept, so none is given back",
+            )
         )
-        sheet.courier.give_back = False
+        configuration.courier.give_back = False
     if reports is not None:
-        sheet.reports = reports
-    longest = max(units.milliseconds(product.validity) for product in sheet.product)
-    for partner in sheet.partner:
-        if partner.limit > 0.0 and check.calls_each(partner.limit, senders, longest) < 1.0:
-            lost.append(
+        configuration.reports = reports
+    max_validity_ms = max(units.milliseconds(product.validity) for product in configuration.product)
+    for partner in configuration.partner:
+        if partner.limit > 0.0 and check.calls_per_sender(partner.limit, senders, max_validity_ms) < 1.0:
+            not_carried_over.append(
                 (
                     f"partner[{partner.name}].limit",
                     f"{partner.limit:g} calls a second of {senders} senders are under one call of this "
@@ -103,25 +107,25 @@
                 )
             )
             partner.limit = 0.0
-    if sheet.partners_file:
-        lost.append(
+    if configuration.partners_file:
+        not_carried_over.append(
             (
                 "partners_file",
-                f"{sheet.partners_file} is not rewritten: its limits are read anew, "
+                f"{configuration.partners_file} is not rewritten: its limits are read anew, "
                 "and `calicopin check` tells of those that are too small",
             )
         )
-    return sheet, lost
+    return configuration, not_carried_over
 
 
-def written(sheet):
+def written(configuration):
     """The file's text; defaults stay out."""
     return (
         "# Written by `calicopin migrate`; docs/migration.md has the steps of the move.\n"
-        + convert.as_toml(sheet)
+        + convert.as_toml(configuration)
     )
 
 
-def faults(sheet, told):
+def faults(configuration, loaded):
     """What `calicopin check` would say of the new file, by its keys."""
-    return check.examine(Read(sheet, {}, told.paths))[0]
+    return check.examine(LoadedConfiguration(configuration, {}, loaded.paths))[0]
--- a/calicopin/configuration/model.py
+++ b/calicopin/configuration/model.py
@@ -12,9 +12,9 @@
 VERSION = 1
 
 
-def about(words, **bounds):
+def about(description, **bounds):
     """A key's line on the operators' page, with its bounds."""
-    return Meta(description=words, **bounds)
+    return Meta(description=description, **bounds)
 
 
 class Part(Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
@@ -178,7 +178,7 @@
     endpoint: Annotated[list[EndpointPart], about("its endpoints", min_length=1)]
 
 
-class Sheet(Part, kw_only=True):
+class Configuration(Part, kw_only=True):
     """A whole configuration."""
 
     version: Annotated[Literal[VERSION], about("of this form")]
--- a/calicopin/configuration/pages.py
+++ b/calicopin/configuration/pages.py
@@ -4,8 +4,8 @@
 
 from calicopin.configuration import model
 
-PARTS = (
-    ("", model.Sheet),
+TABLES = (
+    ("", model.Configuration),
     ("[courier]", model.CourierPart),
     ("[returning]", model.ReturnPart),
     ("[[product]]", model.ProductPart),
@@ -17,18 +17,20 @@
 
 def schema():
     """JSON Schema (2020-12) of the whole form."""
-    return msgspec.json.schema(model.Sheet) | {"$schema": "https://json-schema.org/draft/2020-12/schema"}
+    return msgspec.json.schema(model.Configuration) | {
+        "$schema": "https://json-schema.org/draft/2020-12/schema"
+    }
 
 
-def _kind(told):
-    if "enum" in told:
-        return " or ".join(f"`{value}`" for value in told["enum"])
-    if "const" in told:
-        return f"`{told['const']}`"
-    kind = told.get("type", "table")
+def _type_name(key_schema):
+    if "enum" in key_schema:
+        return " or ".join(f"`{value}`" for value in key_schema["enum"])
+    if "const" in key_schema:
+        return f"`{key_schema['const']}`"
+    json_type = key_schema.get("type", "table")
     return (
-        f"list of {_kind(told['items'])}"
-        if kind == "array" and "type" in told.get("items", {})
+        f"list of {_type_name(key_schema['items'])}"
+        if json_type == "array" and "type" in key_schema.get("items", {})
         else {
             "string": "word",
             "integer": "whole number",
@@ -36,25 +38,25 @@
             "boolean": "true or false",
             "array": "tables",
             "object": "table",
-        }.get(kind, kind)
+        }.get(json_type, json_type)
     )
 
 
 def page():
     """The tables of `docs/configuration.md`."""
-    out = []
-    for title, part in PARTS:
-        told = msgspec.json.schema(part)["$defs"][part.__name__]
-        out += [
+    lines = []
+    for title, table in TABLES:
+        table_schema = msgspec.json.schema(table)["$defs"][table.__name__]
+        lines += [
             f"### `{title}`" if title else "### The file",
             "",
-            part.__doc__.strip(),
+            table.__doc__.strip(),
             "",
             "| key | kind | default | what it says |",
             "| --- | --- | --- | --- |",
         ]
-        for field in msgspec.structs.fields(part):
-            one = told["properties"][field.encode_name]
+        for field in msgspec.structs.fields(table):
+            key_schema = table_schema["properties"][field.encode_name]
             default = (
                 "must be given"
                 if field.required
@@ -64,6 +66,9 @@
                 if field.default != ""
                 else "empty"
             )
-            out.append(f"| `{field.name}` | {_kind(one)} | {default} | {one.get('description', '')} |")
-        out.append("")
-    return "\n".join(out)
+            lines.append(
+                f"| `{field.name}` | {_type_name(key_schema)} | {default} | "
+                f"{key_schema.get('description', '')} |"
+            )
+        lines.append("")
+    return "\n".join(lines)
--- a/calicopin/configuration/partners.py
+++ b/calicopin/configuration/partners.py
@@ -9,35 +9,35 @@
 
 from calicopin.configuration import units
 from calicopin.configuration.model import PartnerPart
-from calicopin.configuration.read import Fault, UnusableError, decode, types
+from calicopin.configuration.read import Finding, UnusableError, load_toml, unknown_keys
 
-END = b"[end]"
+END_MARKER = b"[end]"
 
 
 def seal(data):
     """A list file's bytes with the end that tells it whole: how many partners, and a checksum over all
     before it.
     """
-    body = data.split(END)[0].rstrip() + b"\n\n"
+    body = data.split(END_MARKER)[0].rstrip() + b"\n\n"
     count = len(tomllib.loads(body.decode()).get("partner", []))
-    return body + END + b'\ncrc32 = "%08x"\npartners = %d\n' % (zlib.crc32(body), count)
+    return body + END_MARKER + b'\ncrc32 = "%08x"\npartners = %d\n' % (zlib.crc32(body), count)
 
 
-def whole(path, data, tables):
+def integrity_findings(path, data, tables):
     """What shows that the file was cut or damaged."""
     end = tables.get("end")
-    if not isinstance(end, dict) or data.count(END) != 1:
+    if not isinstance(end, dict) or data.count(END_MARKER) != 1:
         return [
-            Fault(
+            Finding(
                 path,
                 "has no [end] table, so nobody can tell whether it is whole",
                 "write it with `calicopin partners seal`, which puts [end] with its count and checksum last",
             )
         ]
-    body = data.split(END)[0]
+    body = data.split(END_MARKER)[0]
     if end.get("partners") != len(tables.get("partner", [])):
         return [
-            Fault(
+            Finding(
                 path,
                 f"holds {len(tables.get('partner', []))} partners where [end] says {end.get('partners')!r}",
                 "it was cut or is being written: the list before it stays",
@@ -45,7 +45,7 @@
         ]
     if "crc32" in end and end["crc32"] != f"{zlib.crc32(body):08x}":
         return [
-            Fault(
+            Finding(
                 path,
                 "does not match the checksum in its [end]",
                 "it was damaged, or changed by hand: seal it again",
@@ -56,16 +56,16 @@
 
 def load(path):
     """The partner tables of a list file; UnusableError with everything that is wrong."""
-    tables, origin, data = decode(path)
-    faults = whole(path, data, tables)
-    if faults:
-        raise UnusableError(faults)
+    tables, origins, data = load_toml(path)
+    findings = integrity_findings(path, data, tables)
+    if findings:
+        raise UnusableError(findings)
     if not tables.get("partner"):
         raise UnusableError(
-            [Fault(path, "holds no [[partner]] table", "a list without partners is not taken")]
+            [Finding(path, "holds no [[partner]] table", "a list without partners is not taken")]
         )
-    faults = [
-        Fault(
+    findings = [
+        Finding(
             path,
             f"there is no key {key!r} in a partner list",
             "only [[partner]] tables and [end] stand there",
@@ -73,116 +73,117 @@
         for key in tables
         if key not in ("partner", "end")
     ]
-    faults += types({"partner": tables["partner"]}, origin, path)
-    if faults:
-        raise UnusableError(faults)
+    findings += unknown_keys({"partner": tables["partner"]}, origins, path)
+    if findings:
+        raise UnusableError(findings)
     try:
-        return msgspec.convert(tables["partner"], list[PartnerPart]), origin
-    except msgspec.ValidationError as fault:
-        why, _, key = str(fault).partition(" - at ")
+        return msgspec.convert(tables["partner"], list[PartnerPart]), origins
+    except msgspec.ValidationError as error:
+        reason, _, key = str(error).partition(" - at ")
         raise UnusableError(
-            [Fault(f"{path}: partner{key.strip('`').removeprefix('$')}", why[0].lower() + why[1:])]
+            [Finding(f"{path}: partner{key.strip('`').removeprefix('$')}", reason[0].lower() + reason[1:])]
         ) from None
 
 
-def faults(partners, sheet, place):
+def check_partners(partners, configuration, place):
     """What is wrong with a list under that configuration; `place(key)` names where."""
-    out, kinds = [], {kind.name for kind in sheet.kind}
-    products = {product.name: product for product in sheet.product}
-    numbers, addresses, idents = {}, {}, {}
-    for at, partner in enumerate(partners):
-        key = f"partner[{at}]"
+    findings, kinds = [], {kind.name for kind in configuration.kind}
+    products = {product.name: product for product in configuration.product}
+    name_by_destination, name_by_address, known_ids = {}, {}, {}
+    for index, partner in enumerate(partners):
+        key = f"partner[{index}]"
         if partner.kind not in kinds:
-            out.append(
-                Fault(
+            findings.append(
+                Finding(
                     place(f"{key}.kind"),
                     f"{partner.kind!r} is no kind of partner",
                     f"known are {', '.join(sorted(kinds))}",
                 )
             )
-        if partner.destination in numbers:
-            out.append(
-                Fault(
+        if partner.destination in name_by_destination:
+            findings.append(
+                Finding(
                     place(f"{key}.destination"),
-                    f"{partner.destination} is the number of {numbers[partner.destination]!r} too",
+                    f"{partner.destination} is the number of "
+                    f"{name_by_destination[partner.destination]!r} too",
                     "give each partner a number of its own",
                 )
             )
-        numbers.setdefault(partner.destination, partner.name)
+        name_by_destination.setdefault(partner.destination, partner.name)
         for name in partner.products:
             product = products.get(name)
             if product is None:
-                out.append(
-                    Fault(
+                findings.append(
+                    Finding(
                         place(f"{key}.products"),
                         f"there is no product {name!r}",
                         f"known are {', '.join(sorted(products))}",
                     )
                 )
             elif product.kinds and partner.kind not in product.kinds:
-                out.append(
-                    Fault(
+                findings.append(
+                    Finding(
                         place(f"{key}.products"),
                         f"{name!r} may go to {', '.join(product.kinds)} only, and {partner.name!r} "
                         f"is {partner.kind}",
                         "take the product out of the list, or give the partner its right kind",
                     )
                 )
-        for number, endpoint in enumerate(partner.endpoint):
-            spot = f"{key}.endpoint[{number}].address"
+        for endpoint_index, endpoint in enumerate(partner.endpoint):
+            address_key = f"{key}.endpoint[{endpoint_index}].address"
             try:
                 units.address(endpoint.address)
-            except ValueError as fault:
-                out.append(Fault(place(spot), str(fault)))
+            except ValueError as error:
+                findings.append(Finding(place(address_key), str(error)))
                 continue
-            if endpoint.address in addresses:
-                out.append(
-                    Fault(
-                        place(spot),
-                        f"{endpoint.address} is {addresses[endpoint.address]!r}'s too",
+            if endpoint.address in name_by_address:
+                findings.append(
+                    Finding(
+                        place(address_key),
+                        f"{endpoint.address} is {name_by_address[endpoint.address]!r}'s too",
                         "a text for one would reach the other: give each endpoint its own address",
                     )
                 )
-            addresses.setdefault(endpoint.address, partner.name)
-            ident = ident_of(partner, endpoint)
-            if ident in idents:
-                out.append(
-                    Fault(
-                        place(f"{key}.endpoint[{number}].id"),
-                        f"{ident!r} stands twice",
+            name_by_address.setdefault(endpoint.address, partner.name)
+            identifier = endpoint_id(partner, endpoint)
+            if identifier in known_ids:
+                findings.append(
+                    Finding(
+                        place(f"{key}.endpoint[{endpoint_index}].id"),
+                        f"{identifier!r} stands twice",
                         "each endpoint needs an id of its own",
                     )
                 )
-            idents[ident] = True
-            if endpoint.address == sheet.courier.listen:
-                out.append(
-                    Fault(
-                        place(spot),
+            known_ids[identifier] = True
+            if endpoint.address == configuration.courier.listen:
+                findings.append(
+                    Finding(
+                        place(address_key),
                         f"{endpoint.address} is where the courier itself listens",
                         "it would send texts to itself",
                     )
                 )
-            if endpoint.zone and sheet.zones and endpoint.zone not in sheet.zones:
-                out.append(
-                    Fault(
-                        place(f"{key}.endpoint[{number}].zone"),
+            if endpoint.zone and configuration.zones and endpoint.zone not in configuration.zones:
+                findings.append(
+                    Finding(
+                        place(f"{key}.endpoint[{endpoint_index}].zone"),
                         f"{endpoint.zone!r} is none of the zones",
-                        f"known are {', '.join(sheet.zones)}",
+                        f"known are {', '.join(configuration.zones)}",
                     )
                 )
-    return out
+    return findings
 
 
-def ident_of(partner, endpoint):
+def endpoint_id(partner, endpoint):
     """The id of an endpoint; made of destination and address where none is told."""
     return endpoint.id or f"{partner.destination}-{endpoint.address}"
 
 
-def listed(partners):
+def discovery_list(partners):
     """The list in discovery's own form; its version follows from what it says."""
     servers = [
         {
-            "id": ident_of(partner, endpoint),
+            "id": endpoint_id(partner, endpoint),
             "addr": endpoint.address,
             "zone": endpoint.zone,
             "kind": partner.kind,
--- a/calicopin/configuration/posting.py
+++ b/calicopin/configuration/posting.py
@@ -13,35 +13,45 @@
     OSError where it cannot be read just now.
     """
     try:
-        told = read.read(path, environ)
-        faults, _ = check.examine(told)
-    except read.UnreadableNowError as fault:
-        raise fault.__cause__ from None
-    except read.UnusableError as fault:
-        raise ConfigurationRefusedError(str(fault)) from None
-    if faults:
-        raise ConfigurationRefusedError("\n".join(map(str, faults)))
-    return convert.to_platform(told), told.sheet
-
-
-def lister(sheet):
+        loaded = read.read(path, environ)
+        findings, _ = check.examine(loaded)
+    except read.TemporarilyUnreadableError as error:
+        raise error.__cause__ from None
+    except read.UnusableError as error:
+        raise ConfigurationRefusedError(str(error)) from None
+    if findings:
+        raise ConfigurationRefusedError("\n".join(map(str, findings)))
+    return convert.to_platform(loaded), loaded.sheet
+
+
+def lister(configuration):
     """A function that turns a watched file into places, or raises ValueError with what is wrong, OSError
     where it cannot be read just now.
     """
 
     def load(path):
         try:
-            some, origin = partners.load(path)
-        except read.UnreadableNowError as fault:
-            raise fault.__cause__ from None
-        except read.UnusableError as fault:
-            raise ValueError(str(fault)) from None
-        faults = partners.faults(some, sheet, lambda key: f"{origin.get(key, path)}: {key}")
-        if faults:
-            raise ValueError("; ".join(map(str, faults)))
+            partner_tables, origins = partners.load(path)
+        except read.TemporarilyUnreadableError as error:
+            raise error.__cause__ from None
+        except read.UnusableError as error:
+            raise ValueError(str(error)) from None
+        findings = partners.check_partners(
+            partner_tables, configuration, lambda key: f"{origins.get(key, path)}: {key}"
+        )
+        if findings:
+            raise ValueError("; ".join(map(str, findings)))
         return [
-            Place(one["id"], one["addr"], one["cell"], one["kind"], one["zone"], True, one["weight"])
-            for one in partners.listed(some)["servers"]
+            Place(
+                server["id"],
+                server["addr"],
+                server["cell"],
+                server["kind"],
+                server["zone"],
+                True,
+                server["weight"],
+            )
+            for server in partners.discovery_list(partner_tables)["servers"]
         ]
 
     return load
--- a/calicopin/configuration/read.py
+++ b/calicopin/configuration/read.py
@@ -13,18 +13,18 @@
 import msgspec
 
 from calicopin.configuration import model
-from calicopin.configuration.model import VERSION, Sheet
+from calicopin.configuration.model import VERSION, Configuration
 from calicopin.system_errors import of_a_moment
 
-MOST = 4 << 20  # bytes of a file: 50 MB of anything is no configuration
-DEEP = 8  # files that include one another
-HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]")
-KEY = re.compile(r"\s*([A-Za-z0-9_.\"'-]+?)\s*=")
-PREFIX = "CALICOPIN_"
+MAX_FILE_BYTES = 4 << 20  # bytes of a file: 50 MB of anything is no configuration
+MAX_INCLUDE_DEPTH = 8  # files that include one another
+TABLE_HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]")
+KEY_ASSIGNMENT = re.compile(r"\s*([A-Za-z0-9_.\"'-]+?)\s*=")
+ENVIRONMENT_PREFIX = "CALICOPIN_"
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class Finding:
     """One thing that is wrong, where, and what to do about it."""
 
     place: str
@@ -43,18 +43,18 @@
         self.faults = list(faults)
 
 
-class UnreadableNowError(UnusableError):
+class TemporarilyUnreadableError(UnusableError):
     """One that cannot be read just now; its cause is the system's OSError."""
 
 
 @dataclass(slots=True)
-class Read:
+class LoadedConfiguration:
     """A configuration as it was read.
 
     `origin` tells for each key in the plain form `product[0].sla` where it came from.
     """
 
-    sheet: Sheet
+    sheet: Configuration
     origin: dict = field(default_factory=dict)
     paths: list = field(default_factory=list)
 
@@ -67,110 +67,116 @@
         return self.paths[-1] if self.paths else "the configuration"
 
 
-def lines(text):
+def key_lines(text):
     """The line of each key in TOML text, by its plain form.
 
     Good enough to point at: values over many lines count at their first.
     """
-    out, counts, prefix = {}, {}, ""
-    for number, line in enumerate(text.splitlines(), 1):
-        if header := HEADER.match(line):
-            many, way, prefix = (
+    line_by_key, table_counts, prefix = {}, {}, ""
+    for line_number, line in enumerate(text.splitlines(), 1):
+        if header := TABLE_HEADER.match(line):
+            is_list, parts, prefix = (
                 header[1] == "[[",
                 [part.strip().strip("\"'") for part in header[2].split(".")],
                 "",
             )
-            for depth, part in enumerate(way, 1):  # each list of tables by its last entry so far
+            for depth, part in enumerate(parts, 1):  # each list of tables by its last entry so far
                 prefix = f"{prefix}.{part}" if prefix else part
-                if many and depth == len(way):
-                    counts[prefix] = counts.get(prefix, 0) + 1
-                if prefix in counts:
-                    prefix = f"{prefix}[{counts[prefix] - 1}]"
-            out.setdefault(prefix, number)
-        elif key := KEY.match(line):
-            plain = key[1].strip("\"'")
-            out.setdefault(f"{prefix}.{plain}" if prefix else plain, number)
-    return out
-
-
-def decode(path):
+                if is_list and depth == len(parts):
+                    table_counts[prefix] = table_counts.get(prefix, 0) + 1
+                if prefix in table_counts:
+                    prefix = f"{prefix}[{table_counts[prefix] - 1}]"
+            line_by_key.setdefault(prefix, line_number)
+        elif assignment := KEY_ASSIGNMENT.match(line):
+            name = assignment[1].strip("\"'")
+            line_by_key.setdefault(f"{prefix}.{name}" if prefix else name, line_number)
+    return line_by_key
+
+
+def load_toml(path):
     """A file's tables, where its keys stand, and its bytes."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST + 1)
-    except OSError as fault:
-        kind = UnreadableNowError if of_a_moment(fault) else UnusableError
-        raise kind(
-            [Fault(path, fault.strerror or "cannot be read", "check the path and its rights")]
-        ) from fault
-    if len(data) > MOST:
-        raise UnusableError([Fault(path, f"is over {MOST >> 20} MiB", "this is no configuration")])
+            data = file.read(MAX_FILE_BYTES + 1)
+    except OSError as error:
+        error_class = TemporarilyUnreadableError if of_a_moment(error) else UnusableError
+        raise error_class(
+            [Finding(path, error.strerror or "cannot be read", "check the path and its rights")]
+        ) from error
+    if len(data) > MAX_FILE_BYTES:
+        raise UnusableError(
+            [Finding(path, f"is over {MAX_FILE_BYTES >> 20} MiB", "this is no configuration")]
+        )
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
-        raise UnusableError([Fault(path, "is UTF-16", "save it as UTF-8")])
+        raise UnusableError([Finding(path, "is UTF-16", "save it as UTF-8")])
     try:
         text = data.decode("utf-8-sig")
-    except UnicodeDecodeError as fault:
-        line = data[: fault.start].count(b"\n") + 1
+    except UnicodeDecodeError as error:
+        line = data[: error.start].count(b"\n") + 1
         raise UnusableError(
             [
-                Fault(
-                    f"{path}:{line}", f"byte 0x{data[fault.start]:02x} is not UTF-8", "save the file as UTF-8"
+                Finding(
+                    f"{path}:{line}", f"byte 0x{data[error.start]:02x} is not UTF-8", "save the file as UTF-8"
                 )
             ]
         ) from None
     try:
         tables = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as fault:
-        place = re.search(r"\(at line (\d+), column (\d+)\)", str(fault))
-        where = f"{path}:{place[1]}" if place else f"{path}:{text.count(chr(10)) + 1}"
+    except tomllib.TOMLDecodeError as error:
+        position = re.search(r"\(at line (\d+), column (\d+)\)", str(error))
+        location = f"{path}:{position[1]}" if position else f"{path}:{text.count(chr(10)) + 1}"
         raise UnusableError(
-            [Fault(where, str(fault).split(" (at ")[0].lower(), "mend the TOML there")]
+            [Finding(location, str(error).split(" (at ")[0].lower(), "mend the TOML there")]
         ) from None
     except RecursionError:
-        raise UnusableError([Fault(path, "is nested too deep", "mend the TOML")]) from None
-    return tables, {key: f"{path}:{line}" for key, line in lines(text).items()}, data
+        raise UnusableError([Finding(path, "is nested too deep", "mend the TOML")]) from None
+    return tables, {key: f"{path}:{line}" for key, line in key_lines(text).items()}, data
 
 
-def gather(path, depth=0):
+def load_with_includes(path, depth=0):
     """A file's tables over those of the files that it includes."""
-    tables, origin, _ = decode(path)
-    paths, base, seen = [path], {}, {}
-    names = tables.get("include", [])
-    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+    tables, origins, _ = load_toml(path)
+    paths, base, included_origins = [path], {}, {}
+    included = tables.get("include", [])
+    if not isinstance(included, list) or not all(isinstance(name, str) for name in included):
         raise UnusableError(
             [
-                Fault(
-                    origin.get("include", path),
+                Finding(
+                    origins.get("include", path),
                     "include wants a list of file names",
                     'as in include = ["common.toml"]',
                 )
             ]
         )
-    if names and depth >= DEEP:
+    if included and depth >= MAX_INCLUDE_DEPTH:
         raise UnusableError(
             [
-                Fault(
-                    origin.get("include", path),
-                    f"files include one another {DEEP} deep",
+                Finding(
+                    origins.get("include", path),
+                    f"files include one another {MAX_INCLUDE_DEPTH} deep",
                     "take the circle out",
                 )
             ]
         )
-    for name in names:
-        other, places, more = gather(os.path.join(os.path.dirname(path), name), depth + 1)
-        paths = more + paths
-        merge(base, other)
-        seen |= places
+    for name in included:
+        other_tables, other_origins, other_paths = load_with_includes(
+            os.path.join(os.path.dirname(path), name), depth + 1
+        )
+        paths = other_paths + paths
+        merge(base, other_tables)
+        included_origins |= other_origins
     for table in ("product", "kind", "partner"):  # a list of tables stands whole
         if table in tables:
-            seen = {key: place for key, place in seen.items() if not key.startswith(f"{table}[")}
+            included_origins = {
+                key: location for key, location in included_origins.items() if not key.startswith(f"{table}[")
+            }
     merge(base, tables)
-    return base, seen | origin, paths
+    return base, included_origins | origins, paths
 
 
-def merge(base, over):
+def merge(base, overriding):
     """`over`'s keys into `base`, which is returned: tables key by key, anything else replaced."""
-    for key, value in over.items():
+    for key, value in overriding.items():
         if isinstance(value, dict) and isinstance(base.get(key), dict):
             merge(base[key], value)
         else:
@@ -178,30 +184,30 @@
     return base
 
 
-def scalar(word):
+def parse_value(text):
     """A value from a variable or `--set`, as TOML reads it, else as the word it is."""
     try:
-        return tomllib.loads(f"x = {word}")["x"]
+        return tomllib.loads(f"x = {text}")["x"]
     except tomllib.TOMLDecodeError:
-        return word
+        return text
 
 
-def lay_over(tables, origin, key, value, where):
+def set_override(tables, origins, key, value, source):
     """One key from outside the file."""
-    *way, last = key.split(".")
-    at = tables
-    for part in way:
-        at = at.setdefault(part, {})
-        if not isinstance(at, dict):
-            raise UnusableError([Fault(where, f"{key!r} leads into a list", "lists are set in the file")])
-    at[last] = value
-    origin[key] = where
+    *parents, last = key.split(".")
+    table = tables
+    for name in parents:
+        table = table.setdefault(name, {})
+        if not isinstance(table, dict):
+            raise UnusableError([Finding(source, f"{key!r} leads into a list", "lists are set in the file")])
+    table[last] = value
+    origins[key] = source
 
 
-FIELDS = {
+KNOWN_KEYS = {
     name: {part.name: part for part in msgspec.structs.fields(kind)}
     for name, kind in (
-        ("", Sheet),
+        ("", Configuration),
         ("courier", model.CourierPart),
         ("returning", model.ReturnPart),
         ("product", model.ProductPart),
@@ -212,45 +218,47 @@
 }
 
 
-def types(tables, origin, path):
+def unknown_keys(tables, origins, path):
     """What does not have the form: unknown keys, with the likely one, and values of the wrong type."""
-    out = []
-
-    def place(key):
-        return f"{origin[key]}: {key}" if key in origin else f"{path}: {key}"
-
-    def walk(value, name, key):
-        known = FIELDS[name]
-        for word in value:
-            if word not in known:
-                near = difflib.get_close_matches(word, known, 1)
-                out.append(
-                    Fault(
-                        place(f"{key}.{word}" if key else word),
-                        f"there is no key {word!r}",
-                        f"did you mean {near[0]!r}?" if near else f"known are {', '.join(sorted(known))}",
+    findings = []
+
+    def location(key):
+        return f"{origins[key]}: {key}" if key in origins else f"{path}: {key}"
+
+    def walk(table, table_name, key):
+        known = KNOWN_KEYS[table_name]
+        for name in table:
+            if name not in known:
+                similar = difflib.get_close_matches(name, known, 1)
+                findings.append(
+                    Finding(
+                        location(f"{key}.{name}" if key else name),
+                        f"there is no key {name!r}",
+                        f"did you mean {similar[0]!r}?"
+                        if similar
+                        else f"known are {', '.join(sorted(known))}",
                     )
                 )
-        for word, inner in value.items():
-            if word in FIELDS and word in known:
-                plain = f"{key}.{word}" if key else word
-                for number, one in enumerate(inner if isinstance(inner, list) else [inner]):
-                    if isinstance(one, dict):
-                        walk(one, word, f"{plain}[{number}]" if isinstance(inner, list) else plain)
+        for name, inner in table.items():
+            if name in KNOWN_KEYS and name in known:
+                inner_key = f"{key}.{name}" if key else name
+                for index, entry in enumerate(inner if isinstance(inner, list) else [inner]):
+                    if isinstance(entry, dict):
+                        walk(entry, name, f"{inner_key}[{index}]" if isinstance(inner, list) else inner_key)
 
     walk(tables, "", "")
-    return out
+    return findings
 
 
-def build(tables, origin, paths):
+def build_configuration(tables, origins, paths):
     """The typed sheet, or all that is wrong with its form."""
     path = paths[-1]
     version = tables.get("version")
     if isinstance(version, int) and not isinstance(version, bool) and version > VERSION:
         raise UnusableError(
             [
-                Fault(
-                    origin.get("version", path),
+                Finding(
+                    origins.get("version", path),
                     f"version {version} is newer than this program knows ({VERSION})",
                     "update calicopin, or write the file for this version",
                 )
@@ -259,44 +267,50 @@
     if not tables:
         raise UnusableError(
             [
-                Fault(
+                Finding(
                     path,
                     "is empty",
                     "begin with version = 1 and a [courier] table, or let `calicopin write` make it",
                 )
             ]
         )
-    faults = types(tables, origin, path)
-    if faults:
-        raise UnusableError(faults)
+    findings = unknown_keys(tables, origins, path)
+    if findings:
+        raise UnusableError(findings)
     try:
-        return Read(msgspec.convert(tables, Sheet), origin, paths)
-    except msgspec.ValidationError as fault:
-        why, _, key = str(fault).partition(" - at ")
+        return LoadedConfiguration(msgspec.convert(tables, Configuration), origins, paths)
+    except msgspec.ValidationError as error:
+        reason, _, key = str(error).partition(" - at ")
         key = key.strip("`").removeprefix("$").removeprefix(".")
-        missing = re.search(r"missing required field `([^`]+)`", why)
-        do = f"add {missing[1]} there" if missing else _unit(why, key, tables)
-        short = Read(None, origin, paths)
+        missing = re.search(r"missing required field `([^`]+)`", reason)
+        remedy = f"add {missing[1]} there" if missing else _unit_hint(reason, key, tables)
+        untyped = LoadedConfiguration(None, origins, paths)
         raise UnusableError(
-            [Fault(short.place(key) if key else path, why[0].lower() + why[1:], do)]
+            [Finding(untyped.place(key) if key else path, reason[0].lower() + reason[1:], remedy)]
         ) from None
 
 
-def _unit(why, key, tables):
+def _unit_hint(reason, key, tables):
     """A hint where a bare number stands for a time or a size."""
-    if "Expected `str`" in why and ("got `int`" in why or "got `float`" in why):
+    if "Expected `str`" in reason and ("got `int`" in reason or "got `float`" in reason):
         return 'give it as a word with its unit, as in "4s", "250ms" or "3MB"'
     return ""
 
 
-def read(path, environ=None, over=()):
+def read(path, environ=None, overrides=()):
     """A configuration by its file; `environ` holds the variables, `over` pairs (key, word) of the command
     line.
     """
-    tables, origin, paths = gather(path)
-    for name, word in sorted((environ or {}).items()):
-        if name.startswith(PREFIX):
-            lay_over(tables, origin, name[len(PREFIX) :].lower().replace("__", "."), scalar(word), f"${name}")
-    for key, word in over:
-        lay_over(tables, origin, key, scalar(word), "--set")
-    return build(tables, origin, paths)
+    tables, origins, paths = load_with_includes(path)
+    for name, text in sorted((environ or {}).items()):
+        if name.startswith(ENVIRONMENT_PREFIX):
+            set_override(
+                tables,
+                origins,
+                name[len(ENVIRONMENT_PREFIX) :].lower().replace("__", "."),
+                parse_value(text),
+                f"${name}",
+            )
+    for key, text in overrides:
+        set_override(tables, origins, key, parse_value(text), "--set")
+    return build_configuration(tables, origins, paths)
--- a/calicopin/configuration/write.py
+++ b/calicopin/configuration/write.py
@@ -10,13 +10,13 @@
 from msgspec import Meta, Struct, field
 
 from calicopin.configuration import units
-from calicopin.configuration.check import LEAST_BODY, RECORD, least_descriptors
-from calicopin.configuration.read import Fault, UnusableError, decode
+from calicopin.configuration.check import MIN_BODY_BYTES, RECORD_BYTES, min_descriptors
+from calicopin.configuration.read import Finding, UnusableError, load_toml
 
 Name = Annotated[str, Meta(pattern="^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$")]
 
 
-class Shop(Struct, forbid_unknown_fields=True):
+class PartnerDescription(Struct, forbid_unknown_fields=True):
     """One partner that gets texts."""
 
     name: Annotated[str, Meta(min_length=1)]
@@ -25,16 +25,16 @@
     limit: Annotated[float, Meta(ge=0.0)] = 0.0
 
 
-class Receivers(Struct, forbid_unknown_fields=True):
+class PartnerGroup(Struct, forbid_unknown_fields=True):
     """Partners of one kind."""
 
     kind: Annotated[str, Meta(min_length=1)]
     answers: str = "500ms"
     together: Annotated[int, Meta(ge=1)] = 1
-    partner: list[Shop] = field(default_factory=list)
+    partner: list[PartnerDescription] = field(default_factory=list)
 
 
-class Sends(Struct, forbid_unknown_fields=True):
+class ProductDescription(Struct, forbid_unknown_fields=True):
     """One kind of text that the application sends."""
 
     name: Name
@@ -52,8 +52,8 @@
 
     version: Literal[1]
     name: Name
-    sends: Annotated[list[Sends], Meta(min_length=1)]
-    to: Annotated[list[Receivers], Meta(min_length=1)]
+    sends: Annotated[list[ProductDescription], Meta(min_length=1)]
+    to: Annotated[list[PartnerGroup], Meta(min_length=1)]
     listen: str = "127.0.0.1:5000"
     state: str = "state"
     agent: str = ""
@@ -62,152 +62,173 @@
     body: str = "1kB"
 
 
-REPEATS = {"yes": "resendable", "with-reference": "referenced", "no": "once-only"}
+REPEAT_BY_ANSWER = {"yes": "resendable", "with-reference": "referenced", "no": "once-only"}
 
 
 def application(path):
     """The description in a file; UnusableError with one line that names the place."""
-    tables, origin, _ = decode(path)
+    tables, origins, _ = load_toml(path)
     try:
         return msgspec.convert(tables, Application)
-    except msgspec.ValidationError as fault:
-        why, _, key = str(fault).partition(" - at ")
+    except msgspec.ValidationError as error:
+        reason, _, key = str(error).partition(" - at ")
         key = key.strip("`").removeprefix("$").removeprefix(".")
         raise UnusableError(
             [
-                Fault(
-                    f"{origin.get(key, path)}: {key}" if key else path,
-                    why[0].lower() + why[1:],
+                Finding(
+                    f"{origins.get(key, path)}: {key}" if key else path,
+                    reason[0].lower() + reason[1:],
                     "see `calicopin write --example`",
                 )
             ]
         ) from None
 
 
-class Page:
+class ConfigurationText:
     """The file as it grows: each value with its reason."""
 
     def __init__(self):
         self.lines = []
 
-    def say(self, line=""):
+    def add_line(self, line=""):
         """Adds a line."""
         self.lines.append(line)
 
-    def put(self, key, value, why=""):
+    def add_key(self, key, value, reason=""):
         """Adds a key with its value, and the reason behind it as a comment."""
-        self.say(f"{key} = {json.dumps(value, ensure_ascii=False)}" + (f"  # {why}" if why else ""))
+        self.add_line(
+            f"{key} = {json.dumps(value, ensure_ascii=False)}" + (f"  # {reason}" if reason else "")
+        )
 
 
 def compose(app, path="the description"):
     """The configuration's text. UnusableError where the description cannot be served."""
-    faults = []
+    findings = []
 
-    def time(word, place):
+    def parse_duration(text, key):
         try:
-            return units.milliseconds(word)
-        except ValueError as fault:
-            faults.append(Fault(f"{path}: {place}", str(fault)))
+            return units.milliseconds(text)
+        except ValueError as error:
+            findings.append(Finding(f"{path}: {key}", str(error)))
             return 1000.0
 
-    spans = [
-        (time(one.wanted_within, f"sends[{n}].wanted_within"), time(one.useful_for, f"sends[{n}].useful_for"))
-        for n, one in enumerate(app.sends)
+    durations = [
+        (
+            parse_duration(product.wanted_within, f"sends[{index}].wanted_within"),
+            parse_duration(product.useful_for, f"sends[{index}].useful_for"),
+        )
+        for index, product in enumerate(app.sends)
+    ]
+    answer_times = [
+        parse_duration(group.answers, f"to[{index}].answers") for index, group in enumerate(app.to)
     ]
-    answers = [time(one.answers, f"to[{n}].answers") for n, one in enumerate(app.to)]
-    for number, one in enumerate(app.sends):
-        if one.may_run_again == "with-reference" and not one.remembered_for:
-            faults.append(
-                Fault(
-                    f"{path}: sends[{number}].remembered_for",
+    for index, product in enumerate(app.sends):
+        if product.may_run_again == "with-reference" and not product.remembered_for:
+            findings.append(
+                Finding(
+                    f"{path}: sends[{index}].remembered_for",
                     "how long partners remember a reference is not said",
                     "ask them",
                 )
             )
     try:
-        body = units.size(app.body)
-    except ValueError as fault:
-        faults.append(Fault(f"{path}: body", str(fault)))
-    if faults:
-        raise UnusableError(faults)
-    page, longest, slowest = Page(), max(useful for _, useful in spans), max(answers)
+        body_bytes = units.size(app.body)
+    except ValueError as error:
+        findings.append(Finding(f"{path}: body", str(error)))
+    if findings:
+        raise UnusableError(findings)
+    output, max_validity_ms, max_answer_ms = (
+        ConfigurationText(),
+        max(validity_ms for _, validity_ms in durations),
+        max(answer_times),
+    )
     rate = app.texts_per_s / app.couriers
-    slots = max(4, math.ceil(2.0 * rate * slowest / 1000.0) + 4)
-    held = max(slots, 12, math.ceil(min(rate * longest / 1000.0, 1e6)))
-    descriptors = max(64, least_descriptors(slots) + 32)
-    disk = math.ceil(held * (max(body, LEAST_BODY) + RECORD) * 3.0 / 1e6)
-    connect = min(1500.0, min(useful for _, useful in spans) / 4.0)
-    page.say(
+    slots = max(4, math.ceil(2.0 * rate * max_answer_ms / 1000.0) + 4)
+    held = max(slots, 12, math.ceil(min(rate * max_validity_ms / 1000.0, 1e6)))
+    descriptors = max(64, min_descriptors(slots) + 32)
+    disk_mb = math.ceil(held * (max(body_bytes, MIN_BODY_BYTES) + RECORD_BYTES) * 3.0 / 1e6)
+    connect_ms = min(1500.0, min(validity_ms for _, validity_ms in durations) / 4.0)
+    output.add_line(
         f"# The courier beside {app.name}, written by `calicopin write`. `calicopin check` examines it, "
         "`calicopin run` starts it."
     )
-    page.put("version", 1)
-    page.say()
-    page.say("[courier]")
-    page.put("name", app.name)
-    page.put("listen", app.listen)
-    page.put("state", app.state, "keep it from one start to the next: it holds what was taken on")
+    output.add_key("version", 1)
+    output.add_line()
+    output.add_line("[courier]")
+    output.add_key("name", app.name)
+    output.add_key("listen", app.listen)
+    output.add_key("state", app.state, "keep it from one start to the next: it holds what was taken on")
     if app.agent:
-        page.put("agent", app.agent)
-    page.put("senders", app.couriers, "limits are split by it")
-    page.put(
+        output.add_key("agent", app.agent)
+    output.add_key("senders", app.couriers, "limits are split by it")
+    output.add_key(
         "slots",
         slots,
-        f"twice the {rate:g} texts a second that wait {units.spell(slowest)} for an answer, and four more",
+        f"twice the {rate:g} texts a second that wait {units.format_duration(max_answer_ms)} for an answer, "
+        "and four more",
     )
-    page.put(
-        "held", held, f"what comes in the longest useful time, {units.spell(longest)}, if nothing goes out"
+    output.add_key(
+        "held",
+        held,
+        f"what comes in the longest useful time, {units.format_duration(max_validity_ms)}, "
+        "if nothing goes out",
     )
-    page.put("descriptors", descriptors, f"enough for {slots} slots, with room for clients")
-    page.put(
+    output.add_key("descriptors", descriptors, f"enough for {slots} slots, with room for clients")
+    output.add_key(
         "disk",
-        f"{disk}MB",
-        f"{held} texts of {units.spell_size(body)} at most, two fifths of it for live ones, "
+        f"{disk_mb}MB",
+        f"{held} texts of {units.format_size(body_bytes)} at most, two fifths of it for live ones, "
         "and room to rewrite",
     )
-    page.put("connect", units.spell(connect), "a connection that does not come up leaves time for another")
-    for one in app.sends:
-        page.say()
-        page.say("[[product]]")
-        page.put("name", one.name, "the first part of the path: POST /" + one.name)
-        page.put(
+    output.add_key(
+        "connect",
+        units.format_duration(connect_ms),
+        "a connection that does not come up leaves time for another",
+    )
+    for product in app.sends:
+        output.add_line()
+        output.add_line("[[product]]")
+        output.add_key("name", product.name, "the first part of the path: POST /" + product.name)
+        output.add_key(
             "repeat",
-            REPEATS[one.may_run_again],
+            REPEAT_BY_ANSWER[product.may_run_again],
             {
                 "yes": "it may run again",
                 "with-reference": "it may be sent again with its reference while partners know it",
                 "no": "once a submit may have run it is never sent again",
-            }[one.may_run_again],
+            }[product.may_run_again],
         )
-        page.put("sla", one.wanted_within)
-        page.put("validity", one.useful_for)
-        if one.may_run_again == "with-reference":
-            page.put("memory", one.remembered_for)
-        if one.in_order:
-            page.put("in_order", True, "by what follows the product in the path")
-        page.put("revenue", one.worth)
-        if one.only_to:
-            page.put("kinds", one.only_to, "no other kind of partner gets it")
-    for one in app.to:
-        page.say()
-        page.say("[[kind]]")
-        page.put("name", one.kind)
-        page.put("bundle", one.together)
-        page.put("answers", one.answers)
-    for one in app.to:
-        for shop in one.partner:
-            page.say()
-            page.say("[[partner]]")
-            page.put("name", shop.name)
-            page.put("destination", shop.number, f"clients name it: X-Envelope: dest={shop.number}")
-            page.put("kind", one.kind)
-            if shop.limit:
-                page.put("limit", shop.limit)
-            for address in shop.addresses:
-                page.say()
-                page.say("[[partner.endpoint]]")
-                page.put("address", address)
-    return "\n".join(page.lines) + "\n"
+        output.add_key("sla", product.wanted_within)
+        output.add_key("validity", product.useful_for)
+        if product.may_run_again == "with-reference":
+            output.add_key("memory", product.remembered_for)
+        if product.in_order:
+            output.add_key("in_order", True, "by what follows the product in the path")
+        output.add_key("revenue", product.worth)
+        if product.only_to:
+            output.add_key("kinds", product.only_to, "no other kind of partner gets it")
+    for group in app.to:
+        output.add_line()
+        output.add_line("[[kind]]")
+        output.add_key("name", group.kind)
+        output.add_key("bundle", group.together)
+        output.add_key("answers", group.answers)
+    for group in app.to:
+        for partner in group.partner:
+            output.add_line()
+            output.add_line("[[partner]]")
+            output.add_key("name", partner.name)
+            output.add_key(
+                "destination", partner.number, f"clients name it: X-Envelope: dest={partner.number}"
+            )
+            output.add_key("kind", group.kind)
+            if partner.limit:
+                output.add_key("limit", partner.limit)
+            for address in partner.addresses:
+                output.add_line()
+                output.add_line("[[partner.endpoint]]")
+                output.add_key("address", address)
+    return "\n".join(output.lines) + "\n"
 
 
 EXAMPLE = """version = 1
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,7 +12,7 @@
 from calicopin import deployment_settings as deployment
 from calicopin.command.__main__ import main
 from calicopin.configuration import check, compare, convert, pages
-from calicopin.configuration.read import Read, read
+from calicopin.configuration.read import LoadedConfiguration, read
 
 # (the file, what its line must name, and what it must say)
 BROKEN = [
@@ -136,7 +136,7 @@
         'state = "state"',
         f"slots = {slots}",
         f"held = {held}",
-        f"descriptors = {check.least_descriptors(slots) + rng.randrange(200)}",
+        f"descriptors = {check.min_descriptors(slots) + rng.randrange(200)}",
         f'disk = "{1 + held // 400}{rng.choice([".5", ""])}MB"',
         f"senders = {rng.randrange(1, 9)}",
         f'connect = "{rng.randrange(100, 900)}ms"',
@@ -188,7 +188,7 @@
         assert not faults, (path.read_text(), list(map(str, faults)))
         plain = json.loads(json.dumps(convert.to_platform(told)))
         back = convert.from_platform(plain)
-        assert convert.to_platform(Read(back, {}, [])) == plain
+        assert convert.to_platform(LoadedConfiguration(back, {}, [])) == plain
         path.unlink()
 
 
@@ -281,7 +281,7 @@
         "known": {"version": 4, "full": True, "servers": []},
         "settings": terms(prices={"waste": 0.08}, stages=["partners"]),
     }
-    back = convert.to_platform(Read(convert.from_platform(plain), {}, []))
+    back = convert.to_platform(LoadedConfiguration(convert.from_platform(plain), {}, []))
     for key, value in plain["settings"].items():
         assert back["settings"][key] == value, key
     assert {key: back[key] for key in plain if key != "settings"} == {
