--- a/calicopin/configuration/__init__.py
+++ b/calicopin/configuration/__init__.py
@@ -1,5 +1,5 @@
-"""The operator's configuration: TOML in our words, read, checked, compared, written and turned into the
+"""The operator's configuration: TOML files that are read, checked, compared, written and converted to the
 platform's form.
 
-Nothing here is read in by a courier that runs on the platform's own JSON.
+A courier that runs on the platform's own JSON imports nothing from this package.
 """
--- a/calicopin/configuration/check.py
+++ b/calicopin/configuration/check.py
@@ -1,4 +1,4 @@
-"""What the types cannot say: settings that are legal one by one and wrong together.
+"""Checks beyond the types: settings that are valid one by one and contradict each other.
 
 Every finding says what to do.
 """
@@ -20,14 +20,12 @@
     "product": ("sla", "validity", "memory"),
     "kind": ("answers",),
 }
-MAX_VALIDITY_MS = 86_400_000.0  # a day: clients may name no longer validity period
-MAX_SOCKET_PATH_BYTES = 100  # bytes of a Unix socket's path
+MAX_VALIDITY_MS = 86_400_000.0  # a day: the longest that a client may ask for
+MAX_SOCKET_PATH_BYTES = 100  # below the kernel's limit of 108 for a Unix socket's path
 
 
 class Checks:
-    """One configuration under examination; `faults` are what stops it, `doubts` what an operator should
-    know.
-    """
+    """Checks of one configuration: `errors` prevent a start, `warnings` are left to the operator."""
 
     def __init__(self, loaded):
         self.loaded, self.configuration, self.errors, self.warnings, self.durations_ms = (
@@ -39,15 +37,15 @@
         )
 
     def add_error(self, key, reason, remedy=""):
-        """Adds what stops the configuration, at the place where the key stands; `do` says what to do."""
+        """Adds an error at the location of the key; `remedy` says what to do."""
         self.errors.append(Finding(self.loaded.place(key), reason, remedy))
 
     def add_warning(self, key, reason, remedy=""):
-        """Adds what an operator should know, at the place where the key stands; `do` says what to do."""
+        """Adds a warning at the location of the key; `remedy` says what to do."""
         self.warnings.append(Finding(self.loaded.place(key), reason, remedy))
 
     def parse_durations(self):
-        """Every time in milliseconds, by its key."""
+        """Reads durations as milliseconds and the disk limit as bytes; returns whether no error was found."""
         for table_name, keys in DURATION_KEYS.items():
             value = getattr(self.configuration, table_name)
             is_list = isinstance(value, list)
@@ -65,7 +63,7 @@
         return not self.errors
 
     def run(self):
-        """All of it; what needs readable times is left out where one is not."""
+        """Runs all checks; those that need durations are skipped where one is invalid."""
         self.check_names()
         self.check_addresses()
         if self.parse_durations():
@@ -77,15 +75,15 @@
         return self
 
     def check_names(self):
-        """Names that stand twice, kinds that are not told, and a number beyond the senders."""
+        """Duplicate names, unknown kinds, and a courier number that is not below the number of senders."""
         for table in ("product", "kind"):
             seen = set()
             for index, entry in enumerate(getattr(self.configuration, table)):
                 if entry.name in seen:
                     self.add_error(
                         f"{table}[{index}].name",
-                        f"{entry.name!r} stands twice",
-                        "give each a name of its own",
+                        f"{entry.name!r} is used twice",
+                        "give each its own name",
                     )
                 seen.add(entry.name)
         kinds = [kind.name for kind in self.configuration.kind]
@@ -94,11 +92,11 @@
                 if kind not in kinds:
                     self.add_error(
                         f"product[{index}].kinds",
-                        f"{kind!r} is no kind of partner",
-                        f"known are {', '.join(kinds)}",
+                        f"{kind!r} is not a kind of partner",
+                        f"known kinds: {', '.join(kinds)}",
                     )
         if len(set(self.configuration.zones)) < len(self.configuration.zones):
-            self.add_error("zones", "a zone stands twice", "name each once")
+            self.add_error("zones", "a zone is listed twice", "list each once")
         if self.configuration.courier.number >= self.configuration.courier.senders:
             self.add_error(
                 "courier.number",
@@ -108,15 +106,15 @@
             )
 
     def check_addresses(self):
-        """Addresses that cannot be read, or that stand where another is needed."""
+        """Invalid addresses, and addresses that conflict with each other."""
         courier = self.configuration.courier
         if courier.listen.startswith("unix:"):
             path = courier.listen[5:]
             if not path.startswith("/") or len(path.encode()) > MAX_SOCKET_PATH_BYTES:
                 self.add_error(
                     "courier.listen",
-                    f"{path!r} is no path for a socket",
-                    f"give an absolute one of at most {MAX_SOCKET_PATH_BYTES} bytes",
+                    f"{path!r} is not a path for a socket",
+                    f"give an absolute path of at most {MAX_SOCKET_PATH_BYTES} bytes",
                 )
         else:
             self.check_address("courier.listen", courier.listen)
@@ -126,34 +124,35 @@
                 self.add_error(
                     "courier.agent",
                     f"{courier.agent} is where the courier itself listens",
-                    "give the platform's agent",
+                    "give the address of the platform's agent",
                 )
         if courier.admin:
             self.check_address("courier.admin", courier.admin)
             if courier.admin in (courier.listen, courier.agent):
                 self.add_error(
                     "courier.admin",
-                    f"{courier.admin} is taken by {'listen' if courier.admin == courier.listen else 'agent'}",
-                    "give it a port of its own",
+                    f"{courier.admin} is already used by "
+                    f"{'listen' if courier.admin == courier.listen else 'agent'}",
+                    "give it its own port",
                 )
         if courier.notices:
             self.check_address("courier.notices", courier.notices)
             if courier.agent:
                 self.add_error(
                     "courier.notices",
-                    "notices go to the agent where there is one",
-                    "take notices or agent out",
+                    "notices are sent to the agent where there is one",
+                    "remove notices or agent",
                 )
 
         self.check_discovery_nodes()
 
     def check_discovery_nodes(self):
-        """Discovery nodes and what goes with them."""
+        """Discovery nodes and the name of their fleet."""
         courier = self.configuration.courier
         for index, node in enumerate(courier.nodes):
             self.check_address(f"courier.nodes[{index}]", node)
             if node in courier.nodes[:index]:
-                self.add_error(f"courier.nodes[{index}]", f"{node} stands there twice", "name each once")
+                self.add_error(f"courier.nodes[{index}]", f"{node} is listed twice", "list each once")
             if node in (courier.listen, courier.admin):
                 self.add_error(
                     f"courier.nodes[{index}]",
@@ -163,23 +162,23 @@
         if courier.nodes and not courier.fleet:
             self.add_error(
                 "courier.fleet",
-                "which fleet the nodes serve is not said",
+                "which fleet the nodes serve is not given",
                 "give the name that the nodes were started with",
             )
         if courier.fleet and not courier.nodes:
             self.add_error(
-                "courier.fleet", "there are no nodes that serve it", "give courier.nodes, or take it out"
+                "courier.fleet", "there are no nodes that serve it", "give courier.nodes, or remove it"
             )
 
     def check_address(self, key, text):
-        """A fault at the key where the word is no address."""
+        """Adds an error at the key where the text is not an address."""
         try:
             units.address(text)
         except ValueError as error:
             self.add_error(key, str(error))
 
     def check_products(self):
-        """Times, repeats and revenues of each product against one another and the courier's."""
+        """Durations and repeat rule of each product against each other, its partners and the courier."""
         connect_ms, courier = self.durations_ms["courier.connect"], self.configuration.courier
         for index, product in enumerate(self.configuration.product):
             key = f"product[{index}]"
@@ -189,7 +188,7 @@
             if sla_ms <= 0.0:
                 self.add_error(
                     f"{key}.sla",
-                    "no text can be delivered in no time",
+                    "an SLA time of 0 cannot be met",
                     "give the time in which a delivery earns in full",
                 )
             if sla_ms > validity_ms:
@@ -207,14 +206,15 @@
             if product.repeat == "referenced" and memory_ms <= 0.0:
                 self.add_error(
                     f"{key}.memory",
-                    f"{product.name!r} is referenced, and how long partners know a reference is not said",
+                    f"{product.name!r} is referenced, but "
+                    "how long partners remember a reference is not given",
                     "give memory, or make it once-only",
                 )
             if product.repeat != "referenced" and (memory_ms > 0.0 or product.memory_by_zone):
                 self.add_error(
                     f"{key}.memory",
                     f"{product.name!r} is {product.repeat}, so no reference is ever sent",
-                    "take memory out, or make the product referenced",
+                    "remove memory, or make the product referenced",
                 )
             if product.repeat == "referenced" and 0.0 < memory_ms < min(sla_ms, validity_ms):
                 self.add_error(
@@ -231,22 +231,22 @@
             if answer_ms >= validity_ms:
                 self.add_error(
                     f"{key}.validity",
-                    f"{product.validity} is over before any of its partners answers, "
+                    f"{product.validity} ends before any of its partners answers, "
                     f"which takes {units.format_duration(answer_ms)}",
                     "raise validity",
                 )
             elif product.repeat != "once-only" and validity_ms < connect_ms + 2.0 * answer_ms:
                 self.add_error(
                     f"{key}.validity",
-                    f"{product.validity} is shorter than one lost call "
+                    f"{product.validity} is shorter than one failed call "
                     f"({units.format_duration(connect_ms)} to connect, "
-                    f"{units.format_duration(answer_ms)} to answer) and its repeat",
+                    f"{units.format_duration(answer_ms)} to answer) and its retry",
                     "raise validity or lower courier.connect",
                 )
             if answer_ms > sla_ms:
                 self.add_warning(
                     f"{key}.sla",
-                    f"partners mostly answer after {units.format_duration(answer_ms)}, beyond it",
+                    f"partners mostly answer after {units.format_duration(answer_ms)}, which is longer",
                     "its texts will mostly be late",
                 )
             if connect_ms >= validity_ms:
@@ -259,19 +259,19 @@
             if product.in_order and self.durations_ms["courier.settle"] >= validity_ms:
                 self.add_error(
                     "courier.settle",
-                    f"an order key rests for {courier.settle}, "
+                    f"an order key is paused for {courier.settle}, "
                     f"longer than a text of {product.name!r} is valid",
                     "lower settle",
                 )
 
     def check_courier(self):
-        """Descriptors, disk, times, store and folder of the courier against what it is to hold and call."""
+        """Limits, durations, store and folder of the courier against its slots and the texts it may hold."""
         courier = self.configuration.courier
         budget = Budget(courier.descriptors, courier.slots, bool(courier.admin))
         if budget.calls < courier.slots:
             self.add_error(
                 "courier.descriptors",
-                f"{courier.descriptors} leave descriptors for {budget.calls} calls, "
+                f"{courier.descriptors} leaves descriptors for {budget.calls} calls, "
                 f"not for {courier.slots} slots",
                 f"raise it to {min_descriptors(courier.slots)} at least, or lower slots",
             )
@@ -294,19 +294,21 @@
         if idle_ms <= connect_ms:
             self.add_warning(
                 "courier.idle",
-                f"connections idle for {courier.idle} are closed in the time that one takes to open, "
+                f"idle connections are closed after {courier.idle}, no longer than one may take to open, "
                 f"{courier.connect}",
-                "few calls will find one",
+                "few calls will find an idle connection",
             )
         if courier.give_back and idle_ms <= 0.0:
             self.add_error(
                 "courier.give_back",
-                f"partners close idle connections after {courier.idle}, so there is none to give back",
-                "take it out, or say how long partners keep them",
+                f"partners close idle connections after {courier.idle}, so there is none to close",
+                "remove it, or say how long partners keep them",
             )
         if self.durations_ms["courier.tick"] <= 0.0 or self.durations_ms["courier.tick"] > 1000.0:
             self.add_error(
-                "courier.tick", f"{courier.tick} is no time between two turns", "give 1ms to 1s; 5ms is usual"
+                "courier.tick",
+                f"{courier.tick} is not a usable time between two turns",
+                "give 1ms to 1s; 5ms is usual",
             )
         if self.durations_ms["courier.list_age"] <= 0.0:
             self.add_error("courier.list_age", "no list is as new as that", "give a time; 24h is usual")
@@ -319,7 +321,7 @@
         self.check_folder("courier.state", courier.state)
 
     def check_folder(self, key, path):
-        """The folder as far as it can be looked at without changing anything."""
+        """Whether the folder can be used or created, without changing anything."""
         path = (
             os.path.join(os.path.dirname(self.loaded.paths[-1]), path)
             if self.loaded.paths and not os.path.isabs(path)
@@ -334,53 +336,51 @@
             if not os.path.isdir(parent) or not os.access(parent, os.W_OK | os.X_OK):
                 self.add_error(
                     key,
-                    f"{path} does not exist and cannot be made in {parent}",
-                    "make it, owned by the courier's user",
+                    f"{path} does not exist and cannot be created in {parent}",
+                    "create it, owned by the courier's user",
                 )
             return
         except OSError as error:
             self.add_error(key, f"{path}: {error.strerror}", "give a folder")
             return
         if not stat.S_ISDIR(status.st_mode):
-            self.add_error(key, f"{path} is no folder", "give a folder of the courier's own")
+            self.add_error(key, f"{path} is not a folder", "give the courier a folder of its own")
         elif not os.access(path, os.W_OK | os.X_OK):
-            self.add_error(key, f"{path} cannot be written", "give the courier's user the right to")
+            self.add_error(key, f"{path} cannot be written", "give the courier's user write permission")
 
     def check_returning(self):
-        """The rule on returning partners: its times, multiple and share against one another."""
+        """The rule on returning partners: its durations, multiple and share against each other."""
         returning = self.configuration.returning
         if self.durations_ms["returning.span"] <= 0.0:
-            self.add_error(
-                "returning.span", "a span of no time cannot be counted over", "give a second or more"
-            )
+            self.add_error("returning.span", "a span of 0 cannot be measured over", "give a second or more")
         if self.durations_ms["returning.cold"] < self.durations_ms["returning.span"]:
             self.add_warning(
                 "returning.cold",
                 f"{returning.cold} is shorter than the span {returning.span}",
-                "partners will hardly be spared",
+                "the rule will hardly protect partners",
             )
         if returning.cold_from * returning.multiple >= 1.0:
             self.add_warning(
                 "returning.multiple",
-                f"{returning.multiple:g} times the {returning.cold_from:g} that a cold partner can do is all "
-                "it can do when warm",
-                "nothing will be spared; lower one of them",
+                f"{returning.multiple:g} times the capacity share {returning.cold_from:g} of a "
+                "returning partner is its full capacity or more",
+                "the rule will have no effect; lower one of them",
             )
 
     def check_late_revenue(self):
-        """Revenues that have nothing left to fade."""
+        """Late revenues that leave nothing to decline."""
         if self.configuration.late == "linear":
             return
         for index, product in enumerate(self.configuration.product):
             if product.late_revenue >= 1.0:
                 self.add_warning(
                     f"product[{index}].late_revenue",
-                    "all of the revenue is left at the end, so nothing fades",
+                    "all of the revenue is left at the end of the validity period, so late has no effect",
                     "",
                 )
 
     def check_partners(self):
-        """The list, where it stands here or in a file of its own."""
+        """The partner list, in this file or in a file of its own."""
         configuration = self.configuration
         sources = [
             bool(configuration.courier.agent or configuration.courier.nodes),
@@ -410,7 +410,7 @@
                 return
             place = lambda key: f"{origin.get(key, path)}: {key}"  # noqa: E731
         self.errors += partner_list.check_partners(partners, configuration, place)
-        if not configuration.courier.nodes:  # the nodes tell which partners there are
+        if not configuration.courier.nodes:  # with nodes, the partners are known only from them
             self.check_reachable_products(partners, place)
         if self.errors:
             return
@@ -426,33 +426,32 @@
                         place(f"partner[{index}].limit").rpartition(": ")[2]
                         if not configuration.partners_file
                         else "partners_file",
-                        f"{partner.limit:g} calls a second of {configuration.courier.senders} senders are "
-                        f"{calls:.2f} calls of this one "
+                        f"{partner.limit:g} calls a second of {configuration.courier.senders} senders leave "
+                        f"this one {calls:.2f} calls "
                         f"to {partner.name!r} in the longest validity period",
-                        "agree a higher limit, or send from fewer couriers",
+                        "agree on a higher limit, or send from fewer couriers",
                     )
 
     def check_reachable_products(self, partners, place):
-        """Products that nobody gets, and kinds that a product may not reach though a partner is to get it."""
+        """Products that no listed partner may get."""
         listed_kinds = {partner.kind for partner in partners}
         for index, product in enumerate(self.configuration.product):
             if product.kinds and not listed_kinds & set(product.kinds):
                 self.add_error(
                     f"product[{index}].kinds",
-                    f"{product.name!r} may go to {', '.join(product.kinds)} only, and no partner is one",
+                    f"{product.name!r} may go to {', '.join(product.kinds)} only, "
+                    "and no partner is of such a kind",
                     "give a partner that kind, or allow another",
                 )
 
 
 def calls_per_sender(limit, senders, period_ms):
-    """Calls of one sender at a limit in calls a second of all, in the longest validity period in
-    milliseconds.
-    """
+    """Calls of one sender in `period_ms`; `limit` is in calls a second of all senders together."""
     return limit / senders * period_ms / 1000.0
 
 
 def milliseconds_or_zero(text):
-    """A time in ms; 0 where the word is none."""
+    """A duration in milliseconds; 0 where the text is not one."""
     try:
         return units.milliseconds(text)
     except ValueError:
@@ -460,7 +459,7 @@
 
 
 def min_descriptors(slots):
-    """The fewest descriptors that leave room for so many calls at once."""
+    """The fewest descriptors that leave room for a call in every slot."""
     count = 32
     while Budget(count, slots).calls < slots:
         count += 1
@@ -468,6 +467,6 @@
 
 
 def examine(loaded):
-    """(faults, doubts) of a configuration that was read."""
+    """(errors, warnings) of a configuration that was read."""
     checks = Checks(loaded).run()
     return checks.errors, checks.warnings
--- a/calicopin/configuration/compare.py
+++ b/calicopin/configuration/compare.py
@@ -1,4 +1,4 @@
-"""What changes from one configuration to the next, and when it takes hold: with SIGHUP, or only with a
+"""What changes from one configuration to the next, and when it takes effect: on SIGHUP, or only after a
 restart.
 """
 
@@ -17,7 +17,7 @@
 
 
 def flatten(value, key=""):
-    """Plain keys and their values."""
+    """Yields (flat key, value) pairs; entries of a list of tables go by their name, else by their index."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from flatten(inner, f"{key}.{name}" if key else name)
@@ -30,7 +30,7 @@
 
 
 def whole(configuration):
-    """Every key with its value, defaults too."""
+    """Every flat key with its value, including defaults."""
 
     def to_plain(value):
         if isinstance(value, msgspec.Struct):
@@ -44,7 +44,7 @@
 
 
 def is_reloadable(key):
-    """Whether a running courier takes the key up at SIGHUP."""
+    """Whether a running courier applies the key on SIGHUP."""
     without_indices = "".join(
         part.split("]", 1)[-1] if index else part
         for index, part in enumerate(key.replace("[", "\0[").split("\0"))
@@ -60,8 +60,8 @@
 
 
 def changes(old, new):
-    """(key, before, after, "SIGHUP" or "restart") of every key that differs; None stands for a key that is
-    not there.
+    """(key, before, after, "SIGHUP" or "restart") of every key that differs; None stands for a missing
+    key.
     """
     before, after = whole(old), whole(new)
     return [
--- a/calicopin/configuration/convert.py
+++ b/calicopin/configuration/convert.py
@@ -1,6 +1,7 @@
-"""To and from the platform's JSON.
+"""Conversion to and from the platform's JSON.
 
-What the platform says beyond our keys is kept as it is, so that nothing is lost.
+What the platform's JSON says beyond the keys of a configuration is kept under `platform`, so that nothing
+is lost.
 """
 
 import copy
@@ -22,12 +23,12 @@
 
 
 def parse_seconds(text):
-    """A time with its unit as seconds; ValueError where it is none."""
+    """A duration in seconds; ValueError where the text is not one."""
     return units.milliseconds(text) / 1000.0
 
 
 def platform_settings(configuration):
-    """The settings that the module reads."""
+    """The `settings` object of the platform's JSON."""
     courier, returning = configuration.courier, configuration.returning
     products = []
     for product in configuration.product:
@@ -79,13 +80,13 @@
         weights="nominal" if configuration.limits_listed else "silent",
         discovery="push",
     )
-    if not courier.give_back:  # on the platform they are given back unless it says otherwise
+    if not courier.give_back:  # the platform's default is true
         result["ceilings"]["giveBack"] = False
     return merge(result, copy.deepcopy(configuration.platform.get("settings", {})))
 
 
 def to_platform(loaded):
-    """The platform's JSON as an object, from a configuration that was read and found sound."""
+    """The platform's JSON as an object, from a configuration that was read and has no errors."""
     configuration, folder = (
         loaded.sheet,
         os.path.dirname(os.path.abspath(loaded.paths[-1])) if loaded.paths else os.getcwd(),
@@ -128,7 +129,7 @@
 
 
 def difference(full, converted):
-    """What `whole` says beyond `ours`, or differently."""
+    """The keys of `full` that `converted` lacks or has with another value."""
     rest = {}
     for key, value in full.items():
         if isinstance(value, dict) and isinstance(converted.get(key), dict):
@@ -141,18 +142,20 @@
 
 
 def format_seconds(value):
-    """Seconds as a time with its unit."""
+    """Seconds as a duration with its unit; none counts as 0."""
     return units.format_duration(float(value or 0.0) * 1000.0)
 
 
 def from_platform(platform):
-    """A sheet that converts back to the same JSON; ValueError where the JSON lacks what a courier needs."""
+    """A configuration that converts back to the same JSON; ValueError where the JSON lacks what a courier
+    needs.
+    """
     try:
         settings, limits = platform["settings"], platform.get("limits", {})
         family_info, ceilings, rules = settings["familyInfo"], settings["ceilings"], settings["rules"]
         kinds = settings.get("kinds") or ["any"]
         if platform.get("watched"):
-            raise KeyError("a list of its own: it was made from a file with partners_file")
+            raise KeyError("the partners: it was made from a file with partners_file")
         bundles, apart = family_info.get("bundleMax") or [], family_info.get("ownLimits") or []
         configuration = Configuration(
             version=1,
@@ -222,14 +225,17 @@
             ],
         )
     except (KeyError, TypeError, AttributeError, IndexError) as error:
-        raise ValueError(f"the platform's JSON lacks or garbles {error}") from None
+        raise ValueError(f"the platform's JSON lacks or has an invalid value for {error}") from None
     converted = to_platform(LoadedConfiguration(configuration, {}, []))
     configuration.platform = difference(platform, converted)
     return configuration
 
 
 def as_toml(configuration):
-    """An operator's file. Its libraries are read in here: a courier that starts from one never writes one."""
+    """The text of an operator's file.
+
+    Imports its libraries here: a courier reads such a file and never writes one.
+    """
     import msgspec
     import tomli_w
 
--- a/calicopin/configuration/migrate.py
+++ b/calicopin/configuration/migrate.py
@@ -1,7 +1,7 @@
-"""From a file of the old shape (few couriers, partners that tell much) to its counterpart for many couriers.
+"""Migrates a file for few couriers, with partners that report their limits, to one for many couriers.
 
-The form stays version 1: only values and keys change. What cannot be carried over is told, never dropped in
-silence.
+The format stays version 1: only values and keys change. What cannot be carried over is reported, never
+dropped silently.
 """
 
 import copy
@@ -15,11 +15,11 @@
     ("settings", "loadInfo"): "reports",
     ("settings", "weights"): "limits_listed",
     ("settings", "ceilings", "giveBack"): "courier.give_back",
-}  # of the platform's own keys, what would undo the new values
+}  # keys of the platform's own settings that would override the new values
 
 
 def remove_key(tables, path):
-    """Removes the key at `way`, with tables that it leaves empty; whether it was there."""
+    """Removes the key at `path` and the tables that this leaves empty; returns whether it was there."""
     if path[0] not in tables:
         return False
     if len(path) == 1:
@@ -33,19 +33,22 @@
 
 
 def migrate(loaded, senders, reports=None, once_only=(), environ=os.environ):
-    """(the new sheet, what was not carried over as (place, why) pairs).
+    """(the new configuration, what was not carried over as (place, reason) pairs).
 
-    `told` is a file as it was read; `reports` says whether partners' answers still tell their limits (None:
-    as before); `once_only` names products that may not run twice any more. UnusableError where a name is not
-    in
-    the file or the number of senders does not hold the courier's own.
+    `loaded` is a file as it was read; `reports` says whether partners' answers still report their limits
+    (None: as before); `once_only` names products that may no longer run twice. UnusableError where a name is
+    not in the file or the courier's own number is not below the number of senders.
     """
     configuration, not_carried_over, findings = copy.deepcopy(loaded.sheet), [], []
     names = [product.name for product in configuration.product]
     for name in once_only:
         if name not in names:
             findings.append(
-                Finding(f"--once-only {name}", "is no product of the file", f"known are {', '.join(names)}")
+                Finding(
+                    f"--once-only {name}",
+                    "is not a product of the file",
+                    f"known products: {', '.join(names)}",
+                )
             )
     if configuration.courier.number >= senders:
         findings.append(
@@ -61,19 +64,22 @@
         not_carried_over.append(
             (
                 "include",
-                f"{', '.join(configuration.include)} are written into the one new file; "
-                "comments are left behind",
+                f"{', '.join(configuration.include)} are merged into the one new file; comments are not kept",
             )
         )
         configuration.include = []
     for name in sorted(environ):
         if name.startswith(ENVIRONMENT_PREFIX):
             not_carried_over.append(
-                (name, "a variable of this process is not written down: set it again where the new file runs")
+                (
+                    name,
+                    "a variable of this process is not written to the file: "
+                    "set it again where the new file is used",
+                )
             )
     for path, key in OVERRIDING_KEYS.items():
         if remove_key(configuration.platform, path):
-            not_carried_over.append(("platform." + ".".join(path), f"would stand over {key} and is left out"))
+            not_carried_over.append(("platform." + ".".join(path), f"would override {key} and is left out"))
     for product in configuration.product:
         if product.name in once_only and product.repeat != "once-only":
             if product.repeat == "referenced":
@@ -89,7 +95,7 @@
         not_carried_over.append(
             (
                 "courier.idle",
-                f"{configuration.courier.idle}: no idle connection is kept, so none is given back",
+                f"{configuration.courier.idle}: no idle connection is kept, so there is none to close",
             )
         )
         configuration.courier.give_back = False
@@ -101,9 +107,8 @@
             not_carried_over.append(
                 (
                     f"partner[{partner.name}].limit",
-                    f"{partner.limit:g} calls a second of {senders} senders are under one call of this "
-                    "courier "
-                    "in the longest validity period: it learns the pace from refusals instead",
+                    f"{partner.limit:g} calls a second of {senders} senders are less than one call of "
+                    "this courier in the longest validity period: it adapts its rate to refusals instead",
                 )
             )
             partner.limit = 0.0
@@ -111,15 +116,15 @@
         not_carried_over.append(
             (
                 "partners_file",
-                f"{configuration.partners_file} is not rewritten: its limits are read anew, "
-                "and `calicopin check` tells of those that are too small",
+                f"{configuration.partners_file} is not rewritten: its limits stay, "
+                "and `calicopin check` reports those that are too small",
             )
         )
     return configuration, not_carried_over
 
 
 def written(configuration):
-    """The file's text; defaults stay out."""
+    """The text of the new file; defaults are left out."""
     return (
         "# Written by `calicopin migrate`; docs/migration.md has the steps of the move.\n"
         + convert.as_toml(configuration)
@@ -127,5 +132,5 @@
 
 
 def faults(configuration, loaded):
-    """What `calicopin check` would say of the new file, by its keys."""
+    """The errors that `calicopin check` would report for the new file, by key."""
     return check.examine(LoadedConfiguration(configuration, {}, loaded.paths))[0]
--- a/calicopin/configuration/model.py
+++ b/calicopin/configuration/model.py
@@ -1,8 +1,8 @@
 """The types of a configuration.
 
-Times and sizes are words with units (`units.py`); every default is stated here once.
+Durations and sizes are strings with units (`units.py`); every default is stated here once.
 
-The docstrings and `Meta` descriptions make `docs/configuration.md` and the JSON Schema.
+`docs/configuration.md` and the JSON Schema are generated from the docstrings and `Meta` descriptions.
 """
 
 from typing import Annotated, Literal
@@ -13,12 +13,12 @@
 
 
 def about(description, **bounds):
-    """A key's line on the operators' page, with its bounds."""
+    """A key's description on the operators' page, with the bounds of its value."""
     return Meta(description=description, **bounds)
 
 
 class Part(Struct, forbid_unknown_fields=True, kw_only=True, omit_defaults=True):
-    """What all tables share: an unknown key is a fault."""
+    """Base of all tables; an unknown key is an error."""
 
 
 class CourierPart(Part, kw_only=True):
@@ -61,7 +61,7 @@
     senders: Annotated[
         int, about("how many couriers send to the same partners: limits are split by it", ge=1)
     ] = 1
-    seed: Annotated[int, about("of its chance; 0 draws one from its name", ge=0)] = 0
+    seed: Annotated[int, about("seed of its random choices; 0 derives one from its name", ge=0)] = 0
     slots: Annotated[int, about("calls out at once, at most", ge=1, le=100000)] = 24
     held: Annotated[int, about("texts held at once, at most", ge=1, le=10_000_000)] = 400
     tries: Annotated[int, about("submits for one text, at most", ge=1, le=1000)] = 8
@@ -77,8 +77,12 @@
         ),
     ] = False
     advice: Annotated[str, about("the longest wait that clients are advised; 0s for none")] = "2s"
-    settle: Annotated[str, about("the rest of an order key after a submit that may still run")] = "700ms"
-    tick: Annotated[str, about("the time between two turns that decisions count with")] = "5ms"
+    settle: Annotated[str, about("how long an order key is paused after a submit that may still run")] = (
+        "700ms"
+    )
+    tick: Annotated[
+        str, about("the time between two turns of its event loop, as its decisions assume it")
+    ] = "5ms"
     store: Annotated[
         Literal["file", "segments"],
         about(
@@ -98,16 +102,16 @@
 
 
 class ReturnPart(Part, kw_only=True):
-    """The rule on partners that return from an outage: they are not pushed over."""
+    """How load on a partner is limited after an outage, so that it is not overloaded again."""
 
     cold_from: Annotated[
         float, about("share of its capacity that a partner has as it returns", gt=0.0, le=1.0)
     ] = 0.2
-    cold: Annotated[str, about("after which it has all of it")] = "10s"
-    multiple: Annotated[float, about("sent more than this multiple of what it can do", ge=1.0, le=100.0)] = (
-        2.0
-    )
-    span: Annotated[str, about("for so long, it falls over")] = "3s"
+    cold: Annotated[str, about("after which it has its full capacity again")] = "10s"
+    multiple: Annotated[
+        float, about("load above this multiple of its current capacity overloads it", ge=1.0, le=100.0)
+    ] = 2.0
+    span: Annotated[str, about("how long it withstands such an overload before it fails again")] = "3s"
 
 
 class ProductPart(Part, kw_only=True):
--- a/calicopin/configuration/pages.py
+++ b/calicopin/configuration/pages.py
@@ -1,4 +1,4 @@
-"""The operators' page of every key and the JSON Schema, made from the types."""
+"""The operators' page of every key and the JSON Schema, generated from the types."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 def schema():
-    """JSON Schema (2020-12) of the whole form."""
+    """The JSON Schema (2020-12) of a configuration file."""
     return msgspec.json.schema(model.Configuration) | {
         "$schema": "https://json-schema.org/draft/2020-12/schema"
     }
--- a/calicopin/configuration/partners.py
+++ b/calicopin/configuration/partners.py
@@ -1,5 +1,5 @@
-"""The list of partners, from the tables of a configuration or of a watched file of its own: checked whole,
-or not taken.
+"""The partner list, from the tables of a configuration or of a watched file of its own: accepted as a
+whole, or not at all.
 """
 
 import tomllib
@@ -15,8 +15,8 @@
 
 
 def seal(data):
-    """A list file's bytes with the end that tells it whole: how many partners, and a checksum over all
-    before it.
+    """A list file's bytes with an [end] table that shows it is complete: the number of partners, and a
+    checksum of everything before it.
     """
     body = data.split(END_MARKER)[0].rstrip() + b"\n\n"
     count = len(tomllib.loads(body.decode()).get("partner", []))
@@ -24,13 +24,13 @@
 
 
 def integrity_findings(path, data, tables):
-    """What shows that the file was cut or damaged."""
+    """Findings that show that the file was truncated or damaged."""
     end = tables.get("end")
     if not isinstance(end, dict) or data.count(END_MARKER) != 1:
         return [
             Finding(
                 path,
-                "has no [end] table, so nobody can tell whether it is whole",
+                "has no [end] table, so it may be incomplete",
                 "write it with `calicopin partners seal`, which puts [end] with its count and checksum last",
             )
         ]
@@ -40,7 +40,7 @@
             Finding(
                 path,
                 f"holds {len(tables.get('partner', []))} partners where [end] says {end.get('partners')!r}",
-                "it was cut or is being written: the list before it stays",
+                "it was truncated or is being written: the previous list stays in use",
             )
         ]
     if "crc32" in end and end["crc32"] != f"{zlib.crc32(body):08x}":
@@ -55,20 +55,20 @@
 
 
 def load(path):
-    """The partner tables of a list file; UnusableError with everything that is wrong."""
+    """(partner tables, location of each key) of a list file; UnusableError with everything that is wrong."""
     tables, origins, data = load_toml(path)
     findings = integrity_findings(path, data, tables)
     if findings:
         raise UnusableError(findings)
     if not tables.get("partner"):
         raise UnusableError(
-            [Finding(path, "holds no [[partner]] table", "a list without partners is not taken")]
+            [Finding(path, "holds no [[partner]] table", "a list without partners is not accepted")]
         )
     findings = [
         Finding(
             path,
             f"there is no key {key!r} in a partner list",
-            "only [[partner]] tables and [end] stand there",
+            "only [[partner]] tables and [end] are allowed",
         )
         for key in tables
         if key not in ("partner", "end")
@@ -86,7 +86,7 @@
 
 
 def check_partners(partners, configuration, place):
-    """What is wrong with a list under that configuration; `place(key)` names where."""
+    """Findings on a list under that configuration; `place(key)` is the location of a key."""
     findings, kinds = [], {kind.name for kind in configuration.kind}
     products = {product.name: product for product in configuration.product}
     name_by_destination, name_by_address, known_ids = {}, {}, {}
@@ -96,17 +96,17 @@
             findings.append(
                 Finding(
                     place(f"{key}.kind"),
-                    f"{partner.kind!r} is no kind of partner",
-                    f"known are {', '.join(sorted(kinds))}",
+                    f"{partner.kind!r} is not a kind of partner",
+                    f"known kinds: {', '.join(sorted(kinds))}",
                 )
             )
         if partner.destination in name_by_destination:
             findings.append(
                 Finding(
                     place(f"{key}.destination"),
-                    f"{partner.destination} is the number of "
-                    f"{name_by_destination[partner.destination]!r} too",
-                    "give each partner a number of its own",
+                    f"{partner.destination} is also the number of "
+                    f"{name_by_destination[partner.destination]!r}",
+                    "give each partner its own number",
                 )
             )
         name_by_destination.setdefault(partner.destination, partner.name)
@@ -117,7 +117,7 @@
                     Finding(
                         place(f"{key}.products"),
                         f"there is no product {name!r}",
-                        f"known are {', '.join(sorted(products))}",
+                        f"known products: {', '.join(sorted(products))}",
                     )
                 )
             elif product.kinds and partner.kind not in product.kinds:
@@ -126,7 +126,7 @@
                         place(f"{key}.products"),
                         f"{name!r} may go to {', '.join(product.kinds)} only, and {partner.name!r} "
                         f"is {partner.kind}",
-                        "take the product out of the list, or give the partner its right kind",
+                        "remove the product from the list, or correct the partner's kind",
                     )
                 )
         for endpoint_index, endpoint in enumerate(partner.endpoint):
@@ -140,7 +140,7 @@
                 findings.append(
                     Finding(
                         place(address_key),
-                        f"{endpoint.address} is {name_by_address[endpoint.address]!r}'s too",
+                        f"{endpoint.address} is also the address of {name_by_address[endpoint.address]!r}",
                         "a text for one would reach the other: give each endpoint its own address",
                     )
                 )
@@ -150,8 +150,8 @@
                 findings.append(
                     Finding(
                         place(f"{key}.endpoint[{endpoint_index}].id"),
-                        f"{identifier!r} stands twice",
-                        "each endpoint needs an id of its own",
+                        f"{identifier!r} is used twice",
+                        "each endpoint needs its own id",
                     )
                 )
             known_ids[identifier] = True
@@ -167,20 +167,20 @@
                 findings.append(
                     Finding(
                         place(f"{key}.endpoint[{endpoint_index}].zone"),
-                        f"{endpoint.zone!r} is none of the zones",
-                        f"known are {', '.join(configuration.zones)}",
+                        f"{endpoint.zone!r} is not one of the zones",
+                        f"known zones: {', '.join(configuration.zones)}",
                     )
                 )
     return findings
 
 
 def endpoint_id(partner, endpoint):
-    """The id of an endpoint; made of destination and address where none is told."""
+    """The id of an endpoint; derived from destination and address where none is given."""
     return endpoint.id or f"{partner.destination}-{endpoint.address}"
 
 
 def discovery_list(partners):
-    """The list in discovery's own form; its version follows from what it says."""
+    """The list in the form of discovery; its version is a checksum of its content."""
     servers = [
         {
             "id": endpoint_id(partner, endpoint),
--- a/calicopin/configuration/posting.py
+++ b/calicopin/configuration/posting.py
@@ -1,16 +1,16 @@
-"""What a start needs of an operator's file: read, checked, in the platform's form; and its watched list."""
+"""Loads an operator's file for a start: checked, in the platform's form; and its watched partner list."""
 
 from calicopin.configuration import check, convert, partners, read
 from calicopin.facade import Place
 
 
 class ConfigurationRefusedError(ValueError):
-    """A configuration that a courier does not start with; one line for each thing that is wrong."""
+    """A configuration that a courier does not start with; one line for each finding."""
 
 
 def platform_form(path, environ):
-    """(the platform's JSON as an object, the sheet); ConfigurationRefusedError where the file is at fault,
-    OSError where it cannot be read just now.
+    """(the platform's JSON as an object, the configuration); ConfigurationRefusedError where the file has
+    errors, OSError where it cannot be read at the moment.
     """
     try:
         loaded = read.read(path, environ)
@@ -25,8 +25,8 @@
 
 
 def lister(configuration):
-    """A function that turns a watched file into places, or raises ValueError with what is wrong, OSError
-    where it cannot be read just now.
+    """A function that loads the places of a watched file; it raises ValueError with what is wrong, OSError
+    where the file cannot be read at the moment.
     """
 
     def load(path):
--- a/calicopin/configuration/read.py
+++ b/calicopin/configuration/read.py
@@ -1,7 +1,7 @@
-"""Reads a configuration: the file, what it includes, then `CALICOPIN_*` variables, then `--set`; each over
-the one before.
+"""Reads a configuration: included files, the file itself, `CALICOPIN_*` variables, then `--set`; each
+overrides the ones before.
 
-A fault names file, line or key, what is wrong and what to do; all faults of a file are told at once.
+A finding names file, line or key, what is wrong and what to do; all unknown keys are reported at once.
 """
 
 import difflib
@@ -16,8 +16,8 @@
 from calicopin.configuration.model import VERSION, Configuration
 from calicopin.system_errors import of_a_moment
 
-MAX_FILE_BYTES = 4 << 20  # bytes of a file: 50 MB of anything is no configuration
-MAX_INCLUDE_DEPTH = 8  # files that include one another
+MAX_FILE_BYTES = 4 << 20  # a larger file is not a configuration
+MAX_INCLUDE_DEPTH = 8  # also ends a cycle of includes
 TABLE_HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]")
 KEY_ASSIGNMENT = re.compile(r"\s*([A-Za-z0-9_.\"'-]+?)\s*=")
 ENVIRONMENT_PREFIX = "CALICOPIN_"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is wrong, where, and what to do about it."""
+    """One problem: where it is, what is wrong (`why`), and what to do about it (`do`)."""
 
     place: str
     why: str
@@ -36,7 +36,7 @@
 
 
 class UnusableError(Exception):
-    """A configuration that cannot be used; `faults` has at least one."""
+    """A configuration that cannot be used; `faults` holds at least one finding."""
 
     def __init__(self, faults):
         super().__init__("\n".join(map(str, faults)))
@@ -44,14 +44,14 @@
 
 
 class TemporarilyUnreadableError(UnusableError):
-    """One that cannot be read just now; its cause is the system's OSError."""
+    """A configuration that cannot be read at the moment; its cause is the system's OSError."""
 
 
 @dataclass(slots=True)
 class LoadedConfiguration:
     """A configuration as it was read.
 
-    `origin` tells for each key in the plain form `product[0].sla` where it came from.
+    `origin` holds where each key was set, by its flat form such as `product[0].sla`.
     """
 
     sheet: Configuration
@@ -59,7 +59,7 @@
     paths: list = field(default_factory=list)
 
     def place(self, key):
-        """Where a key stands, or its table, or the file."""
+        """Where a key was set, else its table, else the file."""
         while key:
             if key in self.origin:
                 return f"{self.origin[key]}: {key}"
@@ -68,9 +68,9 @@
 
 
 def key_lines(text):
-    """The line of each key in TOML text, by its plain form.
+    """The line of each key in TOML text, by its flat form.
 
-    Good enough to point at: values over many lines count at their first.
+    An approximation for messages: a value over several lines counts at its first.
     """
     line_by_key, table_counts, prefix = {}, {}, ""
     for line_number, line in enumerate(text.splitlines(), 1):
@@ -80,7 +80,7 @@
                 [part.strip().strip("\"'") for part in header[2].split(".")],
                 "",
             )
-            for depth, part in enumerate(parts, 1):  # each list of tables by its last entry so far
+            for depth, part in enumerate(parts, 1):  # a list of tables is entered at its last entry so far
                 prefix = f"{prefix}.{part}" if prefix else part
                 if is_list and depth == len(parts):
                     table_counts[prefix] = table_counts.get(prefix, 0) + 1
@@ -94,18 +94,18 @@
 
 
 def load_toml(path):
-    """A file's tables, where its keys stand, and its bytes."""
+    """(tables, location of each key, bytes) of a TOML file; UnusableError where it cannot be read."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         error_class = TemporarilyUnreadableError if of_a_moment(error) else UnusableError
         raise error_class(
-            [Finding(path, error.strerror or "cannot be read", "check the path and its rights")]
+            [Finding(path, error.strerror or "cannot be read", "check the path and its permissions")]
         ) from error
     if len(data) > MAX_FILE_BYTES:
         raise UnusableError(
-            [Finding(path, f"is over {MAX_FILE_BYTES >> 20} MiB", "this is no configuration")]
+            [Finding(path, f"is over {MAX_FILE_BYTES >> 20} MiB", "this is not a configuration")]
         )
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
         raise UnusableError([Finding(path, "is UTF-16", "save it as UTF-8")])
@@ -126,15 +126,15 @@
         position = re.search(r"\(at line (\d+), column (\d+)\)", str(error))
         location = f"{path}:{position[1]}" if position else f"{path}:{text.count(chr(10)) + 1}"
         raise UnusableError(
-            [Finding(location, str(error).split(" (at ")[0].lower(), "mend the TOML there")]
+            [Finding(location, str(error).split(" (at ")[0].lower(), "correct the TOML there")]
         ) from None
     except RecursionError:
-        raise UnusableError([Finding(path, "is nested too deep", "mend the TOML")]) from None
+        raise UnusableError([Finding(path, "is nested too deeply", "correct the TOML")]) from None
     return tables, {key: f"{path}:{line}" for key, line in key_lines(text).items()}, data
 
 
 def load_with_includes(path, depth=0):
-    """A file's tables over those of the files that it includes."""
+    """(tables, location of each key, paths) of a file, merged over the files that it includes."""
     tables, origins, _ = load_toml(path)
     paths, base, included_origins = [path], {}, {}
     included = tables.get("include", [])
@@ -143,7 +143,7 @@
             [
                 Finding(
                     origins.get("include", path),
-                    "include wants a list of file names",
+                    "include must be a list of file names",
                     'as in include = ["common.toml"]',
                 )
             ]
@@ -153,8 +153,8 @@
             [
                 Finding(
                     origins.get("include", path),
-                    f"files include one another {MAX_INCLUDE_DEPTH} deep",
-                    "take the circle out",
+                    f"includes are nested more than {MAX_INCLUDE_DEPTH} deep",
+                    "remove the cycle",
                 )
             ]
         )
@@ -165,7 +165,7 @@
         paths = other_paths + paths
         merge(base, other_tables)
         included_origins |= other_origins
-    for table in ("product", "kind", "partner"):  # a list of tables stands whole
+    for table in ("product", "kind", "partner"):  # a list of tables replaces the included one as a whole
         if table in tables:
             included_origins = {
                 key: location for key, location in included_origins.items() if not key.startswith(f"{table}[")
@@ -175,7 +175,7 @@
 
 
 def merge(base, overriding):
-    """`over`'s keys into `base`, which is returned: tables key by key, anything else replaced."""
+    """Merges `overriding` into `base` and returns `base`: tables key by key, anything else is replaced."""
     for key, value in overriding.items():
         if isinstance(value, dict) and isinstance(base.get(key), dict):
             merge(base[key], value)
@@ -185,7 +185,7 @@
 
 
 def parse_value(text):
-    """A value from a variable or `--set`, as TOML reads it, else as the word it is."""
+    """A value from a variable or `--set`, parsed as TOML; the text itself where that fails."""
     try:
         return tomllib.loads(f"x = {text}")["x"]
     except tomllib.TOMLDecodeError:
@@ -193,13 +193,13 @@
 
 
 def set_override(tables, origins, key, value, source):
-    """One key from outside the file."""
+    """Sets one key from a variable or `--set`; UnusableError where it points into a list."""
     *parents, last = key.split(".")
     table = tables
     for name in parents:
         table = table.setdefault(name, {})
         if not isinstance(table, dict):
-            raise UnusableError([Finding(source, f"{key!r} leads into a list", "lists are set in the file")])
+            raise UnusableError([Finding(source, f"{key!r} points into a list", "set lists in the file")])
     table[last] = value
     origins[key] = source
 
@@ -219,7 +219,7 @@
 
 
 def unknown_keys(tables, origins, path):
-    """What does not have the form: unknown keys, with the likely one, and values of the wrong type."""
+    """A finding for each unknown key, with a similar known key if there is one."""
     findings = []
 
     def location(key):
@@ -236,7 +236,7 @@
                         f"there is no key {name!r}",
                         f"did you mean {similar[0]!r}?"
                         if similar
-                        else f"known are {', '.join(sorted(known))}",
+                        else f"known keys: {', '.join(sorted(known))}",
                     )
                 )
         for name, inner in table.items():
@@ -251,7 +251,7 @@
 
 
 def build_configuration(tables, origins, paths):
-    """The typed sheet, or all that is wrong with its form."""
+    """The typed configuration; UnusableError where the tables do not have its form."""
     path = paths[-1]
     version = tables.get("version")
     if isinstance(version, int) and not isinstance(version, bool) and version > VERSION:
@@ -259,7 +259,7 @@
             [
                 Finding(
                     origins.get("version", path),
-                    f"version {version} is newer than this program knows ({VERSION})",
+                    f"version {version} is newer than this program supports ({VERSION})",
                     "update calicopin, or write the file for this version",
                 )
             ]
@@ -270,7 +270,7 @@
                 Finding(
                     path,
                     "is empty",
-                    "begin with version = 1 and a [courier] table, or let `calicopin write` make it",
+                    "begin with version = 1 and a [courier] table, or let `calicopin write` create it",
                 )
             ]
         )
@@ -291,15 +291,15 @@
 
 
 def _unit_hint(reason, key, tables):
-    """A hint where a bare number stands for a time or a size."""
+    """What to do where a bare number was given for a duration or a size; empty for other errors."""
     if "Expected `str`" in reason and ("got `int`" in reason or "got `float`" in reason):
-        return 'give it as a word with its unit, as in "4s", "250ms" or "3MB"'
+        return 'give it as a string with its unit, as in "4s", "250ms" or "3MB"'
     return ""
 
 
 def read(path, environ=None, overrides=()):
-    """A configuration by its file; `environ` holds the variables, `over` pairs (key, word) of the command
-    line.
+    """The configuration in a file; `environ` holds the variables, `overrides` the (key, text) pairs of
+    `--set`. UnusableError where it cannot be used.
     """
     tables, origins, paths = load_with_includes(path)
     for name, text in sorted((environ or {}).items()):
--- a/calicopin/configuration/units.py
+++ b/calicopin/configuration/units.py
@@ -1,4 +1,4 @@
-"""Times, sizes and addresses as an operator writes them."""
+"""Durations, sizes and addresses as an operator writes them."""
 
 import re
 import socket
@@ -10,7 +10,7 @@
 
 
 def milliseconds(text):
-    """`4s`, `250ms`, `1.5s`, `2m` or `1h`; ValueError with what to write instead."""
+    """`4s`, `250ms`, `1.5s`, `2m` or `1h` in milliseconds; ValueError with what to write instead."""
     match = DURATION.fullmatch(text.strip()) if isinstance(text, str) else None
     if not match:
         hint = f', as in "{text}s" or "{text}ms"' if str(text).replace(".", "", 1).isdigit() else ""
@@ -22,12 +22,12 @@
     """`3MB` or `512KiB` in bytes; ValueError with what to write instead."""
     match = SIZE.fullmatch(text.strip()) if isinstance(text, str) else None
     if not match:
-        raise ValueError(f"{text!r} is no size: give a number with its unit kB, MB, GB, KiB, MiB or GiB")
+        raise ValueError(f"{text!r} is not a size: give a number with its unit kB, MB, GB, KiB, MiB or GiB")
     return int(float(match[1]) * BYTES_PER_UNIT[match[2]])
 
 
 def format_duration(ms):
-    """Milliseconds as the shortest time that reads back as they are."""
+    """Milliseconds as the shortest duration that reads back to the same value."""
     for unit in ("h", "m", "s"):
         value = ms / MS_PER_UNIT[unit]
         if value >= 1.0 and round(value, 3) == value and (unit == "s" or value == int(value)):
@@ -36,7 +36,7 @@
 
 
 def format_size(count):
-    """Bytes as a size with the largest unit that fits it to six digits, kB at least."""
+    """Bytes as a size in the largest unit, at least kB, that needs no more than six decimals."""
     for unit in ("GB", "MB", "kB"):
         if count >= BYTES_PER_UNIT[unit] and count / BYTES_PER_UNIT[unit] == round(
             count / BYTES_PER_UNIT[unit], 6
@@ -46,7 +46,7 @@
 
 
 def address(text):
-    """An IPv4 address and a port; ValueError with what is wrong."""
+    """(host, port) of an IPv4 address with a port; ValueError with what is wrong."""
     host, colon, port = text.rpartition(":")
     try:
         if not colon or host.count(".") != 3:
--- a/calicopin/configuration/write.py
+++ b/calicopin/configuration/write.py
@@ -1,6 +1,4 @@
-"""Writes a configuration from a short description of an application, with the reason for each value that
-it chose.
-"""
+"""Writes a configuration from a short description of an application, with the reason for each value."""
 
 import json
 import math
@@ -17,7 +15,7 @@
 
 
 class PartnerDescription(Struct, forbid_unknown_fields=True):
-    """One partner that gets texts."""
+    """One partner that receives texts."""
 
     name: Annotated[str, Meta(min_length=1)]
     number: Annotated[int, Meta(ge=0)]
@@ -35,7 +33,7 @@
 
 
 class ProductDescription(Struct, forbid_unknown_fields=True):
-    """One kind of text that the application sends."""
+    """One product: texts of one sort that the application sends."""
 
     name: Name
     wanted_within: str
@@ -85,7 +83,7 @@
 
 
 class ConfigurationText:
-    """The file as it grows: each value with its reason."""
+    """Collects the lines of a configuration file: each value with its reason."""
 
     def __init__(self):
         self.lines = []
@@ -95,14 +93,14 @@
         self.lines.append(line)
 
     def add_key(self, key, value, reason=""):
-        """Adds a key with its value, and the reason behind it as a comment."""
+        """Adds a key with its value, and the reason for it as a comment."""
         self.add_line(
             f"{key} = {json.dumps(value, ensure_ascii=False)}" + (f"  # {reason}" if reason else "")
         )
 
 
 def compose(app, path="the description"):
-    """The configuration's text. UnusableError where the description cannot be served."""
+    """The text of the configuration; UnusableError where the description is invalid."""
     findings = []
 
     def parse_duration(text, key):
@@ -114,21 +112,21 @@
 
     durations = [
         (
-            parse_duration(product.wanted_within, f"sends[{index}].wanted_within"),
-            parse_duration(product.useful_for, f"sends[{index}].useful_for"),
+            parse_duration(product.wanted_within, f"sends[{position}].wanted_within"),
+            parse_duration(product.useful_for, f"sends[{position}].useful_for"),
         )
-        for index, product in enumerate(app.sends)
+        for position, product in enumerate(app.sends)
     ]
     answer_times = [
-        parse_duration(group.answers, f"to[{index}].answers") for index, group in enumerate(app.to)
+        parse_duration(group.answers, f"to[{position}].answers") for position, group in enumerate(app.to)
     ]
     for index, product in enumerate(app.sends):
         if product.may_run_again == "with-reference" and not product.remembered_for:
             findings.append(
                 Finding(
                     f"{path}: sends[{index}].remembered_for",
-                    "how long partners remember a reference is not said",
-                    "ask them",
+                    "how long partners remember a reference is not given",
+                    "ask the partners",
                 )
             )
     try:
