--- a/calicopin/configuration/convert.py
+++ b/calicopin/configuration/convert.py
@@ -142,7 +142,7 @@
 
 
 def format_seconds(value):
-    """Seconds as a duration with its unit; none counts as 0."""
+    """Seconds as a duration with its unit; None counts as 0."""
     return units.format_duration(float(value or 0.0) * 1000.0)
 
 
@@ -155,7 +155,7 @@
         family_info, ceilings, rules = settings["familyInfo"], settings["ceilings"], settings["rules"]
         kinds = settings.get("kinds") or ["any"]
         if platform.get("watched"):
-            raise KeyError("the partners: it was made from a file with partners_file")
+            raise KeyError("a partner list: it was made from a file with partners_file")
         bundles, apart = family_info.get("bundleMax") or [], family_info.get("ownLimits") or []
         configuration = Configuration(
             version=1,
@@ -225,7 +225,7 @@
             ],
         )
     except (KeyError, TypeError, AttributeError, IndexError) as error:
-        raise ValueError(f"the platform's JSON lacks or has an invalid value for {error}") from None
+        raise ValueError(f"the platform's JSON is incomplete or invalid: {error}") from None
     converted = to_platform(LoadedConfiguration(configuration, {}, []))
     configuration.platform = difference(platform, converted)
     return configuration
--- a/calicopin/configuration/read.py
+++ b/calicopin/configuration/read.py
@@ -205,8 +205,8 @@
 
 
 KNOWN_KEYS = {
-    name: {part.name: part for part in msgspec.structs.fields(kind)}
-    for name, kind in (
+    name: {key.name: key for key in msgspec.structs.fields(table_type)}
+    for name, table_type in (
         ("", Configuration),
         ("courier", model.CourierPart),
         ("returning", model.ReturnPart),
--- a/tests/configuration_helper.py
+++ b/tests/configuration_helper.py
@@ -1,4 +1,4 @@
-"""What tests of operators' files share: a sound file, changes to it, and couriers started from it."""
+"""Shared by tests of operators' files: a valid file, changes to it, and couriers started from it."""
 
 import os
 import subprocess
@@ -78,29 +78,29 @@
 def findings(path):
     try:
         return check.examine(read(str(path)))[0]
-    except UnusableError as fault:
-        return fault.faults
+    except UnusableError as error:
+        return error.faults
 
 
-class Quiet:
-    """Signals that never come."""
+class SilentSignalReader:
+    """A signal reader that receives no signal."""
 
     STOPS = ()
 
     def __init__(self):
-        self.fd, self.mouth = os.pipe()
+        self.fd, self.write_end = os.pipe()
 
     def heard(self):
         return set()
 
     def close(self):
         os.close(self.fd)
-        os.close(self.mouth)
+        os.close(self.write_end)
 
 
 def start(path, loop=None):
-    """A courier from a file, in this process."""
-    loop, signal_reader = loop or Loop(now=Clock(), system=Rebooted()), Quiet()
+    """(runtime, loop, signal reader) of a courier that is started from a file in this process."""
+    loop, signal_reader = loop or Loop(now=Clock(), system=Rebooted()), SilentSignalReader()
     post = posted({"LB_CONFIG": str(path)})
     os.makedirs(post.folder, exist_ok=True)
     return (
@@ -110,13 +110,13 @@
     )
 
 
-def calicopin(*words, **more):
+def calicopin(*arguments, **options):
     env = {key: value for key, value in os.environ.items() if not key.startswith(("LB_", "CALICOPIN_"))}
     return subprocess.run(
-        [sys.executable, "-m", "calicopin", *words],
+        [sys.executable, "-m", "calicopin", *arguments],
         capture_output=True,
         text=True,
         env=env,
         timeout=60,
-        **more,
+        **options,
     )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Operators' files: what is wrong is told by place and reason; what is sound starts a courier."""
+"""Operators' files: errors are reported with place and reason; a valid file starts a courier."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 from calicopin.configuration import check, compare, convert, pages
 from calicopin.configuration.read import LoadedConfiguration, read
 
-# (the file, what its line must name, and what it must say)
+# (content of the file, place that the finding names, part of its text)
 BROKEN = [
     ("", "c.toml", "is empty"),
     (b"\xff\xfe\x00v", "c.toml", "UTF-16"),
@@ -114,24 +114,24 @@
 
 @pytest.mark.parametrize("number", range(len(BROKEN)))
 def test_a_broken_configuration_is_rejected_with_its_place_and_reason(tmp_path, number):
-    data, place, why = BROKEN[number]
+    data, place, reason = BROKEN[number]
     (tmp_path / "c.toml").write_bytes(data if isinstance(data, bytes) else data.encode())
-    faults = findings(tmp_path / "c.toml")
-    told = [str(fault).replace(str(tmp_path) + "/", "") for fault in faults]
-    assert any(place in line and why in line for line in told), told
-    assert all("\n" not in line for line in told)
+    found = findings(tmp_path / "c.toml")
+    messages = [str(finding).replace(str(tmp_path) + "/", "") for finding in found]
+    assert any(place in line and reason in line for line in messages), messages
+    assert all("\n" not in line for line in messages)
     result = CliRunner().invoke(main, ["check", str(tmp_path / "c.toml")])
     assert result.exit_code == 1 and "Traceback" not in result.output
 
 
-def test_there_are_at_least_fifty_and_the_base_is_sound(tmp_path):
+def test_at_least_fifty_broken_files_are_covered_and_the_base_file_is_valid(tmp_path):
     (tmp_path / "c.toml").write_text(BASE)
     assert len(BROKEN) >= 50 and not findings(tmp_path / "c.toml")
     assert CliRunner().invoke(main, ["check", str(tmp_path / "c.toml")]).exit_code == 0
 
 
 def valid(rng, tmp_path, listen="127.0.0.1:5000"):
-    """A generated sound configuration."""
+    """The path of a generated valid configuration."""
     slots = rng.randrange(1, 60)
     held = slots + rng.randrange(200)
     kinds = [f"kind{i}" for i in range(rng.randrange(1, 4))]
@@ -171,7 +171,7 @@
             f"apart = {rng.choice(['true', 'false'])}",
             f'answers = "{rng.randrange(50, 900)}ms"',
         ]
-    port = 31000  # clear of the couriers' own, which free_address gives from 20000 to 29999
+    port = 31000  # outside 20000 to 29999, which free_address uses for the couriers
     for number in range(rng.randrange(1, 6)):
         out += [
             "[[partner]]",
@@ -187,27 +187,27 @@
     return path
 
 
-def test_generated_sound_configurations_are_accepted_and_convert_there_and_back(tmp_path):
+def test_generated_valid_configurations_are_accepted_and_survive_conversion_both_ways(tmp_path):
     rng = random.Random(5)
     for _ in range(500):
         path = valid(rng, tmp_path)
-        told = read(str(path))
-        faults, _ = check.examine(told)
+        loaded = read(str(path))
+        faults, _ = check.examine(loaded)
         assert not faults, (path.read_text(), list(map(str, faults)))
-        plain = json.loads(json.dumps(convert.to_platform(told)))
-        back = convert.from_platform(plain)
-        assert convert.to_platform(LoadedConfiguration(back, {}, [])) == plain
+        platform = json.loads(json.dumps(convert.to_platform(loaded)))
+        back = convert.from_platform(platform)
+        assert convert.to_platform(LoadedConfiguration(back, {}, [])) == platform
         path.unlink()
 
 
 def ready(loop, address):
-    """Whether it answers that it is ready."""
+    """Whether the courier at the address answers that it is ready."""
     peer = client(loop, address)
     peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     return peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 200")
 
 
-def test_generated_sound_configurations_start_couriers_that_become_ready(tmp_path):
+def test_generated_valid_configurations_start_couriers_that_become_ready(tmp_path):
     rng = random.Random(6)
     for _ in range(500):
         listen = free_address()
@@ -220,7 +220,7 @@
 
 
 def description(rng, tmp_path):
-    """A generated description of an application."""
+    """The path of a generated description of an application."""
     kinds = [f"kind{i}" for i in range(rng.randrange(1, 3))]
     out = [
         "version = 1",
@@ -232,14 +232,14 @@
         f'body = "{rng.choice(["1kB", "8kB"])}"',
     ]
     for number in range(rng.randrange(1, 4)):
-        again, wanted = rng.choice(["yes", "with-reference", "no"]), rng.randrange(1, 6)
+        may_run_again, wanted = rng.choice(["yes", "with-reference", "no"]), rng.randrange(1, 6)
         out += [
             "[[sends]]",
             f'name = "p{number}"',
             f'wanted_within = "{wanted}s"',
             f'useful_for = "{wanted + 4 + rng.randrange(30)}s"',
-            f'may_run_again = "{again}"',
-        ] + ([f'remembered_for = "{wanted + 5}s"'] if again == "with-reference" else [])
+            f'may_run_again = "{may_run_again}"',
+        ] + ([f'remembered_for = "{wanted + 5}s"'] if may_run_again == "with-reference" else [])
     for at, kind in enumerate(kinds):
         out += [
             "[[to]]",
@@ -263,13 +263,13 @@
         result = CliRunner().invoke(main, ["write", str(app), "-o", str(made)])
         assert result.exit_code == 0, result.output
         assert "#" in made.read_text() and CliRunner().invoke(main, ["check", str(made)]).exit_code == 0
-        sheet = read(str(made)).sheet
+        configuration = read(str(made)).sheet
         runtime, loop, signal_reader = start(made)
-        peer = client(loop, sheet.courier.listen)
+        peer = client(loop, configuration.courier.listen)
         peer.say(
-            f"POST /{sheet.product[0].name} HTTP/1.1\r\nHost: x\r\nX-Request-ID: a{number}\r\n"
+            f"POST /{configuration.product[0].name} HTTP/1.1\r\nHost: x\r\nX-Request-ID: a{number}\r\n"
             "X-Timeout: 9\r\n"
-            f"X-Envelope: dest={sheet.partner[0].destination}\r\nContent-Length: 0\r\n\r\n".encode()
+            f"X-Envelope: dest={configuration.partner[0].destination}\r\nContent-Length: 0\r\n\r\n".encode()
         )
         assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
         loop.epoll.close()
@@ -278,8 +278,8 @@
             os.unlink(tmp_path / "state" / name)
 
 
-def test_the_platforms_own_json_converts_there_and_back_with_all_it_says(tmp_path):
-    plain = {
+def test_the_platforms_json_survives_conversion_both_ways_with_all_its_keys(tmp_path):
+    platform = {
         "name": "n3",
         "listen": "10.0.0.4:5000",
         "discovery": "10.2.0.1:8500",
@@ -289,31 +289,31 @@
         "known": {"version": 4, "full": True, "servers": []},
         "settings": terms(prices={"waste": 0.08}, stages=["partners"]),
     }
-    back = convert.to_platform(LoadedConfiguration(convert.from_platform(plain), {}, []))
-    for key, value in plain["settings"].items():
+    back = convert.to_platform(LoadedConfiguration(convert.from_platform(platform), {}, []))
+    for key, value in platform["settings"].items():
         assert back["settings"][key] == value, key
-    assert {key: back[key] for key in plain if key != "settings"} == {
-        key: plain[key] for key in plain if key != "settings"
+    assert {key: back[key] for key in platform if key != "settings"} == {
+        key: platform[key] for key in platform if key != "settings"
     }
 
 
-def test_includes_variables_and_the_command_line_stand_over_one_another(tmp_path):
+def test_variables_override_files_and_the_command_line_overrides_variables(tmp_path):
     (tmp_path / "common.toml").write_text('[courier]\nslots = 3\nheld = 44\ndisk = "2MB"\n')
     (tmp_path / "c.toml").write_text(
         put("zones =", 'include = ["common.toml"]\nzones =').replace('disk = "1MB"\n', "")
     )
-    told = read(
+    loaded = read(
         str(tmp_path / "c.toml"),
         {"CALICOPIN_COURIER__SLOTS": "12", "CALICOPIN_COURIER__TRIES": "5"},
         [("courier.tries", "6")],
     )
-    courier = told.sheet.courier
+    courier = loaded.sheet.courier
     assert (courier.held, courier.disk, courier.slots, courier.tries) == (50, "2MB", 12, 6)
     assert (
-        told.origin["courier.slots"] == "$CALICOPIN_COURIER__SLOTS"
-        and told.origin["courier.tries"] == "--set"
+        loaded.origin["courier.slots"] == "$CALICOPIN_COURIER__SLOTS"
+        and loaded.origin["courier.tries"] == "--set"
     )
-    assert told.origin["courier.disk"].endswith("common.toml:4")
+    assert loaded.origin["courier.disk"].endswith("common.toml:4")
     shown = CliRunner().invoke(main, ["show", str(tmp_path / "c.toml")]).output
     assert (
         'courier.disk = "2MB"' in shown
@@ -322,18 +322,18 @@
     )
 
 
-def test_diff_tells_what_a_running_courier_takes_up(tmp_path):
+def test_diff_reports_which_changes_a_running_courier_applies(tmp_path):
     (tmp_path / "a.toml").write_text(BASE)
     (tmp_path / "b.toml").write_text(
         put('disk = "1MB"', 'disk = "2MB"').replace("slots = 10", "slots = 11").replace("6003", "6004")
     )
-    some = {
+    applied = {
         key: when
         for key, _, _, when in compare.changes(
             read(str(tmp_path / "a.toml")).sheet, read(str(tmp_path / "b.toml")).sheet
         )
     }
-    assert some == {
+    assert applied == {
         "courier.disk": "SIGHUP",
         "courier.slots": "restart",
         "partner[corner].endpoint[0].address": "SIGHUP",
@@ -351,9 +351,7 @@
 
 
 def test_idle_connections_are_kept_unless_the_file_says_otherwise(tmp_path):
-    """The default leaves a courier as it was; a partner that keeps no idle connection leaves none to give
-    back.
-    """
+    """By default idle connections stay open; closing them is refused where partners keep none."""
     for line, want, faults in (
         ("", False, 0),
         ("give_back = true", True, 0),
@@ -361,9 +359,9 @@
     ):
         path = tmp_path / "one.toml"
         path.write_text(BASE.replace("slots = 10", f"slots = 10\n{line}"))
-        told = read(str(path))
-        assert convert.to_platform(told)["settings"]["ceilings"].get("giveBack", True) is want
-        found = check.examine(told)[0]
+        loaded = read(str(path))
+        assert convert.to_platform(loaded)["settings"]["ceilings"].get("giveBack", True) is want
+        found = check.examine(loaded)[0]
         assert len(found) == faults and all(
             "give_back" in one.place and "none to close" in one.why for one in found
         )
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""An operator's file for few couriers and its counterpart for many."""
+"""Migration of an operator's file for few couriers to one for many."""
 
 import os
 import re
@@ -23,51 +23,55 @@
 )
 
 
-def migrated(folder, *words, text=None):
+def run_migrate(folder, *arguments, text=None):
     old = folder / "old.toml"
     old.write_text(text or OLD)
     before = old.read_bytes()
-    done = CliRunner().invoke(main, ["migrate", str(old), *words])
+    result = CliRunner().invoke(main, ["migrate", str(old), *arguments])
     assert old.read_bytes() == before, "the old file is never changed"
-    return done
+    return result
 
 
-def test_an_old_file_is_migrated_and_what_is_left_behind_is_told(tmp_path):
+def test_a_migration_writes_the_new_file_and_reports_what_is_not_carried_over(tmp_path):
     new = tmp_path / "new.toml"
-    done = migrated(tmp_path, "-o", str(new), "--senders", "200", "--no-reports", "--once-only", "order")
-    assert done.exit_code == 0, done.output
-    sheet = read(str(new)).sheet
-    assert (sheet.courier.senders, sheet.courier.give_back, sheet.reports) == (200, True, False)
+    result = run_migrate(tmp_path, "-o", str(new), "--senders", "200", "--no-reports", "--once-only", "order")
+    assert result.exit_code == 0, result.output
+    configuration = read(str(new)).sheet
+    assert (configuration.courier.senders, configuration.courier.give_back, configuration.reports) == (
+        200,
+        True,
+        False,
+    )
     assert (
-        sheet.product[0].repeat == "once-only"
-        and sheet.product[0].memory == "0s"
-        and sheet.product[1].repeat == "resendable"
+        configuration.product[0].repeat == "once-only"
+        and configuration.product[0].memory == "0s"
+        and configuration.product[1].repeat == "resendable"
     )
-    assert sheet.platform == {"settings": {"prices": {"turnedAwayPrice": 0.03}}}, (
-        "what the move does not touch is passed on"
+    assert configuration.platform == {"settings": {"prices": {"turnedAwayPrice": 0.03}}}, (
+        "platform settings that the migration does not change are kept"
     )
-    assert "changed: courier.senders: 1 -> 200" in done.output
+    assert "changed: courier.senders: 1 -> 200" in result.output
     assert (
-        "not carried over: platform.settings.groupSize" in done.output
-        and "not carried over: product[order].memory: 15s" in done.output
+        "not carried over: platform.settings.groupSize" in result.output
+        and "not carried over: product[order].memory: 15s" in result.output
     )
     assert not check.examine(read(str(new)))[0]
-    told = convert.to_platform(read(str(new)))["settings"]
+    settings = convert.to_platform(read(str(new)))["settings"]
     assert (
-        told["groupSize"] == 200
-        and "giveBack" not in told["ceilings"]
-        and told["grades"][0]["idempotency"] == "non_idempotent"
+        settings["groupSize"] == 200
+        and "giveBack" not in settings["ceilings"]
+        and settings["grades"][0]["idempotency"] == "non_idempotent"
     )
 
 
 def test_a_dry_run_of_a_migration_changes_nothing(tmp_path):
-    done = migrated(tmp_path, "--senders", "40", "--dry-run")
-    assert done.exit_code == 0 and "senders = 40" in done.output and "give_back = true" in done.output
+    result = run_migrate(tmp_path, "--senders", "40", "--dry-run")
+    assert result.exit_code == 0 and "senders = 40" in result.output and "give_back = true" in result.output
     assert sorted(os.listdir(tmp_path)) == ["old.toml"]
 
 
 @pytest.mark.parametrize(
-    "words, code, part",
+    "arguments, exit_code, message",
     [
         (
             ("--senders", "40", "--once-only", "stok", "-o", "{new}"),
@@ -79,14 +83,18 @@
         (("--senders", "40"), 2, "give the new file with -o"),
     ],
 )
-def test_a_migration_that_cannot_be_done_writes_nothing_and_says_why(tmp_path, words, code, part):
+def test_a_migration_that_cannot_be_done_writes_nothing_and_gives_the_reason(
+    tmp_path, arguments, exit_code, message
+):
     new = tmp_path / "new.toml"
-    done = migrated(tmp_path, *(word.format(new=new, old=tmp_path / "old.toml") for word in words))
-    assert done.exit_code == code and part in done.output and not new.exists(), done.output
+    result = run_migrate(
+        tmp_path, *(argument.format(new=new, old=tmp_path / "old.toml") for argument in arguments)
+    )
+    assert result.exit_code == exit_code and message in result.output and not new.exists(), result.output
 
 
-def test_a_couriers_number_outside_the_new_senders_and_small_limits_are_told(tmp_path):
-    done = migrated(
+def test_a_courier_number_beyond_the_senders_is_refused_and_a_small_limit_is_reported(tmp_path):
+    result = run_migrate(
         tmp_path,
         "--senders",
         "3",
@@ -94,14 +102,14 @@
         text=OLD.replace("slots = 10", "slots = 10\nsenders = 9\nnumber = 5"),
     )
     assert (
-        done.exit_code == 2
-        and "old.toml" in done.output
-        and "courier.number: 5 is not among 3 senders" in done.output
+        result.exit_code == 2
+        and "old.toml" in result.output
+        and "courier.number: 5 is not among 3 senders" in result.output
     )
-    done = migrated(
+    result = run_migrate(
         tmp_path, "--senders", "200", "--dry-run", text=re.sub("limit = [0-9.]+", "limit = 2.0", OLD, count=1)
     )
     assert (
-        done.exit_code == 0
-        and "not carried over: partner[first].limit: 2 calls a second of 200 senders" in done.output
-    ), done.output
+        result.exit_code == 0
+        and "not carried over: partner[first].limit: 2 calls a second of 200 senders" in result.output
+    ), result.output
