--- a/calicopin/configuration/partners.py
+++ b/calicopin/configuration/partners.py
@@ -104,8 +104,8 @@
             findings.append(
                 Finding(
                     place(f"{key}.destination"),
-                    f"{partner.destination} is also the number of "
-                    f"{name_by_destination[partner.destination]!r}",
+                    f"{partner.destination} is the number of "
+                    f"{name_by_destination[partner.destination]!r} as well",
                     "give each partner its own number",
                 )
             )
@@ -140,7 +140,7 @@
                 findings.append(
                     Finding(
                         place(address_key),
-                        f"{endpoint.address} is also the address of {name_by_address[endpoint.address]!r}",
+                        f"{endpoint.address} is the address of {name_by_address[endpoint.address]!r} as well",
                         "a text for one would reach the other: give each endpoint its own address",
                     )
                 )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -90,11 +90,11 @@
         "there is no product",
     ),
     (put('kind = "gateway"', 'kind = "shop"'), "c.toml:25: product[1].kinds", "no partner is of such a kind"),
-    (put("destination = 2", "destination = 1"), "partner[1].destination", "is also the number of 'first'"),
+    (put("destination = 2", "destination = 1"), "partner[1].destination", "is the number of 'first' as well"),
     (
         put("127.0.0.1:6003", "127.0.0.1:6001"),
         "partner[1].endpoint[0].address",
-        "is also the address of 'first'",
+        "is the address of 'first' as well",
     ),
     (put("127.0.0.1:6002", "127.0.0.300:6002"), "partner[0].endpoint[1].address", "no address"),
     (put('zone = "b"', 'zone = "c"'), "partner[0].endpoint[1].zone", "not one of the zones"),
