--- a/calicopin/configuration/read.py
+++ b/calicopin/configuration/read.py
@@ -1,7 +1,7 @@
-"""Reads a configuration: the file, what it includes, then `CALICOPIN_*` variables, then `--set`; each over
-the one before.
+"""Reads a configuration: included files, the file itself, `CALICOPIN_*` variables, then `--set`; each
+overrides the ones before.
 
-A fault names file, line or key, what is wrong and what to do; all faults of a file are told at once.
+A finding names file, line or key, what is wrong and what to do; all unknown keys are reported at once.
 """
 
 import difflib
@@ -12,20 +12,20 @@
 
 import msgspec
 
-from calicopin.configuration import sheet
-from calicopin.configuration.sheet import VERSION, Sheet
+from calicopin.configuration import model
+from calicopin.configuration.model import VERSION, Configuration
 from calicopin.system_errors import of_a_moment
 
-MOST = 4 << 20  # bytes of a file: 50 MB of anything is no configuration
-DEEP = 8  # files that include one another
-HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]")
-KEY = re.compile(r"\s*([A-Za-z0-9_.\"'-]+?)\s*=")
-PREFIX = "CALICOPIN_"
+MAX_FILE_BYTES = 4 << 20  # a larger file is not a configuration
+MAX_INCLUDE_DEPTH = 8  # also ends a cycle of includes
+TABLE_HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]")
+KEY_ASSIGNMENT = re.compile(r"\s*([A-Za-z0-9_.\"'-]+?)\s*=")
+ENVIRONMENT_PREFIX = "CALICOPIN_"
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """One thing that is wrong, where, and what to do about it."""
+class Finding:
+    """One problem: where it is, what is wrong (`why`), and what to do about it (`do`)."""
 
     place: str
     why: str
@@ -36,30 +36,30 @@
 
 
 class UnusableError(Exception):
-    """A configuration that cannot be used; `faults` has at least one."""
+    """A configuration that cannot be used; `faults` holds at least one finding."""
 
     def __init__(self, faults):
         super().__init__("\n".join(map(str, faults)))
         self.faults = list(faults)
 
 
-class UnreadableNowError(UnusableError):
-    """One that cannot be read just now; its cause is the system's OSError."""
+class TemporarilyUnreadableError(UnusableError):
+    """A configuration that cannot be read at the moment; its cause is the system's OSError."""
 
 
 @dataclass(slots=True)
-class Read:
+class LoadedConfiguration:
     """A configuration as it was read.
 
-    `origin` tells for each key in the plain form `product[0].sla` where it came from.
+    `origin` holds where each key was set, by its flat form such as `product[0].sla`.
     """
 
-    sheet: Sheet
+    sheet: Configuration
     origin: dict = field(default_factory=dict)
     paths: list = field(default_factory=list)
 
     def place(self, key):
-        """Where a key stands, or its table, or the file."""
+        """Where a key was set, else its table, else the file."""
         while key:
             if key in self.origin:
                 return f"{self.origin[key]}: {key}"
@@ -67,110 +67,116 @@
         return self.paths[-1] if self.paths else "the configuration"
 
 
-def lines(text):
-    """The line of each key in TOML text, by its plain form.
+def key_lines(text):
+    """The line of each key in TOML text, by its flat form.
 
-    Good enough to point at: values over many lines count at their first.
+    An approximation for messages: a value over several lines counts at its first.
     """
-    out, counts, prefix = {}, {}, ""
-    for number, line in enumerate(text.splitlines(), 1):
-        if header := HEADER.match(line):
-            many, way, prefix = (
+    line_by_key, table_counts, prefix = {}, {}, ""
+    for line_number, line in enumerate(text.splitlines(), 1):
+        if header := TABLE_HEADER.match(line):
+            is_list, parts, prefix = (
                 header[1] == "[[",
                 [part.strip().strip("\"'") for part in header[2].split(".")],
                 "",
             )
-            for depth, part in enumerate(way, 1):  # each list of tables by its last entry so far
+            for depth, part in enumerate(parts, 1):  # a list of tables is entered at its last entry so far
                 prefix = f"{prefix}.{part}" if prefix else part
-                if many and depth == len(way):
-                    counts[prefix] = counts.get(prefix, 0) + 1
-                if prefix in counts:
-                    prefix = f"{prefix}[{counts[prefix] - 1}]"
-            out.setdefault(prefix, number)
-        elif key := KEY.match(line):
-            plain = key[1].strip("\"'")
-            out.setdefault(f"{prefix}.{plain}" if prefix else plain, number)
-    return out
-
-
-def decode(path):
-    """A file's tables, where its keys stand, and its bytes."""
+                if is_list and depth == len(parts):
+                    table_counts[prefix] = table_counts.get(prefix, 0) + 1
+                if prefix in table_counts:
+                    prefix = f"{prefix}[{table_counts[prefix] - 1}]"
+            line_by_key.setdefault(prefix, line_number)
+        elif assignment := KEY_ASSIGNMENT.match(line):
+            name = assignment[1].strip("\"'")
+            line_by_key.setdefault(f"{prefix}.{name}" if prefix else name, line_number)
+    return line_by_key
+
+
+def load_toml(path):
+    """(tables, location of each key, bytes) of a TOML file; UnusableError where it cannot be read."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST + 1)
-    except OSError as fault:
-        kind = UnreadableNowError if of_a_moment(fault) else UnusableError
-        raise kind(
-            [Fault(path, fault.strerror or "cannot be read", "check the path and its rights")]
-        ) from fault
-    if len(data) > MOST:
-        raise UnusableError([Fault(path, f"is over {MOST >> 20} MiB", "this is no configuration")])
+            data = file.read(MAX_FILE_BYTES + 1)
+    except OSError as error:
+        error_class = TemporarilyUnreadableError if of_a_moment(error) else UnusableError
+        raise error_class(
+            [Finding(path, error.strerror or "cannot be read", "check the path and its permissions")]
+        ) from error
+    if len(data) > MAX_FILE_BYTES:
+        raise UnusableError(
+            [Finding(path, f"is over {MAX_FILE_BYTES >> 20} MiB", "this is not a configuration")]
+        )
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
-        raise UnusableError([Fault(path, "is UTF-16", "save it as UTF-8")])
+        raise UnusableError([Finding(path, "is UTF-16", "save it as UTF-8")])
     try:
         text = data.decode("utf-8-sig")
-    except UnicodeDecodeError as fault:
-        line = data[: fault.start].count(b"\n") + 1
+    except UnicodeDecodeError as error:
+        line = data[: error.start].count(b"\n") + 1
         raise UnusableError(
             [
-                Fault(
-                    f"{path}:{line}", f"byte 0x{data[fault.start]:02x} is not UTF-8", "save the file as UTF-8"
+                Finding(
+                    f"{path}:{line}", f"byte 0x{data[error.start]:02x} is not UTF-8", "save the file as UTF-8"
                 )
             ]
         ) from None
     try:
         tables = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as fault:
-        place = re.search(r"\(at line (\d+), column (\d+)\)", str(fault))
-        where = f"{path}:{place[1]}" if place else f"{path}:{text.count(chr(10)) + 1}"
+    except tomllib.TOMLDecodeError as error:
+        position = re.search(r"\(at line (\d+), column (\d+)\)", str(error))
+        location = f"{path}:{position[1]}" if position else f"{path}:{text.count(chr(10)) + 1}"
         raise UnusableError(
-            [Fault(where, str(fault).split(" (at ")[0].lower(), "mend the TOML there")]
+            [Finding(location, str(error).split(" (at ")[0].lower(), "correct the TOML there")]
         ) from None
     except RecursionError:
-        raise UnusableError([Fault(path, "is nested too deep", "mend the TOML")]) from None
-    return tables, {key: f"{path}:{line}" for key, line in lines(text).items()}, data
+        raise UnusableError([Finding(path, "is nested too deeply", "correct the TOML")]) from None
+    return tables, {key: f"{path}:{line}" for key, line in key_lines(text).items()}, data
 
 
-def gather(path, depth=0):
-    """A file's tables over those of the files that it includes."""
-    tables, origin, _ = decode(path)
-    paths, base, seen = [path], {}, {}
-    names = tables.get("include", [])
-    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+def load_with_includes(path, depth=0):
+    """(tables, location of each key, paths) of a file, merged over the files that it includes."""
+    tables, origins, _ = load_toml(path)
+    paths, base, included_origins = [path], {}, {}
+    included = tables.get("include", [])
+    if not isinstance(included, list) or not all(isinstance(name, str) for name in included):
         raise UnusableError(
             [
-                Fault(
-                    origin.get("include", path),
-                    "include wants a list of file names",
+                Finding(
+                    origins.get("include", path),
+                    "include must be a list of file names",
                     'as in include = ["common.toml"]',
                 )
             ]
         )
-    if names and depth >= DEEP:
+    if included and depth >= MAX_INCLUDE_DEPTH:
         raise UnusableError(
             [
-                Fault(
-                    origin.get("include", path),
-                    f"files include one another {DEEP} deep",
-                    "take the circle out",
+                Finding(
+                    origins.get("include", path),
+                    f"includes are nested more than {MAX_INCLUDE_DEPTH} deep",
+                    "remove the cycle",
                 )
             ]
         )
-    for name in names:
-        other, places, more = gather(os.path.join(os.path.dirname(path), name), depth + 1)
-        paths = more + paths
-        merge(base, other)
-        seen |= places
-    for table in ("product", "kind", "partner"):  # a list of tables stands whole
+    for name in included:
+        other_tables, other_origins, other_paths = load_with_includes(
+            os.path.join(os.path.dirname(path), name), depth + 1
+        )
+        paths = other_paths + paths
+        merge(base, other_tables)
+        included_origins |= other_origins
+    for table in ("product", "kind", "partner"):  # a list of tables replaces the included one as a whole
         if table in tables:
-            seen = {key: place for key, place in seen.items() if not key.startswith(f"{table}[")}
+            included_origins = {
+                key: location for key, location in included_origins.items() if not key.startswith(f"{table}[")
+            }
     merge(base, tables)
-    return base, seen | origin, paths
+    return base, included_origins | origins, paths
 
 
-def merge(base, over):
-    """`over`'s keys into `base`, which is returned: tables key by key, anything else replaced."""
-    for key, value in over.items():
+def merge(base, overriding):
+    """Merges `overriding` into `base` and returns `base`: tables key by key, anything else is replaced."""
+    for key, value in overriding.items():
         if isinstance(value, dict) and isinstance(base.get(key), dict):
             merge(base[key], value)
         else:
@@ -178,80 +184,82 @@
     return base
 
 
-def scalar(word):
-    """A value from a variable or `--set`, as TOML reads it, else as the word it is."""
+def parse_value(text):
+    """A value from a variable or `--set`, parsed as TOML; the text itself where that fails."""
     try:
-        return tomllib.loads(f"x = {word}")["x"]
+        return tomllib.loads(f"x = {text}")["x"]
     except tomllib.TOMLDecodeError:
-        return word
-
-
-def lay_over(tables, origin, key, value, where):
-    """One key from outside the file."""
-    *way, last = key.split(".")
-    at = tables
-    for part in way:
-        at = at.setdefault(part, {})
-        if not isinstance(at, dict):
-            raise UnusableError([Fault(where, f"{key!r} leads into a list", "lists are set in the file")])
-    at[last] = value
-    origin[key] = where
-
-
-FIELDS = {
-    name: {part.name: part for part in msgspec.structs.fields(kind)}
-    for name, kind in (
-        ("", Sheet),
-        ("courier", sheet.CourierPart),
-        ("returning", sheet.ReturnPart),
-        ("product", sheet.ProductPart),
-        ("kind", sheet.KindPart),
-        ("partner", sheet.PartnerPart),
-        ("endpoint", sheet.EndpointPart),
+        return text
+
+
+def set_override(tables, origins, key, value, source):
+    """Sets one key from a variable or `--set`; UnusableError where it points into a list."""
+    *parents, last = key.split(".")
+    table = tables
+    for name in parents:
+        table = table.setdefault(name, {})
+        if not isinstance(table, dict):
+            raise UnusableError([Finding(source, f"{key!r} points into a list", "set lists in the file")])
+    table[last] = value
+    origins[key] = source
+
+
+KNOWN_KEYS = {
+    name: {key.name: key for key in msgspec.structs.fields(table_type)}
+    for name, table_type in (
+        ("", Configuration),
+        ("courier", model.CourierPart),
+        ("returning", model.ReturnPart),
+        ("product", model.ProductPart),
+        ("kind", model.KindPart),
+        ("partner", model.PartnerPart),
+        ("endpoint", model.EndpointPart),
     )
 }
 
 
-def types(tables, origin, path):
-    """What does not have the form: unknown keys, with the likely one, and values of the wrong type."""
-    out = []
-
-    def place(key):
-        return f"{origin[key]}: {key}" if key in origin else f"{path}: {key}"
-
-    def walk(value, name, key):
-        known = FIELDS[name]
-        for word in value:
-            if word not in known:
-                near = difflib.get_close_matches(word, known, 1)
-                out.append(
-                    Fault(
-                        place(f"{key}.{word}" if key else word),
-                        f"there is no key {word!r}",
-                        f"did you mean {near[0]!r}?" if near else f"known are {', '.join(sorted(known))}",
+def unknown_keys(tables, origins, path):
+    """A finding for each unknown key, with a similar known key if there is one."""
+    findings = []
+
+    def location(key):
+        return f"{origins[key]}: {key}" if key in origins else f"{path}: {key}"
+
+    def walk(table, table_name, key):
+        known = KNOWN_KEYS[table_name]
+        for name in table:
+            if name not in known:
+                similar = difflib.get_close_matches(name, known, 1)
+                findings.append(
+                    Finding(
+                        location(f"{key}.{name}" if key else name),
+                        f"there is no key {name!r}",
+                        f"did you mean {similar[0]!r}?"
+                        if similar
+                        else f"known keys: {', '.join(sorted(known))}",
                     )
                 )
-        for word, inner in value.items():
-            if word in FIELDS and word in known:
-                plain = f"{key}.{word}" if key else word
-                for number, one in enumerate(inner if isinstance(inner, list) else [inner]):
-                    if isinstance(one, dict):
-                        walk(one, word, f"{plain}[{number}]" if isinstance(inner, list) else plain)
+        for name, inner in table.items():
+            if name in KNOWN_KEYS and name in known:
+                inner_key = f"{key}.{name}" if key else name
+                for index, entry in enumerate(inner if isinstance(inner, list) else [inner]):
+                    if isinstance(entry, dict):
+                        walk(entry, name, f"{inner_key}[{index}]" if isinstance(inner, list) else inner_key)
 
     walk(tables, "", "")
-    return out
+    return findings
 
 
-def build(tables, origin, paths):
-    """The typed sheet, or all that is wrong with its form."""
+def build_configuration(tables, origins, paths):
+    """The typed configuration; UnusableError where the tables do not have its form."""
     path = paths[-1]
     version = tables.get("version")
     if isinstance(version, int) and not isinstance(version, bool) and version > VERSION:
         raise UnusableError(
             [
-                Fault(
-                    origin.get("version", path),
-                    f"version {version} is newer than this program knows ({VERSION})",
+                Finding(
+                    origins.get("version", path),
+                    f"version {version} is newer than this program supports ({VERSION})",
                     "update calicopin, or write the file for this version",
                 )
             ]
@@ -259,44 +267,50 @@
     if not tables:
         raise UnusableError(
             [
-                Fault(
+                Finding(
                     path,
                     "is empty",
-                    "begin with version = 1 and a [courier] table, or let `calicopin write` make it",
+                    "begin with version = 1 and a [courier] table, or let `calicopin write` create it",
                 )
             ]
         )
-    faults = types(tables, origin, path)
-    if faults:
-        raise UnusableError(faults)
+    findings = unknown_keys(tables, origins, path)
+    if findings:
+        raise UnusableError(findings)
     try:
-        return Read(msgspec.convert(tables, Sheet), origin, paths)
-    except msgspec.ValidationError as fault:
-        why, _, key = str(fault).partition(" - at ")
+        return LoadedConfiguration(msgspec.convert(tables, Configuration), origins, paths)
+    except msgspec.ValidationError as error:
+        reason, _, key = str(error).partition(" - at ")
         key = key.strip("`").removeprefix("$").removeprefix(".")
-        missing = re.search(r"missing required field `([^`]+)`", why)
-        do = f"add {missing[1]} there" if missing else _unit(why, key, tables)
-        short = Read(None, origin, paths)
+        missing = re.search(r"missing required field `([^`]+)`", reason)
+        remedy = f"add {missing[1]} there" if missing else _unit_hint(reason, key, tables)
+        untyped = LoadedConfiguration(None, origins, paths)
         raise UnusableError(
-            [Fault(short.place(key) if key else path, why[0].lower() + why[1:], do)]
+            [Finding(untyped.place(key) if key else path, reason[0].lower() + reason[1:], remedy)]
         ) from None
 
 
-def _unit(why, key, tables):
-    """A hint where a bare number stands for a time or a size."""
-    if "Expected `str`" in why and ("got `int`" in why or "got `float`" in why):
-        return 'give it as a word with its unit, as in "4s", "250ms" or "3MB"'
+def _unit_hint(reason, key, tables):
+    """What to do where a bare number was given for a duration or a size; empty for other errors."""
+    if "Expected `str`" in reason and ("got `int`" in reason or "got `float`" in reason):
+        return 'give it as a string with its unit, as in "4s", "250ms" or "3MB"'
     return ""
 
 
-def read(path, environ=None, over=()):
-    """A configuration by its file; `environ` holds the variables, `over` pairs (key, word) of the command
-    line.
+def read(path, environ=None, overrides=()):
+    """The configuration in a file; `environ` holds the variables, `overrides` the (key, text) pairs of
+    `--set`. UnusableError where it cannot be used.
     """
-    tables, origin, paths = gather(path)
-    for name, word in sorted((environ or {}).items()):
-        if name.startswith(PREFIX):
-            lay_over(tables, origin, name[len(PREFIX) :].lower().replace("__", "."), scalar(word), f"${name}")
-    for key, word in over:
-        lay_over(tables, origin, key, scalar(word), "--set")
-    return build(tables, origin, paths)
+    tables, origins, paths = load_with_includes(path)
+    for name, text in sorted((environ or {}).items()):
+        if name.startswith(ENVIRONMENT_PREFIX):
+            set_override(
+                tables,
+                origins,
+                name[len(ENVIRONMENT_PREFIX) :].lower().replace("__", "."),
+                parse_value(text),
+                f"${name}",
+            )
+    for key, text in overrides:
+        set_override(tables, origins, key, parse_value(text), "--set")
+    return build_configuration(tables, origins, paths)
