--- a/calicopin/departures.py
+++ b/calicopin/departures.py
@@ -17,38 +17,42 @@
     """
 
     def __init__(self):
-        self.left, self.listed_at = {}, -1e12
+        self.unlisted, self.last_news_at = {}, -1e12
 
-    def note(self, endpoints, now):
+    def update(self, endpoints, now):
         """News that named these endpoints, each once: their destinations say which of them are listed now."""
         newly_left = []
         for endpoint in endpoints:
             if endpoint.ident in endpoint.dest.endpoints:
-                self.left.pop(endpoint.ident, None)
-            elif endpoint.ident not in self.left:
-                endpoint.seen = max(endpoint.seen, self.listed_at)
+                self.unlisted.pop(endpoint.ident, None)
+            elif endpoint.ident not in self.unlisted:
+                endpoint.last_listed_at = max(endpoint.last_listed_at, self.last_news_at)
                 newly_left.append(endpoint)
         self.append(newly_left)
-        self.listed_at = now
+        self.last_news_at = now
 
     def append(self, endpoints):
         """More that are not listed; none of them may be dated before those that stand here already."""
-        for endpoint in sorted(endpoints, key=lambda endpoint: endpoint.seen):
-            self.left[endpoint.ident] = endpoint
+        for endpoint in sorted(endpoints, key=lambda endpoint: endpoint.last_listed_at):
+            self.unlisted[endpoint.ident] = endpoint
 
     def overdue(self, now, span):
         """Those that were last listed longer ago than that, the longest first; no other one is looked at."""
-        return list(takewhile(lambda endpoint: now - endpoint.seen > span, self.left.values()))
+        return list(takewhile(lambda endpoint: now - endpoint.last_listed_at > span, self.unlisted.values()))
 
-    def keep(self, endpoint, now):
+    def renew(self, endpoint, now):
         """Dates one anew, as if it had been listed now."""
-        endpoint.seen = now
-        self.left[endpoint.ident] = self.left.pop(endpoint.ident)
+        endpoint.last_listed_at = now
+        self.unlisted[endpoint.ident] = self.unlisted.pop(endpoint.ident)
 
     def forget(self, endpoint):
         """The endpoint is known no more."""
-        del self.left[endpoint.ident]
+        del self.unlisted[endpoint.ident]
 
     def last_listed(self, endpoint):
         """The time of the last news at which it was listed."""
-        return endpoint.seen if endpoint.ident in self.left else max(endpoint.seen, self.listed_at)
+        return (
+            endpoint.last_listed_at
+            if endpoint.ident in self.unlisted
+            else max(endpoint.last_listed_at, self.last_news_at)
+        )
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -8,12 +8,14 @@
 from calicopin import decisions, route_state
 from calicopin.facade import Call, Place
 from calicopin.interface import Taken
-from calicopin.route_state import picked, put
+from calicopin.route_state import read_fields, write_fields
 from calicopin.state.texts import Text
 
 FORM = 1  # of these values; another is not taken
-DESTINATION = ("most", "bundle", "came", "load")
-CALL = ("timeout", "told", "waited")
+# Fields on the wire between two builds, with the attribute that holds each.
+DESTINATION = {"most": "max_bundle", "bundle": "bundle_size", "came": "arrivals", "load": "arrival_rate"}
+CALL = {"timeout": "timeout", "told": "told", "waited": "waited"}
+ENDPOINT = {"misses": "misses", "seen": "last_listed_at", "shy": "retry_at"}
 
 
 # Giving.
@@ -29,7 +31,7 @@
     for number, text in held.items():
         known = registry.texts.get(number)
         if known is not None:
-            texts[text.ident] = dict(taken=known.taken, over=known.over)
+            texts[text.ident] = dict(taken=known.accepted_at, over=known.over)
     ghosts = [
         asdict(text) | {"body": ""}
         for call in calls
@@ -41,13 +43,13 @@
         dest = module.dests.get(number)
         told = dict(ident=ident)
         if dest is not None:
-            told |= picked(dest, DESTINATION) | dict(
+            told |= read_fields(dest, DESTINATION) | dict(
                 routes=[
                     route_state.values(route)
                     | dict(
                         endpoint=None if place is None else endpoints.get(place),
-                        sends=list(route.sends),
-                        firsts=list(route.firsts),
+                        sends=list(route.call_times),
+                        firsts=list(route.first_attempt_times),
                     )
                     for place, route in dest.routes.items()
                 ]
@@ -59,8 +61,8 @@
             dest=facade.dests.ident[endpoint.dest.ident],
             zone=facade.zones.ident.get(endpoint.zone, ""),
             misses=endpoint.misses,
-            missed=[endpoint.missed[product] for product in module.products],
-            shy=endpoint.shy,
+            missed=[endpoint.failures_by_product[product] for product in module.products],
+            shy=endpoint.retry_at,
             kind=module.kinds.index(endpoint.kind),
             seen=module.departures.last_listed(endpoint),
             apart=endpoint.route is not endpoint.dest.routes.get(None),
@@ -76,10 +78,10 @@
         endpoints=known,
         texts=texts,
         ghosts=ghosts,
-        crowded=[kind.crowded for kind in module.kinds],
-        reaped=[[kind.reaped, kind.trust] for kind in module.kinds],
-        calm=registry.calm,
-        rests=[[key, until, named.get(id(text))] for key, (until, text) in registry.rests.items()],
+        crowded=[kind.last_unreached_at for kind in module.kinds],
+        reaped=[[kind.last_stale_at, kind.idle_limit] for kind in module.kinds],
+        calm=registry.settled_at,
+        rests=[[key, until, named.get(id(text))] for key, (until, text) in registry.settling.items()],
         calls=[out(facade, call) for call in calls],
         due=[],
     )  # due: an older version of the same form reads it
@@ -96,15 +98,15 @@
         ),
         None,
     )
-    patient = known is not None and known.endpoint.route.patient is known
-    return picked(call, CALL) | dict(
+    patient = known is not None and known.endpoint.route.patient_call is known
+    return read_fields(call, CALL) | dict(
         place=asdict(call.place),
         texts=[text.ident for text in call.texts],
         open=[text.ident for text in call.texts if text.number in call.open],
         cut=call.timeout,
-        sent=known.sent if known else 0.0,
+        sent=known.sent_at if known else 0.0,
         size=known.size if known else len(call.texts),
-        mode=known.told if known else None,
+        mode=known.last_outcome if known else None,
         patient=patient,
     )
 
@@ -123,16 +125,16 @@
         facade.dests(one["ident"])
     facade.listed([Place(**place) for place in told["places"]], True)
     facade.tick(now)
-    module.registry.calm = told["calm"]
+    module.registry.settled_at = told["calm"]
     for one in told["dests"]:
         destination(facade, one)
     for one in told["endpoints"]:
         endpoint(facade, one)
     # an older version of the same form lacks these two
     for kind, crowded in zip(module.kinds, told.get("crowded", []), strict=False):
-        kind.crowded = crowded
+        kind.last_unreached_at = crowded
     for kind, (reaped, trust) in zip(module.kinds, told.get("reaped", []), strict=False):
-        kind.reaped, kind.trust = reaped, trust
+        kind.last_stale_at, kind.idle_limit = reaped, trust
     by_ident = {}
     for text in [*texts, *(Text(**ghost | {"body": b""}) for ghost in told["ghosts"])]:
         text.number, facade.next_number = facade.next_number, facade.next_number + 1
@@ -151,8 +153,8 @@
     known = module.registry.texts
     for key, until, ident in told["rests"]:
         text = by_ident.get(ident)
-        module.registry.rests[key] = (until, known.get(text.number) if text else object())
-        scheduler.later(until, module.registry, "rested", key)
+        module.registry.settling[key] = (until, known.get(text.number) if text else object())
+        scheduler.later(until, module.registry, "key_settled", key)
     calls = [under_way(facade, one, by_ident) for one in told["calls"]]
     module.departures.append(
         endpoint for endpoint in module.endpoints.values() if endpoint.ident not in endpoint.dest.endpoints
@@ -161,24 +163,24 @@
     for dest in module.dests.values():
         if not dest.idle() and dest not in module.live:
             module.live[dest] = None
-            scheduler.post(dest, "round", module.rounds)
+            scheduler.post(dest, "maintain", module.maintenance_runs)
     return calls
 
 
 def destination(facade, one):
     """Puts what was told of a destination and its routes into the decisions."""
     dest = facade.module.dest(facade.dests(one["ident"]))
-    put(dest, DESTINATION, one)
+    write_fields(dest, DESTINATION, one)
     for told in one.get("routes", ()):
         if told["endpoint"] is not None and told["endpoint"] not in facade.endpoints.index:
             continue  # it has left, and its route with it
         route = facade.module.route(
             dest, None if told["endpoint"] is None else facade.endpoints(told["endpoint"])
         )
-        route_state.put_values(route, told)
-        route.changed_state()
-        route.sends.extend(told["sends"])
-        route.firsts.extend(told.get("firsts", told["sends"]))  # an older version tells none
+        route_state.set_values(route, told)
+        route.mark_changed()
+        route.call_times.extend(told["sends"])
+        route.first_attempt_times.extend(told.get("firsts", told["sends"]))  # an older version tells none
 
 
 def endpoint(facade, one):
@@ -191,9 +193,9 @@
         module.endpoints[number] = decisions.Endpoint(
             module.scheduler, number, facade.zones(one["zone"]), dest, route, kind
         )
-    put(module.endpoints[number], ("misses", "seen", "shy"), one)
+    write_fields(module.endpoints[number], ENDPOINT, one)
     missed = zip(module.products, one.get("missed", []), strict=False)
-    module.endpoints[number].missed.update(missed)
+    module.endpoints[number].failures_by_product.update(missed)
 
 
 def enter(facade, text, told, flying, ghost, now):
@@ -231,14 +233,14 @@
     target = module.endpoints[number]
     texts = [by_ident[ident] for ident in one["texts"]]
     call = Call(place, texts, one["timeout"], number, open={by_ident[ident].number for ident in one["open"]})
-    put(call, CALL, one)
+    write_fields(call, CALL, one)
     if call.open:
         known = decisions.Call(target, one["sent"], len(call.open))
-        known.size, known.told = one["size"], one["mode"]
+        known.size, known.last_outcome = one["size"], one["mode"]
         target.calls.append(known)
         module.pool.free, target.dest.held = module.pool.free - 1, target.dest.held + 1
         if one["patient"]:
-            target.route.patient = known
+            target.route.patient_call = known
         for text in call.open:
             module.registry.texts[text].call = known
     return call
--- a/calicopin/route_state.py
+++ b/calicopin/route_state.py
@@ -5,24 +5,25 @@
 
 from calicopin import slow_start
 
-BUCKET = (
-    "rate",
-    "start",
-    "agreed",
-    "limit",
-    "tokens",
-    "filled",
-    "pause",
-    "cut_at",
-    "changed",
-    "waited",
-    "left",
-    "sent_at",
-    "usual",
-    "flow",
-    "cut_off",
-)
-TIMES = (  # of both; all others mean the same under any clock
+# The stored fields of a token bucket, in their stored order, with the attribute of `Route` that holds each.
+BUCKET = {
+    "rate": "rate",
+    "start": "initial_rate",
+    "agreed": "listed_limit",
+    "limit": "limit",
+    "tokens": "tokens",
+    "filled": "refilled_at",
+    "pause": "pause",
+    "cut_at": "cut_at",
+    "changed": "changed_at",
+    "waited": "demand_waited",
+    "left": "limit_left",
+    "sent_at": "last_call_at",
+    "usual": "usual",
+    "flow": "usual_rate",
+    "cut_off": "longest_timeout",
+}
+TIME_FIELDS = (  # of both; all others mean the same under any clock
     "filled",
     "pause",
     "cut_at",
@@ -34,63 +35,66 @@
     "doubted",
     "warm_at",
 )
-NAMES = BUCKET + slow_start.STATE  # as they are journalled: a new one goes to the end
-PRECISION = 7  # decimals: rates are calls a millisecond
-TIME_PRECISION = 1  # decimals
+FIELDS = (*BUCKET, *slow_start.STATE)  # as they are journalled: a new one goes to the end
+DECIMALS = 7  # decimals: rates are calls a millisecond
+TIME_DECIMALS = 1  # decimals
 
 
-def picked(part, names):
+def read_fields(part, attributes):
     """The named values of a part."""
-    return {name: getattr(part, name) for name in names}
+    return {name: getattr(part, attribute) for name, attribute in attributes.items()}
 
 
-def put(part, names, told):
+def write_fields(part, attributes, state):
     """What an older version did not tell stays as a new part has it."""
-    for name in names:
-        if name in told:
-            setattr(part, name, told[name])
+    for name, attribute in attributes.items():
+        if name in state:
+            setattr(part, attribute, state[name])
 
 
 def values(route):
     """All that is kept of a route."""
-    return picked(route, BUCKET) | picked(route.slow_start, slow_start.STATE)
+    return read_fields(route, BUCKET) | read_fields(route.slow_start, slow_start.STATE)
 
 
-def put_values(route, told):
+def set_values(route, state):
     """The same, into a route."""
-    put(route, BUCKET, told)
-    put(route.slow_start, slow_start.STATE, told)
+    write_fields(route, BUCKET, state)
+    write_fields(route.slow_start, slow_start.STATE, state)
 
 
-def moved(told, by):
+def moved(state, offset):
     """The values with all times so much later."""
-    return {name: value if value is None or name not in TIMES else value + by for name, value in told.items()}
+    return {
+        name: value if value is None or name not in TIME_FIELDS else value + offset
+        for name, value in state.items()
+    }
 
 
-def packed(told):
+def packed(state):
     """The values as a list, short enough to be written often."""
-    return [_short(name, told[name]) for name in NAMES]
+    return [_rounded(name, state[name]) for name in FIELDS]
 
 
-def _short(name, value):
+def _rounded(name, value):
     if not isinstance(value, float):
         return value
-    return round(value, TIME_PRECISION if name in TIMES else PRECISION)
+    return round(value, TIME_DECIMALS if name in TIME_FIELDS else DECIMALS)
 
 
 def unpacked(listed):
     """The values of a list; what an older version did not write is left out."""
-    return dict(zip(NAMES, listed, strict=False))
+    return dict(zip(FIELDS, listed, strict=False))
 
 
-def restore(route, told, now, continuous):
+def restore(route, state, now, continuous):
     """Puts the values into a route of a new process. Its bucket did not fill while there was none: couriers
     that were down together would all begin with what they had not sent meanwhile, in one moment.
     """
-    wait = max(0.0, told["pause"] - told["filled"])  # no wait is longer behind a restart than it was told
-    put_values(route, told)
-    route.slow_start.keep_clock(now, continuous)
-    route.filled = now
-    for name in ("cut_at", "changed", "sent_at"):
-        setattr(route, name, min(getattr(route, name), now) if continuous else now)
+    wait = max(0.0, state["pause"] - state["filled"])  # no wait is longer behind a restart than it was told
+    set_values(route, state)
+    route.slow_start.restore_clock(now, continuous)
+    route.refilled_at = now
+    for attribute in ("cut_at", "changed_at", "last_call_at"):
+        setattr(route, attribute, min(getattr(route, attribute), now) if continuous else now)
     route.pause = min(route.pause, now + wait) if continuous else now + wait
--- a/calicopin/scheduler.py
+++ b/calicopin/scheduler.py
@@ -21,34 +21,34 @@
     """
 
     def __init__(self, number, seed):
-        self.now, self.late, self.out = 0.0, 0.0, []
-        self.busy, self.due, self.order, self.armed = deque(), [], count(), float("inf")
-        self.wakes, self.number, self.draws = 0, number, count(seed & 0xFFFFFFFF)
+        self.now, self.late, self.actions = 0.0, 0.0, []
+        self.pending, self.timers, self.sequence, self.wake_at = deque(), [], count(), float("inf")
+        self.wake_token, self.number, self.draw_counter = 0, number, count(seed & 0xFFFFFFFF)
         self.touched, self.overran = {}, []
 
-    def post(self, part, name, *args):
+    def post(self, actor, message, *args):
         """Puts a note into the part's inbox: its `on_NAME` is called with these arguments."""
-        part.inbox.append((name, args))
-        self.busy.append(part)
+        actor.inbox.append((message, args))
+        self.pending.append(actor)
 
-    def later(self, when, part, name, *args):
+    def later(self, when, actor, message, *args):
         """Posts a note once `when` has come, in ms."""
-        heapq.heappush(self.due, (when, next(self.order), part, name, args))
+        heapq.heappush(self.timers, (when, next(self.sequence), actor, message, args))
 
     def run(self):
         """Empties the inboxes; what is due posts its note whenever they are empty."""
-        while self.busy or self.due and self.due[0][0] <= self.now:
-            if not self.busy:
-                _, _, part, name, args = heapq.heappop(self.due)
-                self.post(part, name, *args)
-            part = self.busy.popleft()
-            name, args = part.inbox.popleft()
-            getattr(part, "on_" + name)(*args)
-
-    def chance(self, ident):
+        while self.pending or self.timers and self.timers[0][0] <= self.now:
+            if not self.pending:
+                _, _, actor, message, args = heapq.heappop(self.timers)
+                self.post(actor, message, *args)
+            actor = self.pending.popleft()
+            message, args = actor.inbox.popleft()
+            getattr(actor, "on_" + message)(*args)
+
+    def draw(self, ident):
         """A draw, at least 0 and under 1, that follows from number, seed, `ident` and the draws before."""
-        return zlib.crc32(f"{self.number}:{ident}:{next(self.draws)}".encode()) / 2**32
+        return zlib.crc32(f"{self.number}:{ident}:{next(self.draw_counter)}".encode()) / 2**32
 
     def log(self, line):
         """Adds a line for operators to what the decisions give out."""
-        self.out.append(Log(line))
+        self.actions.append(Log(line))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -236,7 +236,7 @@
             for s in submits(alone.take(10))
         ]
     )
-    assert alone.courier.dests[0].routes[None].left == pytest.approx(1.0 - 0.5 * 0.9**10)
+    assert alone.courier.dests[0].routes[None].limit_left == pytest.approx(1.0 - 0.5 * 0.9**10)
     paces = 0.0
     for number in range(40):
         stand = DecisionsFixture(partners=[Partner(bundle=10)], senders=40, number=number)
@@ -244,8 +244,8 @@
         assert len({submit.endpoint for submit in out}) == 1
         stand.step([Outcome(s.text, s.endpoint, How.DELIVERED, 0.0, 200.0, True, 1.0, 80.0) for s in out])
         route = stand.courier.dests[0].routes[None]
-        assert route.left == pytest.approx(1.0 - 0.5 * 0.9 ** (1.0 + 9.0 / 40.0))
-        paces += route.share() * 40 ** (2.0 * route.left - 1.0)
+        assert route.limit_left == pytest.approx(1.0 - 0.5 * 0.9 ** (1.0 + 9.0 / 40.0))
+        paces += route.fair_share() * 40 ** (2.0 * route.limit_left - 1.0)
     assert paces < 2.0 * 80.0 / 1000.0, "ten times the belief would be 0.83 left and eleven limits"
 
 
@@ -266,7 +266,7 @@
     return.
     """
     route = DecisionsFixture(senders=200).courier.dests[0].routes[None]
-    route.rate, route.slow_start.fails, route.slow_start.fail_since = 0.001, 2, -8000.0
+    route.rate, route.slow_start.fails, route.slow_start.first_failure_at = 0.001, 2, -8000.0
     assert route.speed() == pytest.approx(0.2 * 2.0**0.5 / (8000.0 + 3000.0)), (
         "and so at most once in their age"
     )
@@ -274,7 +274,7 @@
     assert route.speed() == pytest.approx(0.2 * 2.0**0.5 / (8000.0 + 3000.0)), (
         "one that sees little sees one failure"
     )
-    route.slow_start.fail_since = route.scheduler.now - 2999.0
+    route.slow_start.first_failure_at = route.scheduler.now - 2999.0
     assert route.speed() == pytest.approx(0.001)
 
 
@@ -287,7 +287,7 @@
         for pause in (400.0, 30000.0, 0.0):
             stand.outcome(submits(stand.take(1))[0])
             stand.step(after=pause)
-        flows.append((stand.courier.dests[0].load, stand.courier.dests[0].routes[None].flow))
+        flows.append((stand.courier.dests[0].arrival_rate, stand.courier.dests[0].routes[None].usual_rate))
     assert flows[0] == pytest.approx(flows[1])
 
 
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -53,15 +53,15 @@
     change."""
 
     def on_listed(self, event):
-        self.misses, seen, changed = 0, {entry.endpoint for entry in event.entries}, {}
+        self.list_failures, seen, changed = 0, {entry.endpoint for entry in event.entries}, {}
         for entry in event.entries:
             dest, kind = self.dest(entry.dest), self.kinds[min(entry.kind, len(self.kinds) - 1)]
-            dest.most, name = kind.bundle, entry.endpoint if kind.apart else None
+            dest.max_bundle, name = kind.max_bundle, entry.endpoint if kind.per_endpoint_routes else None
             route = dest.routes.get(name)
             if route is None:
-                told = f"destination {entry.dest}" + (f" route {name}" if kind.apart else "")
+                told = f"destination {entry.dest}" + (f" route {name}" if kind.per_endpoint_routes else "")
                 route = dest.routes[name] = Route(self.scheduler, told, self.senders, self.fail_back)
-            route.agreed = entry.agreed / 1000.0 if entry.agreed else route.agreed
+            route.listed_limit = entry.agreed / 1000.0 if entry.agreed else route.listed_limit
             if not entry.ready:
                 dest.endpoints.pop(entry.endpoint, None)
             elif entry.endpoint not in dest.endpoints:
@@ -70,13 +70,13 @@
                 )
             changed[dest] = None
         for dest in changed:
-            self.scheduler.post(dest, "pump")
+            self.scheduler.post(dest, "dispatch")
         for ident, endpoint in list(self.endpoints.items()):
             if event.whole and ident not in seen:
                 endpoint.dest.endpoints.pop(ident, None)
             if ident in endpoint.dest.endpoints:
-                endpoint.seen = self.scheduler.now
-            elif not endpoint.calls and self.scheduler.now - endpoint.seen > Route.IDLE:
+                endpoint.last_listed_at = self.scheduler.now
+            elif not endpoint.calls and self.scheduler.now - endpoint.last_listed_at > Route.IDLE:
                 del self.endpoints[ident], endpoint.kind.endpoints[ident]
                 endpoint.dest.routes.pop(ident, None)
 
@@ -295,9 +295,9 @@
         destinations=len(module.dests),
         endpoints=len(module.endpoints),
         by_kind=[len(kind.endpoints) for kind in module.kinds],
-        left=len(module.departures.left),
+        left=len(module.departures.unlisted),
         live=len(module.live),
-        due=len(module.scheduler.due),
+        due=len(module.scheduler.timers),
         names=[
             len(table)
             for indices in (house.dests, house.endpoints)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -175,9 +175,9 @@
     new = fresh(12000.0)
     new.handle(12000.0, [Interrupted(0)])
     known = route_of(new).slow_start
-    assert known.fails == 1 and not known.holds(14999.0) and known.holds(15001.0)
+    assert known.fails == 1 and not known.is_throttled(14999.0) and known.is_throttled(15001.0)
     known.delivered(12100.0)
-    assert not known.holds(20000.0)
+    assert not known.is_throttled(20000.0)
 
 
 def test_a_call_decided_before_an_outage_does_not_begin_in_it():
@@ -196,14 +196,14 @@
     held = SlowStart(RULE, senders=20)
     held.mode, held.since = OUT, 0.0
     rate = held.shared_rate(1000.0, 0.0)
-    assert all(held.note_sent(1000.0 + 100.0 * turn, rate) for turn in range(2)) and not held.violations
-    assert not held.note_sent(1300.0, rate) and held.violations == 1
-    assert held.note_sent(1300.0 + 2.0 * RULE.span, rate), "another window"
+    assert all(held.record_call(1000.0 + 100.0 * turn, rate) for turn in range(2)) and not held.violations
+    assert not held.record_call(1300.0, rate) and held.violations == 1
+    assert held.record_call(1300.0 + 2.0 * RULE.span, rate), "another window"
 
 
 def test_a_sender_that_is_not_held_is_not_counted():
     free = SlowStart(RULE, senders=20)
-    assert free.mode == WELL and all(free.note_sent(10.0 * turn, 0.001) for turn in range(100))
+    assert free.mode == WELL and all(free.record_call(10.0 * turn, 0.001) for turn in range(100))
 
 
 @pytest.mark.parametrize("failures", [1, 4])
@@ -229,12 +229,12 @@
     stand = DecisionsFixture(senders=20)
     assert len(submits(stand.take(5))) == 5
     stand.step(after=1000.0)
-    assert 0.0 < route_of(stand.courier).flow < 0.3 / 1000.0
+    assert 0.0 < route_of(stand.courier).usual_rate < 0.3 / 1000.0
     for _ in range(60):
         stand.step(after=1000.0)
         for submit in submits(stand.take(1)):
             stand.outcome(submit, elapsed=150.0)
-    assert route_of(stand.courier).flow == pytest.approx(1.0 / 1000.0, rel=0.3), "what lasts is"
+    assert route_of(stand.courier).usual_rate == pytest.approx(1.0 / 1000.0, rel=0.3), "what lasts is"
 
 
 def test_a_pace_outlives_the_process_so_that_what_waits_does_not_go_at_once():
@@ -309,4 +309,4 @@
         (one,) = submits(house.outcome(one, How.ERROR, elapsed=100.0))
     house.outcome(one, How.FULL, elapsed=10.0)
     (route,) = house.courier.dests[0].routes.values()
-    assert 0.0 < route.rate <= Route.CUT * 1.0 / 1000.0, "one message in a second, and not five calls"
+    assert 0.0 < route.rate <= Route.CUT_FACTOR * 1.0 / 1000.0, "one message in a second, and not five calls"
