--- a/calicopin/decisions.py
+++ b/calicopin/decisions.py
@@ -1,8 +1,11 @@
-"""The decisions of calicopin; pace and slow start of a destination stand in `route.py` and `slow_start.py`.
+"""The decisions of calicopin: which text goes to which endpoint at what time, and when one is given up.
 
-How to call it: make one `Courier` an instance, with what is read at start as keyword arguments, then give
-`courier.handle(now, events)` every batch of events; it returns the actions, in order.
-The types of both are in `calicopin/interface.py`; docs/design.md says what is kept of the design.
+Make one `Courier` per instance from its `CourierSettings` and pass it every batch of events with
+`courier.handle(now, events)`, which returns the actions in order. `calicopin/interface.py` holds the types of
+both. The rate limit of a destination is in `route.py`, its slow start after an outage in `slow_start.py`.
+
+Each part is an actor: `Scheduler.post(part, "name", ...)` calls its `on_name`. Times are float milliseconds
+of the monotonic clock, rates calls per millisecond.
 """
 
 from collections import Counter, deque
@@ -15,8 +18,8 @@
 from calicopin.scheduler import Scheduler
 from calicopin.slow_start import COLD, OUT, OUTAGE_STREAK
 
-HARMLESS = (How.FULL, How.UNREACHED, How.NOT_SENT)  # these prove that the submit never ran
-MAINTENANCE_INTERVAL_MS = 250.0  # the one periodic timer
+HARMLESS = (How.FULL, How.UNREACHED, How.NOT_SENT)  # outcomes that prove that the submit never ran
+MAINTENANCE_INTERVAL_MS = 250.0
 
 
 class Text:
@@ -33,14 +36,14 @@
         self.restored = event.restored
 
     def last_submit(self):
-        """Guards 'no double effect': the time after which nothing more may be sent."""
+        """The time after which no submit is allowed, so that the text never takes effect twice."""
         if self.ran_at is None or self.product.repeat == Repeat.RESENDABLE:
             return self.until
         once_only = self.product.repeat == Repeat.ONCE_ONLY
         return -1.0 if once_only else min(self.until, self.ran_at + self.product.memory)
 
     def revenue_share(self, at):
-        """Share of the revenue that a delivery at that time still earns."""
+        """The share of the revenue, 0 to 1, that a delivery at the time `at` (ms) still earns."""
         product, late_by = self.product, at - (self.until - self.product.validity + self.product.sla)
         if late_by <= 0.0 or at >= self.until:
             return float(at < self.until)
@@ -49,16 +52,21 @@
         return 1.0 - (1.0 - product.late_revenue) * late_by / (product.validity - product.sla)
 
     def is_restored_untried(self):
-        """What a restart found taken on and untried is tried before it is given up early."""
+        """Whether a restart restored the text before its first submit. Such a text gets one submit before it
+        may be given up early.
+        """
         return self.restored and not self.tries and self.ran_at is None
 
     def nackable(self):
+        """Whether a nack is safe: handed in again, the text takes no second effect."""
         by_reference = self.product.repeat == Repeat.REFERENCED and not self.product.memory_by_zone
         return self.ran_at is None or self.product.repeat == Repeat.RESENDABLE or by_reference
 
 
 class Call:
-    """One call out, with the texts that share it."""
+    """One call in flight and the texts that share it: `pending` counts those without an outcome, `size` all
+    of them; `idle_before` is how long (ms) the connection was idle before the call.
+    """
 
     def __init__(self, endpoint, sent_at, texts):
         self.endpoint, self.sent_at, self.pending, self.size, self.last_outcome = (
@@ -68,14 +76,16 @@
             texts,
             None,
         )
-        self.idle_before = (
-            0.0 if endpoint.calls else sent_at - endpoint.idle_since
-        )  # for so long its connection was idle
+        self.idle_before = 0.0 if endpoint.calls else sent_at - endpoint.idle_since
 
 
 class Kind:
-    """One kind of destination; when one of its endpoints last refused a connection, or an idle one was gone
-    under the next call, and half of the time for which that had stood."""
+    """One kind of destination, and what its endpoints tell about idle connections.
+
+    `last_unreached_at` is when one of them last refused a connection. `last_stale_at` is when a call last
+    found its idle connection closed, and `idle_limit` half of the time (ms) that this connection had been
+    idle.
+    """
 
     def __init__(self, partner):
         self.max_bundle, self.per_endpoint_routes, self.last_unreached_at = (
@@ -86,7 +96,9 @@
         self.last_stale_at, self.idle_limit, self.endpoints = -1e12, float("inf"), {}
 
     def note_stale_connection(self, scheduler, idle):
-        """What has stood idle for as long is looked at now, before the next call goes over it."""
+        """A call found its connection closed after `idle` ms: has every endpoint of the kind close what has
+        been idle for longer than the new limit before the next call uses it.
+        """
         self.idle_limit, self.last_stale_at = (
             min(self.current_idle_limit(scheduler.now), idle / 2.0),
             scheduler.now,
@@ -95,12 +107,16 @@
             scheduler.post(endpoint, "close_idle")
 
     def current_idle_limit(self, now):
-        """For how long an idle connection is still believed in."""
+        """How long (ms) an idle connection may be reused; unlimited once the last stale one is long ago."""
         return self.idle_limit if now < self.last_stale_at + Route.IDLE else float("inf")
 
 
 class Endpoint:
-    """Carries calls to one endpoint and tells its destination how they went."""
+    """Sends calls to one endpoint and reports their outcomes to its destination.
+
+    `misses` counts the failures since the last delivery. `suspect_idle` holds how long (ms) a connection had
+    been idle whose call timed out, or 0, and when that call ended.
+    """
 
     def __init__(self, scheduler, ident, zone, dest, route, kind):
         self.scheduler, self.ident, self.zone, self.dest = scheduler, ident, zone, dest
@@ -112,21 +128,30 @@
             1e12,
             0.0,
         )
-        self.misses, self.failures_by_product = 0, Counter()  # in a row, of all products and of each
+        self.misses, self.failures_by_product = 0, Counter()  # in a row, of all products and of each product
         self.keep_open_until, self.suspect_idle, kind.endpoints[ident] = 0.0, (0.0, 0.0), self
 
     def on_close_idle(self):
-        """An idle connection is given back where endpoints of its kind refused one: they may take few, and
-        what many senders leave idle there shuts out the calls of all; and where one that stood idle was gone
-        under the next call: what goes over it may have run. After a crash it may cost time."""
+        """Closes idle connections in two cases.
+
+        An endpoint of the kind refused a connection: endpoints may accept only few, and the idle connections
+        of many senders keep out the calls of all. Or a connection was found closed under a call, and a text
+        sent over one may have run. After a crash of an endpoint, which breaks idle connections too, this can
+        cost needless reconnects.
+        """
         now, kind = self.scheduler.now, self.kind
         contended = self.keep_open_until <= now < kind.last_unreached_at + Route.IDLE
         if not self.calls and (contended or self.idle_since + kind.current_idle_limit(now) <= now):
             self.scheduler.actions.append(Close(self.ident))
 
     def on_send(self, texts):
-        """Time-outs lie far beyond the usual, so that a lost call frees its slot; one out may be slow. Guards
-        against a partner whose answers all come later: while out, one call at a time waits twice the last."""
+        """Sends one call with these texts.
+
+        The time-out is a multiple of the usual latency, so that a lost call frees its slot; in an outage it
+        is longer, since answers may be slow. While the route is in an outage, one call at a time waits for
+        twice the longest time-out so far: else a partner that answers later than any time-out would never
+        deliver.
+        """
         now, route = self.scheduler.now, self.route
         call, in_outage = Call(self, now, len(texts)), route.mode == OUT
         self.calls.append(call)
@@ -135,7 +160,7 @@
         for text in texts:
             text.call, text.tries = call, text.tries + 1
             usual_timeout = (32.0 if in_outage else 8.0) * route.usual or text.product.sla
-            if text.product.repeat == Repeat.ONCE_ONLY:  # its time-out is its end: not before it earns less
+            if text.product.repeat == Repeat.ONCE_ONLY:  # a time-out ends it: not while it earns in full
                 usual_timeout = max(usual_timeout, text.product.sla)
             timeout = min(
                 text.until - now,
@@ -144,13 +169,17 @@
             self.scheduler.actions.append(Submit(text.ident, self.ident, max(1.0, timeout)))
 
     def on_outcome(self, text, event):
+        """A submit has ended: updates the state of the endpoint, its kind and its route, and returns the
+        text.
+        """
         call, text.call = text.call, None
         outcome, route, call.pending = event.how, self.route, call.pending - 1
+        # each outcome of a call counts once
         first_of_call, first_of_outcome, call.last_outcome = (
             call.last_outcome is None,
             call.last_outcome != outcome,
             outcome,
-        )  # each way it ends counts once
+        )
         if not call.pending:
             self.calls.remove(call)
             self.scheduler.post(self.dest.pool, "release", self.dest)
@@ -164,7 +193,7 @@
             route.note_limit(event.limit / 1000.0, event.left or 0.0, call.size)
         if outcome == How.UNREACHED:
             self.kind.last_unreached_at = self.scheduler.now
-            # full or down: at once again, a text would use up its submits
+            # without a delay a text would use up its submits while the endpoint is full or down
             delay = max(route.usual, 20.0 * self.dest.tick) * 2.0**self.misses
             self.retry_at = self.scheduler.now + delay * (0.5 + self.scheduler.draw(self.ident))
         if (
@@ -174,12 +203,13 @@
             and event.elapsed < route.fastest_answer
         ):
             self.kind.note_stale_connection(self.scheduler, call.idle_before)
-            outcome = How.CALLED_OFF  # no fault of the endpoint's, though it may have run
+            outcome = How.CALLED_OFF  # not the endpoint's fault, but the text may have run
         if outcome == How.FULL:
             route.refused(call)
         elif outcome == How.TIMEOUT:
             route.longest_timeout = max(route.longest_timeout, event.elapsed)
-            if first_of_call and call.sent_at >= self.suspect_idle[1]:  # the next one, on a new line, tells
+            if first_of_call and call.sent_at >= self.suspect_idle[1]:
+                # the next call, on a new connection, decides
                 self.suspect_idle = (0.0 if self.suspect_idle[0] else call.idle_before, self.scheduler.now)
         elif (
             first_of_call
@@ -204,7 +234,7 @@
             self.failures_by_product[text.product] = min(
                 OUTAGE_STREAK, self.failures_by_product[text.product] + (outcome != How.FULL)
             )
-            if outcome == How.BROKEN:  # all that share a call are lost with its answer
+            if outcome == How.BROKEN:  # one lost answer fails every text of the call
                 self.dest.bundle_size = max(1, min(self.dest.bundle_size, call.size // 2))
         if outcome not in HARMLESS and text.ran_at is None:
             text.ran_at, text.ran_zone = call.sent_at, self.zone
@@ -212,7 +242,11 @@
 
 
 class Destination:
-    """The queue of one destination, first in first out, and the pick of the endpoint."""
+    """The queue of one destination, first in, first out, and the choice of an endpoint.
+
+    `held` counts its slots in use, `bundle_size` is how many texts may share a call at present, up to
+    `max_bundle`, and `arrival_rate` is its average of accepted texts per ms.
+    """
 
     def __init__(self, scheduler, ident, registry, pool, settings):
         self.scheduler, self.ident, self.registry, self.pool = scheduler, ident, registry, pool
@@ -227,12 +261,15 @@
             self.arrival_rate,
             self.last_maintenance,
         ) = False, 0.0, 0, 0, 0.0, 0
-        self.released_at = None  # since when nobody uses it
-        self.oldest_restored_at = None  # since when what a restart found has waited
+        self.released_at = None  # when its last user released it
+        self.oldest_restored_at = None  # when the oldest text that a restart found was accepted
 
     def note_restored(self, at):
-        """What a restart found was taken on at that time or later: called for at once, it is not the traffic
-        of one moment, and a pace must not be made of it."""
+        """A restart found a text that was accepted at the time `at` (ms).
+
+        Restored texts go out together, so their calls are counted over the time since the oldest was
+        accepted; else the rate limit would follow that burst.
+        """
         self.oldest_restored_at = min(
             at, self.scheduler.now if self.oldest_restored_at is None else self.oldest_restored_at
         )
@@ -240,21 +277,20 @@
             route.known_since = min(route.known_since, self.oldest_restored_at)
 
     def on_take(self, text):
+        """Queues an accepted text."""
         self.queue.append(text)
         self.arrivals += 1
-        if (
-            text.tries >= self.max_attempts
-        ):  # only a restored one: all its submits were made before the restart
-            self.scheduler.post(self.registry, "give_up", self.queue.pop(), 0.0, "no attempt left")
+        if text.tries >= self.max_attempts:  # a restored text without attempts left
+            self.scheduler.post(self.registry, "give_up", self.queue.pop(), 0.0, "no attempts left")
         self.on_dispatch()
 
     def on_submit_ended(self, text, event):
-        """A submit came back: the text is over, waits for its next submit, or is given up at once."""
+        """A submit has ended: the text is finished, waits for its next submit, or is given up."""
         self.scheduler.post(self.registry, "settle", text, event.how)
         if event.ended or text.over:
             self.scheduler.post(self.registry, "withdrawn", text.ident)
         elif text.tries >= self.max_attempts:
-            self.scheduler.post(self.registry, "give_up", text, 0.0, "no attempt left")
+            self.scheduler.post(self.registry, "give_up", text, 0.0, "no attempts left")
         elif self.scheduler.now >= min(text.until - self.tick, text.last_submit()):
             self.scheduler.post(self.registry, "give_up", text, 0.0, "no time left to repeat it")
         else:
@@ -269,6 +305,7 @@
         self.on_dispatch()
 
     def idle(self):
+        """Whether maintenance can be left out: nothing waits, is in flight, was sent lately or warms up."""
         return not (
             self.queue
             or self.held
@@ -276,7 +313,9 @@
         )
 
     def unused(self):
-        """Whether nothing is held or out, nothing binds, and what was learnt is as old as is remembered."""
+        """Whether the destination can be forgotten: no text and no endpoint, no restriction in force, and no
+        call within the time that routes are remembered.
+        """
         horizon, routes = self.scheduler.now - Route.IDLE, self.routes.values()
         retained = any(
             route.call_times or route.last_call_at >= horizon or route.is_restricted() for route in routes
@@ -284,7 +323,9 @@
         return not (self.queue or self.held or self.slot_requested or self.endpoints or retained)
 
     def on_maintain(self, number):
-        """Periodic; rounds that an idle destination was left out of are made up for."""
+        """Periodic maintenance, run `number`: averages make up for the runs that were skipped while the
+        destination was idle.
+        """
         intervals, self.last_maintenance = number - self.last_maintenance, number
         for route in self.routes.values():
             route.maintain(intervals)
@@ -296,10 +337,11 @@
         self.on_dispatch()
 
     def on_remove(self, text):
+        """Takes a text out of the queue."""
         self.queue = deque(other for other in self.queue if other is not text)
 
     def expected_answers(self):
-        """Each text that waits here, with the time at which its answer may be there."""
+        """Yields each waiting text with the time (ms) at which its answer can be expected."""
         rate = max((route.speed() or 0.0 for route in self.listed_routes()), default=0.0)
         at, interval = (
             self.next_call_at() + self.usual_latency(),
@@ -309,7 +351,9 @@
             yield text, at + position * interval
 
     def give_up_below(self, texts, at, min_share, why):
-        """Gives up those of them that would earn less than `least`, answered at that time."""
+        """Gives up those of `texts` that would earn less than the share `min_share` if answered at the time
+        `at` (ms); `why` goes to the log.
+        """
         for text in [
             text for text in texts if text.revenue_share(at) < min_share and not text.is_restored_untried()
         ]:
@@ -317,30 +361,37 @@
             self.scheduler.post(self.registry, "give_up", text, at - self.scheduler.now, why)
 
     def expire_throttled(self, opens):
-        """What would earn under a fifth once the bucket opens is given up at once, not held until then: its
-        program can ask elsewhere. Where answers name a limit, any of them may open the bucket sooner."""
+        """Gives up texts that would earn less than a fifth once the rate limit lets them go, at `opens` (ms):
+        their sender can try elsewhere now. Not where answers report a limit, since any answer may free
+        some of it.
+        """
         if not any(route.limit for route in self.listed_routes()):
-            self.give_up_below(self.queue, opens + self.usual_latency(), 0.2, "paced until it is late")
+            self.give_up_below(self.queue, opens + self.usual_latency(), 0.2, "rate limit delays it too long")
 
     def listed_routes(self):
-        """The routes to the endpoints that are listed; most share one."""
+        """The routes to the listed endpoints, each once, as keys; most endpoints share one."""
         return {endpoint.route: None for endpoint in self.endpoints.values()}
 
     def endpoint_openings(self):
-        """Each endpoint with the time from which it takes a call; a route that many share is asked once."""
+        """Each endpoint with the time (ms) from which it takes a call. A shared route is asked once."""
         opens = {route: route.opens() for route in self.listed_routes()}
         return [
             (endpoint, max(opens[endpoint.route], endpoint.retry_at)) for endpoint in self.endpoints.values()
         ]
 
     def next_call_at(self):
+        """The time (ms) at which the first endpoint takes a call; now where none is listed."""
         return min((at for _, at in self.endpoint_openings()), default=self.scheduler.now)
 
     def next_text(self):
+        """The first text in the queue that may go now, or None."""
         return next((text for text in self.queue if self.registry.turn(text)), None)
 
     def choose_endpoint(self, text):
-        """One endpoint at random, odds in step with its room; zones bind where references live in one."""
+        """Draws one of the available endpoints, or returns None. Recent failures and calls in flight lower an
+        endpoint's weight. A text that may have run stays in its zone where references are known in one
+        zone only.
+        """
         by_zone = text.product.memory_by_zone and text.product.repeat == Repeat.REFERENCED
         zone_bound = text.ran_at is not None and by_zone
         available = [endpoint for endpoint, at in self.endpoint_openings() if at <= self.scheduler.now]
@@ -359,7 +410,9 @@
         return next(chosen, eligible[-1] if eligible else None)
 
     def on_dispatch(self):
-        """Ask for a slot when the first in line may go; else come back when a bucket opens."""
+        """Requests a slot when the first text may go, else schedules itself for when the rate limit allows a
+        call.
+        """
         text = None if self.slot_requested or not self.endpoints else self.next_text()
         if text is None:
             return
@@ -383,17 +436,20 @@
         )
 
     def usual_latency(self):
+        """The usual time (ms) from a call to its answer, of the slowest listed route."""
         return max((route.usual for route in self.listed_routes()), default=0.0)
 
     def give_up_late(self):
-        """Guards against a standing line in which every text is sent too late to earn: what earns nothing, or
-        under half while the newest earns in full, goes at once. It may hurt where the load just falls."""
+        """Keeps an overloaded queue from delivering every text too late: gives up what would earn nothing or,
+        while the newest text would still earn in full, less than half. Where the load is about to fall,
+        this gives up texts that could have been delivered.
+        """
         at = self.scheduler.now + self.usual_latency()
         min_share = 0.5 if self.queue and self.queue[-1].revenue_share(at) == 1.0 else 1e-9
-        self.give_up_below(list(self.queue)[:-1], at, min_share, "late in line")
+        self.give_up_below(list(self.queue)[:-1], at, min_share, "queued too long")
 
     def on_grant(self):
-        """A slot: texts from the head of the line share the call as far as the destination takes it."""
+        """A slot was granted: sends the next text, with as many others as may share its call."""
         self.slot_requested = False
         self.give_up_late()
         endpoint = (head := self.next_text()) and self.choose_endpoint(head)
@@ -414,24 +470,32 @@
 
 
 class Pool:
-    """The slots, dealt to whoever holds least of its usual need: one that hangs comes last."""
+    """The slots for concurrent calls. The destination that holds the least of its usual need is served first,
+    so that one that does not answer comes last.
+    """
 
     def __init__(self, scheduler, slots):
         self.scheduler, self.free, self.inbox, self.requests = scheduler, slots, deque(), []
-        self.paused = False  # no call can be made: nothing is granted
+        self.paused = False  # while set, no call can be made and no slot is granted
 
     def on_request(self, dest, priority, usual_need):
+        """A destination wants a slot; `priority` breaks ties, lower first, and `usual_need` is how many slots
+        it usually holds.
+        """
         self.requests.append((dest, priority, usual_need))
         self.grant_slots()
 
     def on_release(self, dest):
+        """A destination returns a slot."""
         self.free, dest.held = self.free + 1, dest.held - 1
         self.grant_slots()
 
     def on_resume(self):
+        """Calls may be possible again."""
         self.grant_slots()
 
     def grant_slots(self):
+        """Grants free slots until none is free or requested."""
         while self.requests and self.free > 0 and not self.paused:
             request = min(
                 self.requests,
@@ -443,7 +507,12 @@
 
 
 class Registry:
-    """Takes texts, gives each its one final answer, and keeps the order of keys. After a restart all rest."""
+    """The texts that are held. Gives each its one final answer and keeps the order of texts with the same
+    key.
+
+    `settling` holds, by key, until when the texts behind a submit that may still run have to wait, and that
+    submit's text. After a restart this holds for all keys, until `settled_at`.
+    """
 
     def __init__(self, scheduler, settings):
         self.scheduler, self.capacity, self.tick = scheduler, settings.room, settings.tick
@@ -452,6 +521,9 @@
         self.settled_at = settings.restarted + settings.settle
 
     def on_take(self, text):
+        """Registers an accepted text, hands it to its destination, and sheds load if the store is nearly
+        full.
+        """
         self.texts[text.ident] = text
         if text.key is not None:
             self.keys.setdefault(text.key, deque()).append(text)
@@ -461,7 +533,9 @@
             self.scheduler.post(self, "shed")
 
     def on_shed(self):
-        """The store is nearly full: what earns least by its turn makes room for texts that can still go."""
+        """The store is nearly full: finds the waiting text whose expected answer earns least, and gives up
+        the oldest text in its queue that is worth no more.
+        """
         dests = dict.fromkeys(
             waiting.dest for waiting in self.texts.values() if waiting.call is None and not waiting.over
         )
@@ -472,7 +546,7 @@
             least, at = min(
                 expected, key=lambda entry: entry[0].product.revenue * entry[0].revenue_share(entry[1])
             )
-            queue = least.dest.queue  # first in, first out: all behind it move up
+            queue = least.dest.queue  # giving up the oldest text moves all others forward
             oldest = next(
                 text
                 for text in queue
@@ -481,7 +555,9 @@
             self.on_lapse(oldest, at - self.scheduler.now, "store nearly full")
 
     def turn(self, text):
-        """Whether a text may go now. Guards the order per key: its first unfinished text, after its rest."""
+        """Whether a text may go now. In the order of its key it has to be the first unfinished text, and
+        submits of earlier ones must have had their settle time.
+        """
         return (
             not text.over
             and self.scheduler.now < text.last_submit()
@@ -496,18 +572,20 @@
         )
 
     def on_settle(self, text, how):
-        """A submit that may still run lays its key to rest for the texts behind it."""
+        """A submit has ended that may still run: the texts behind it wait for the settle time."""
         if text.key is not None and how in (How.TIMEOUT, How.BROKEN, How.CALLED_OFF):
             self.settling[text.key] = (self.scheduler.now + self.settle, text)
             self.scheduler.later(self.scheduler.now + self.settle, self, "key_settled", text.key)
 
     def on_key_settled(self, key):
+        """The settle time of a key has passed: its next text may go."""
         if key in self.settling and self.settling[key][0] <= self.scheduler.now:
             del self.settling[key]
             if key in self.keys:
                 self.scheduler.post(self.keys[key][0].dest, "dispatch")
 
     def remove(self, text):
+        """Forgets a text unless a call with it is in flight; the next text of its key may go."""
         if text.call is not None:
             return
         self.texts.pop(text.ident, None)
@@ -519,8 +597,10 @@
             else:
                 del self.keys[text.key]
 
-    def on_lapse(self, text, stay_away=None, why="its time is up"):
-        """Nothing is sat on: time is up, no submit is allowed any more, or it is handed back for so long."""
+    def on_lapse(self, text, stay_away=None, why="no time left to send it"):
+        """Gives up a waiting text once it has no time left for a submit or, with `stay_away` (ms) given, at
+        once: nacked if that is safe, with the advice to stay away for so long.
+        """
         due = stay_away is not None or self.scheduler.now >= min(
             text.until - 2 * self.tick, text.last_submit()
         )
@@ -529,6 +609,9 @@
             self.on_give_up(text, stay_away or 0.0, why)
 
     def on_give_up(self, text, stay_away, why):
+        """Sends the final answer: a nack with the advice to stay away for so long (ms) where that is safe,
+        undeliverable otherwise.
+        """
         if not text.over:
             text.over, advice = True, min(stay_away, self.advice)
             self.scheduler.actions.append(
@@ -537,6 +620,7 @@
             self.remove(text)
 
     def on_withdrawn(self, ident):
+        """The text needs no answer any more."""
         text = self.texts.get(ident)
         if text is not None:
             text.over = True
@@ -545,7 +629,11 @@
 
 
 class Courier:
-    """One instance: it owns the parts, hands them what comes in, and collects what goes out."""
+    """One instance of the decisions: holds the parts, passes events on to them, and collects their actions.
+
+    `handle` calls `on_` and the class name of an event in lower case; the scheduler calls the other `on_`
+    methods.
+    """
 
     def __init__(self, settings):
         self.scheduler = Scheduler(settings.number, settings.seed)
@@ -555,18 +643,22 @@
         self.pool = Pool(self.scheduler, settings.slots)
         self.registry = Registry(self.scheduler, settings)
         self.dests, self.endpoints, self.inbox, self.live, self.maintenance_runs = {}, {}, deque(), {}, 0
-        self.departures, self.forgotten, self.faded = Departures(), [], []  # endpoints, destinations
-        self.scheduler.later(0.0, self, "maintain")  # behind the texts that a restart hands in
+        # the endpoints and the destinations that the last batch forgot
+        self.departures, self.forgotten, self.faded = Departures(), [], []
+        self.scheduler.later(0.0, self, "maintain")  # after the texts that a restart hands in
         if settings.asks:
             self.scheduler.post(self, "request_list")
 
     def dest(self, ident):
+        """The destination of that number; made if it is unknown."""
         if ident not in self.dests:
             self.dests[ident] = Destination(self.scheduler, ident, self.registry, self.pool, self.settings)
         return self.dests[ident]
 
     def route(self, dest, endpoint):
-        """The route to an endpoint of its own (None: to all of the destination's); made if there is none."""
+        """The route to an endpoint that has one of its own (None: the route that all endpoints of the
+        destination share); made if there is none.
+        """
         if endpoint not in dest.routes:
             name = f"destination {dest.ident}" + ("" if endpoint is None else f" route {endpoint}")
             key = dest.ident, endpoint
@@ -576,6 +668,9 @@
         return dest.routes[endpoint]
 
     def handle(self, now, events):
+        """Handles a batch of events at the time `now` (ms) and returns the actions in their order. The facade
+        and the simulator adapter call it. Raises AttributeError for an event of an unknown type.
+        """
         scheduler = self.scheduler
         scheduler.late = max(
             0.0,
@@ -592,7 +687,10 @@
         return scheduler.actions
 
     def still(self, now, ident, texts):
-        """Whether a call that took its time to connect may begin: list, waits and memories have moved on."""
+        """Whether a call that needed time to connect may begin; the facade asks before it sends. Meanwhile
+        its endpoint may have left the list, a wait or an outage may have come up, or the time for a submit
+        may have run out.
+        """
         endpoint = self.endpoints.get(ident)
         return (
             endpoint
@@ -603,20 +701,22 @@
         )
 
     def decided_at(self, texts, now):
-        """When the call that these texts share was decided."""
+        """The time (ms) at which the call that these texts share was decided."""
         return min((self.registry.texts[text].call.sent_at for text in texts), default=now)
 
     def halt(self, ident, wait):
-        """A told wait that came to light only after the call's outcome."""
+        """Applies a wait (ms) that an endpoint asked for. The facade calls it where the wait was read only
+        after the call's outcome.
+        """
         if ident in self.endpoints:
             self.endpoints[ident].route.halt(wait)
 
     def advice(self, dest):
-        """When a text may come again that is turned away because too many are held."""
+        """After how many ms a text that was turned away for lack of room may be handed in again."""
         return min(max(0.0, self.dest(dest).next_call_at() - self.scheduler.now), self.registry.advice)
 
     def on_maintain(self):
-        """Only destinations with something going on are looked at: idle ones cost nothing."""
+        """Periodic maintenance of the destinations that are not idle."""
         self.scheduler.later(self.scheduler.now + MAINTENANCE_INTERVAL_MS, self, "maintain")
         self.maintenance_runs += 1
         self.live = {dest: None for dest in self.live if not dest.idle()}
@@ -624,11 +724,13 @@
             self.scheduler.post(dest, "maintain", self.maintenance_runs)
 
     def on_woken(self, event):
+        """A requested wake-up; an outdated one leaves the newer request in place."""
         self.scheduler.wake_at = (
             float("inf") if event.token == self.scheduler.wake_token else self.scheduler.wake_at
         )
 
     def on_taken(self, event):
+        """A text was handed in. Raises IndexError for an unknown product."""
         dest = self.dest(event.dest)
         text = Text(event, dest, self.products[event.product], self.scheduler.now)
         if event.restored:
@@ -639,29 +741,34 @@
         self.scheduler.post(self.registry, "take", text)
 
     def on_outcome(self, event):
+        """A submit has ended; unknown texts and second outcomes are ignored."""
         text = self.registry.texts.get(event.text)
         if text and text.call:
             text.over = text.over or event.ended
             self.scheduler.post(text.call.endpoint, "outcome", text, event)
 
     def on_withdrawn(self, event):
+        """Nothing is owed for a text any more."""
         self.scheduler.post(self.registry, "withdrawn", event.text)
 
     def on_callspaused(self, event):
-        """Messages wait in their queues meanwhile, and end in time."""
+        """Pauses or resumes calls. Texts stay in their queues meanwhile, and end when their time is over."""
         self.pool.paused = event.paused
         self.scheduler.post(self.pool, "resume")
 
     def on_emptied(self, _):
-        """A drain: what may be handed in elsewhere without harm does not wait here."""
+        """A drain: nacks the waiting texts that can safely be handed in elsewhere."""
         for text in [text for text in self.registry.texts.values() if text.call is None and text.nackable()]:
             self.scheduler.post(self.registry, "lapse", text, 0.0, "drain")
 
     def on_request_list(self):
+        """Asks for the list of endpoints."""
         self.scheduler.actions.append(Watch())
 
     def on_listfailed(self, _):
-        """The watch may have ended: ask again, later each time, but well before we count as told anyway."""
+        """The list could not be read, or its watch may have ended: asks again with exponential backoff, well
+        within `ask_within`, after which the courier counts as informed in any case.
+        """
         self.list_failures += 1
         wait = min(self.settings.ask_within / 4.0, 500.0 * 2.0 ** min(self.list_failures, 8))
         self.scheduler.later(
@@ -669,6 +776,7 @@
         )
 
     def on_listed(self, event):
+        """The list of endpoints has changed, or was sent whole."""
         self.list_failures, named, changed = 0, {entry.endpoint: None for entry in event.entries}, {}
         for entry in event.entries:
             dest, kind = self.dest(entry.dest), self.kinds[min(entry.kind, len(self.kinds) - 1)]
@@ -688,12 +796,14 @@
             for ident in [ident for ident in self.endpoints if ident not in named]:
                 named[ident] = self.endpoints[ident].dest.endpoints.pop(ident, None)
         self.departures.update(
-            (self.endpoints[ident] for ident in named if ident in self.endpoints), self.scheduler.now
+            (self.endpoints[number] for number in named if number in self.endpoints), self.scheduler.now
         )
         self.forget()
 
     def forget(self):
-        """Health is kept for one that may soon be back; of a destination given up also what binds still."""
+        """Forgets endpoints that left the list long ago; their state is kept until then, since they may come
+        back. With a released destination, a restriction in force keeps it longer.
+        """
         now = self.scheduler.now
         for endpoint in self.departures.overdue(now, Route.IDLE):
             if endpoint.dest.released_at is not None and endpoint.route.is_restricted():
@@ -705,19 +815,19 @@
                 self.forgotten.append(endpoint.ident)
 
     def on_routestate(self, event):
-        """What the last process knew of a route, before any text is handed in."""
+        """Restores what the last process knew of a route; comes before any text."""
         route = self.route(self.dest(event.dest), event.endpoint)
         route_state.restore(route, event.state, self.scheduler.now, event.continuous)
         route.mark_changed()
 
     def on_interrupted(self, event):
-        """Calls of the last process were out to that destination when it ended."""
+        """The last process ended while calls to the destination were in flight."""
         dest = self.dest(event.dest)
         for route in list(dest.routes.values()) or [self.route(dest, None)]:
             route.interrupted()
 
     def on_released(self, event):
-        """Nobody uses the destination any more: it goes by the same span, or later."""
+        """Nobody uses the destination any more: forgets it after the retention time, or later."""
         if dest := self.dests.get(event.dest):
             unlisted, dest.released_at = list(dest.endpoints.values()), self.scheduler.now
             dest.endpoints.clear()
@@ -731,7 +841,10 @@
             )
 
     def on_expire_destination(self, dest, since):
-        if dest.released_at != since:  # it is listed again
+        """Forgets a destination that was released at `since` (ms), or checks again later if something is
+        still known of it.
+        """
+        if dest.released_at != since:  # it was listed again meanwhile
             return
         self.forget()
         if dest.unused():
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -1,6 +1,8 @@
-"""What the decisions know, as plain values and back: exactly as it was, so that two processes never add up
-to more than one courier. No I/O, and nothing here decides anything. Times are milliseconds of the
-machine's monotonic clock, which both share.
+"""The state of the decisions as plain values, and back, for a handover to another process.
+
+It is restored exactly, so that two processes together never send more than one courier may. No I/O, and
+nothing here decides anything. Times are milliseconds of the machine's monotonic clock, which both processes
+share.
 """
 
 from dataclasses import asdict
@@ -11,18 +13,18 @@
 from calicopin.route_state import read_fields, write_fields
 from calicopin.state.texts import Text
 
-FORM = 1  # of these values; another is not taken
+FORM = 1  # version of the written state; any other is refused
 # Fields on the wire between two builds, with the attribute that holds each.
 DESTINATION = {"most": "max_bundle", "bundle": "bundle_size", "came": "arrivals", "load": "arrival_rate"}
 CALL = {"timeout": "timeout", "told": "told", "waited": "waited"}
 ENDPOINT = {"misses": "misses", "seen": "last_listed_at", "shy": "retry_at"}
 
 
-# Giving.
+# Writing.
 
 
 def written(facade, calls):
-    """All that the decisions behind `facade` know, with the calls that are out; JSON holds it."""
+    """The state of the decisions behind `facade`, with the calls in flight, in values that JSON can hold."""
     module, endpoints, texts = facade.module, facade.endpoints.ident, {}
     registry = module.registry
     held = {text.number: text for text in facade.texts.values()}
@@ -32,7 +34,7 @@
         known = registry.texts.get(number)
         if known is not None:
             texts[text.ident] = dict(taken=known.accepted_at, over=known.over)
-    ghosts = [
+    ended = [
         asdict(text) | {"body": ""}
         for call in calls
         for text in call.texts
@@ -41,9 +43,9 @@
     dests = []
     for ident, number in facade.dests.index.items():
         dest = module.dests.get(number)
-        told = dict(ident=ident)
+        state = dict(ident=ident)
         if dest is not None:
-            told |= read_fields(dest, DESTINATION) | dict(
+            state |= read_fields(dest, DESTINATION) | dict(
                 routes=[
                     route_state.values(route)
                     | dict(
@@ -54,7 +56,7 @@
                     for place, route in dest.routes.items()
                 ]
             )
-        dests.append(told)
+        dests.append(state)
     known = [
         dict(
             ident=endpoints[number],
@@ -77,18 +79,18 @@
         dests=dests,
         endpoints=known,
         texts=texts,
-        ghosts=ghosts,
+        ghosts=ended,
         crowded=[kind.last_unreached_at for kind in module.kinds],
         reaped=[[kind.last_stale_at, kind.idle_limit] for kind in module.kinds],
         calm=registry.settled_at,
         rests=[[key, until, named.get(id(text))] for key, (until, text) in registry.settling.items()],
-        calls=[out(facade, call) for call in calls],
+        calls=[call_state(facade, call) for call in calls],
         due=[],
-    )  # due: an older version of the same form reads it
+    )  # `due`: an older version of the same form reads it
 
 
-def out(facade, call):
-    """One call that is out."""
+def call_state(facade, call):
+    """One call in flight."""
     module = facade.module
     known = next(
         (
@@ -111,55 +113,58 @@
     )
 
 
-# Taking.
-
+# Reading.
 
-def read(facade, told, texts, now):
-    """Puts it into a new facade.
 
-    `texts` are those that its journal holds, in the order in which they were taken on. Returns the calls that
-    are out.
+def read(facade, state, texts, now):
+    """Restores the state into a new facade; `texts` are those in its journal, in the order in which they were
+    accepted. Returns the calls in flight.
     """
     module, scheduler = facade.module, facade.module.scheduler
-    for one in told["dests"]:
+    for one in state["dests"]:
         facade.dests(one["ident"])
-    facade.listed([Place(**place) for place in told["places"]], True)
+    facade.listed([Place(**place) for place in state["places"]], True)
     facade.tick(now)
-    module.registry.settled_at = told["calm"]
-    for one in told["dests"]:
-        destination(facade, one)
-    for one in told["endpoints"]:
-        endpoint(facade, one)
-    # an older version of the same form lacks these two
-    for kind, crowded in zip(module.kinds, told.get("crowded", []), strict=False):
+    module.registry.settled_at = state["calm"]
+    for one in state["dests"]:
+        restore_destination(facade, one)
+    for one in state["endpoints"]:
+        restore_endpoint(facade, one)
+    # an older version of the same form does not send these two
+    for kind, crowded in zip(module.kinds, state.get("crowded", []), strict=False):
         kind.last_unreached_at = crowded
-    for kind, (reaped, trust) in zip(module.kinds, told.get("reaped", []), strict=False):
+    for kind, (reaped, trust) in zip(module.kinds, state.get("reaped", []), strict=False):
         kind.last_stale_at, kind.idle_limit = reaped, trust
     by_ident = {}
-    for text in [*texts, *(Text(**ghost | {"body": b""}) for ghost in told["ghosts"])]:
+    for text in [*texts, *(Text(**values | {"body": b""}) for values in state["ghosts"])]:
         text.number, facade.next_number = facade.next_number, facade.next_number + 1
         by_ident[text.ident] = text
-    ghosts = {ghost["ident"] for ghost in told["ghosts"]}
-    flying = {ident for call in told["calls"] for ident in call["open"]}
-    order = sorted(by_ident.values(), key=lambda text: told["texts"].get(text.ident, {}).get("taken", now))
+    ended = {values["ident"] for values in state["ghosts"]}
+    in_flight = {ident for call in state["calls"] for ident in call["open"]}
+    order = sorted(by_ident.values(), key=lambda text: state["texts"].get(text.ident, {}).get("taken", now))
     for text in order:
-        if text.ident in ghosts and text.ident not in flying:
-            continue  # it has ended; only its call is still known
-        if text.ident not in ghosts:
+        if text.ident in ended and text.ident not in in_flight:
+            continue  # it has ended; only its call still names it
+        if text.ident not in ended:
             facade.texts[text.number] = text
-        enter(
-            facade, text, told["texts"].get(text.ident, {}), text.ident in flying, text.ident in ghosts, now
+        restore_text(
+            facade,
+            text,
+            state["texts"].get(text.ident, {}),
+            text.ident in in_flight,
+            text.ident in ended,
+            now,
         )
     known = module.registry.texts
-    for key, until, ident in told["rests"]:
+    for key, until, ident in state["rests"]:
         text = by_ident.get(ident)
         module.registry.settling[key] = (until, known.get(text.number) if text else object())
         scheduler.later(until, module.registry, "key_settled", key)
-    calls = [under_way(facade, one, by_ident) for one in told["calls"]]
+    calls = [restore_call(facade, one, by_ident) for one in state["calls"]]
     module.departures.append(
         endpoint for endpoint in module.endpoints.values() if endpoint.ident not in endpoint.dest.endpoints
     )
-    facade.listed([], False)  # no news: the first turn empties the inboxes
+    facade.listed([], False)  # an empty change of the list, so that the next batch delivers all messages
     for dest in module.dests.values():
         if not dest.idle() and dest not in module.live:
             module.live[dest] = None
@@ -167,24 +172,24 @@
     return calls
 
 
-def destination(facade, one):
-    """Puts what was told of a destination and its routes into the decisions."""
+def restore_destination(facade, one):
+    """Restores a destination and its routes."""
     dest = facade.module.dest(facade.dests(one["ident"]))
     write_fields(dest, DESTINATION, one)
-    for told in one.get("routes", ()):
-        if told["endpoint"] is not None and told["endpoint"] not in facade.endpoints.index:
-            continue  # it has left, and its route with it
+    for state in one.get("routes", ()):
+        if state["endpoint"] is not None and state["endpoint"] not in facade.endpoints.index:
+            continue  # it has left the list, and its route with it
         route = facade.module.route(
-            dest, None if told["endpoint"] is None else facade.endpoints(told["endpoint"])
+            dest, None if state["endpoint"] is None else facade.endpoints(state["endpoint"])
         )
-        route_state.set_values(route, told)
+        route_state.set_values(route, state)
         route.mark_changed()
-        route.call_times.extend(told["sends"])
-        route.first_attempt_times.extend(told.get("firsts", told["sends"]))  # an older version tells none
+        route.call_times.extend(state["sends"])
+        route.first_attempt_times.extend(state.get("firsts", state["sends"]))  # an older version sends none
 
 
-def endpoint(facade, one):
-    """Health is kept also of one that is not listed just now and may soon be back."""
+def restore_endpoint(facade, one):
+    """Restores an endpoint, also one that is not listed now: it may come back."""
     module, number = facade.module, facade.endpoints(one["ident"])
     if number not in module.endpoints:
         dest = module.dest(facade.dests(one["dest"]))
@@ -198,8 +203,8 @@
     module.endpoints[number].failures_by_product.update(missed)
 
 
-def enter(facade, text, told, flying, ghost, now):
-    """One text, in its line or out."""
+def restore_text(facade, text, state, in_flight, ended, now):
+    """Restores a text: queued, in flight, or (`ended`) known only for the sake of its call."""
     module, dest = facade.module, facade.module.dest(facade.dests(text.dest))
     zone = None if text.ran_zone is None else facade.zones(text.ran_zone)
     event = Taken(
@@ -212,24 +217,24 @@
         ran_at=text.ran_at,
         ran_zone=zone,
     )
-    known = decisions.Text(event, dest, module.products[text.product], told.get("taken", now))
-    known.over = ghost or told.get("over", False)
+    known = decisions.Text(event, dest, module.products[text.product], state.get("taken", now))
+    known.over = ended or state.get("over", False)
     module.registry.texts[text.number] = known
     if known.key is not None:
         module.registry.keys.setdefault(known.key, decisions.deque()).append(known)
-    if not flying:
+    if not in_flight:
         dest.queue.append(known)
         module.scheduler.later(
             min(known.until - 2 * module.settings.tick, known.last_submit()), module.registry, "lapse", known
         )
 
 
-def under_way(facade, one, by_ident):
-    """One call that is out, for the decisions and for whoever hears its answer."""
+def restore_call(facade, one, by_ident):
+    """Restores a call in flight: for the decisions, and for the code that reads its answer."""
     module, place = facade.module, Place(**one["place"])
     number = facade.endpoints(place.ident)
     if number not in module.endpoints:
-        endpoint(facade, dict(ident=place.ident, dest=place.dest, zone=place.zone, apart=False))
+        restore_endpoint(facade, dict(ident=place.ident, dest=place.dest, zone=place.zone, apart=False))
     target = module.endpoints[number]
     texts = [by_ident[ident] for ident in one["texts"]]
     call = Call(place, texts, one["timeout"], number, open={by_ident[ident].number for ident in one["open"]})
--- a/calicopin/interface.py
+++ b/calicopin/interface.py
@@ -1,7 +1,7 @@
-"""Plain types that pass between the decisions (`decisions.py`) and whatever protocol stands before them.
+"""The types of events and actions that pass between the decisions (`decisions.py`) and the code around them.
 
-Times are float milliseconds, texts, endpoints and destinations are small whole numbers.
-Nothing here decides anything.
+Times are float milliseconds; texts, endpoints and destinations are small integers. Nothing here decides
+anything.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +9,12 @@
 
 
 class How(IntEnum):
-    """How a submit ended."""
+    """How a submit ended.
+
+    FULL: refused for lack of capacity. UNREACHED: no connection. BROKEN: the connection failed before the
+    answer. CALLED_OFF: given up without an outcome, it may have run. NOT_SENT: it never ran, and no fault of
+    the endpoint.
+    """
 
     DELIVERED = 0
     ERROR = 1
@@ -22,7 +27,7 @@
 
 
 class Repeat(IntEnum):
-    """What a product allows once a submit may have run."""
+    """Whether a text of a product may be submitted again once a submit may have run."""
 
     RESENDABLE = 0
     REFERENCED = 1
@@ -31,7 +36,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Product:
-    """What texts of one product are worth, and what may be done with them."""
+    """What texts of one product are worth, and what may be done with them.
+
+    `sla` is the time (ms) up to which a delivery earns the full `revenue`, `validity` the validity period
+    (ms); from the one to the other the revenue falls to the share `late_revenue`, linearly or (`late_halves`)
+    by half with each further `sla`. `memory` is how long (ms) a destination knows a reference, in one zone
+    only with `memory_by_zone`. `in_order`: texts with the same key are delivered in order.
+    """
 
     repeat: Repeat
     sla: float
@@ -46,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Partner:
-    """One kind of destination: texts a call at most, and whether its endpoints are routes apart."""
+    """One kind of destination: the most texts per call, and whether each endpoint has a route of its own."""
 
     bundle: int = 1
     apart: bool = False
@@ -54,7 +65,11 @@
 
 @dataclass(slots=True, frozen=True)
 class FailBack:
-    """The rule on returning destinations."""
+    """The rule on returning destinations.
+
+    After an outage, a destination bears the share `cold_from` of its capacity, rising to all of it within
+    `cold` ms. Within any `span` ms it bears `multiple` times that.
+    """
 
     cold_from: float
     cold: float
@@ -64,12 +79,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CourierSettings:
-    """What one instance of the decisions is told at its start. Times in milliseconds.
-
-    `number` is its place among `senders` instances that send to the same destinations; `slots` bounds calls
-    out at once, `room` the texts held, `tries` the submits of one text; `tick` is the time between two turns.
-    `asks`: the list of endpoints is asked for and counts as told `ask_within` after its last call;
-    `restarted` is the time of a start behind which texts of the last process may still run.
+    """The settings of one instance of the decisions. Times are milliseconds.
+
+    `number` is its index among `senders` instances that send to the same destinations; `slots` limits
+    concurrent calls, `room` the texts held, `tries` the submits of one text. `tick` is the time between two
+    batches. `settle` is how long a submit without an answer may still run, `most_advice` the longest advice
+    to stay away, and `gives_back` says that idle connections are closed early. With `asks`, the list of
+    endpoints is asked for, and the courier counts as informed `ask_within` after its last request.
+    `restarted` is the time of a restart, after which texts of the last process may still run.
     """
 
     seed: int
@@ -90,12 +107,12 @@
     restarted: float = -1e12
 
 
-# What comes in.
+# Events.
 
 
 @dataclass(slots=True)
 class Taken:
-    """A text was handed in; one restored after a restart says what it had been through."""
+    """A text was handed in; for one restored after a restart, with what its submits may have done."""
 
     text: int
     dest: int
@@ -111,7 +128,9 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """A submit ended; `ended` tells that nothing more is owed for the text."""
+    """A submit ended; `ended`: nothing more is owed for the text. `wait` is the wait that the answer asks
+    for, `limit` the calls per second that it reports as limit, and `left` the share of it that is left.
+    """
 
     text: int
     endpoint: int
@@ -125,7 +144,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One line of the list of endpoints."""
+    """One entry of the list of endpoints; `agreed` is the limit that it gives, in calls per second."""
 
     endpoint: int
     dest: int
@@ -137,7 +156,7 @@
 
 @dataclass(slots=True)
 class Listed:
-    """News of the list; `whole` replaces it."""
+    """A change of the list of endpoints; with `whole`, the entries replace the list."""
 
     entries: list = field(default_factory=list)
     whole: bool = False
@@ -145,20 +164,21 @@
 
 @dataclass(slots=True)
 class ListFailed:
-    """The list could not be had, or the watch may have ended."""
+    """The list could not be read, or the watch may have ended."""
 
 
 @dataclass(slots=True)
 class Released:
-    """The destination is used no more, and its endpoints are not heard of any longer."""
+    """Nobody uses the destination any more; its endpoints are not reported any longer."""
 
     dest: int
 
 
 @dataclass(slots=True)
 class RouteState:
-    """What the last process knew of a route: of `endpoint` alone, or (None) of the whole destination.
-    `continuous` says whether the monotonic clock has gone on since."""
+    """What the last process knew of a route: of `endpoint`, or (None) of the whole destination. `continuous`
+    says whether the monotonic clock has gone on since.
+    """
 
     dest: int
     endpoint: int | None
@@ -168,7 +188,7 @@
 
 @dataclass(slots=True)
 class Interrupted:
-    """A call of the last process was out to the destination when that ended."""
+    """The last process ended while a call to the destination was in flight."""
 
     dest: int
 
@@ -182,24 +202,24 @@
 
 @dataclass(slots=True)
 class CallsPaused:
-    """Whether no call can be made from now on, whatever it is for."""
+    """From now on no call can be made, or calls can be made again."""
 
     paused: bool
 
 
 @dataclass(slots=True)
 class Emptied:
-    """The courier is to be empty: what waits goes elsewhere."""
+    """A drain: waiting texts are to be handed in elsewhere."""
 
 
 @dataclass(slots=True)
 class Woken:
-    """A wake-up that was asked for."""
+    """A requested wake-up."""
 
     token: int
 
 
-# What goes out.
+# Actions.
 
 
 @dataclass(slots=True)
@@ -213,7 +233,7 @@
 
 @dataclass(slots=True)
 class Nack:
-    """Final: the text did no harm and may come again, best after `stay_away`; `why` is for the log."""
+    """Final: the text may safely be handed in again, best after `stay_away` ms; `why` is for the log."""
 
     text: int
     stay_away: float = 0.0
@@ -222,7 +242,7 @@
 
 @dataclass(slots=True)
 class Undeliverable:
-    """Final: given up, nothing promised; `why` is for the log."""
+    """Final: given up, and whether it had an effect is unknown; `why` is for the log."""
 
     text: int
     why: str = ""
@@ -230,7 +250,7 @@
 
 @dataclass(slots=True)
 class Wake:
-    """Ask for a `Woken` after so long."""
+    """Ask for a `Woken` event after so many ms."""
 
     after: float
     token: int
@@ -238,18 +258,18 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Ask for the list, now and as it changes."""
+    """Ask for the list, now and whenever it changes."""
 
 
 @dataclass(slots=True)
 class Close:
-    """Shut the connections to the endpoint that are idle."""
+    """Close the idle connections to the endpoint."""
 
     endpoint: int
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for on-call staff."""
+    """A line for operators."""
 
     line: str
--- a/calicopin/route.py
+++ b/calicopin/route.py
@@ -1,19 +1,25 @@
-"""The token bucket that paces the calls to one destination. Decisions only, no I/O.
+"""The token bucket that limits the rate of calls to one destination. Decisions only, no I/O.
 
-Source: the guide of an adaptive rate limiter; `docs/design.md` says what is kept of it and what is not.
-Times are float milliseconds, rates calls a millisecond.
+It follows an adaptive rate limiter; `docs/design.md` describes the differences. Times are float milliseconds,
+rates calls per millisecond.
 """
 
 from collections import deque
 
 from calicopin.slow_start import WELL, SlowStart
 
-SECOND_MS = 1000.0  # what limits count over
+SECOND_MS = 1000.0  # the period that rate limits refer to
 
 
 class Route:
-    """Bucket and health of one destination, or of one endpoint where routes are apart. `key` is the number of
-    the destination, and of the endpoint or None; `born` is since when its calls are known."""
+    """The token bucket and the health of one destination, or of one endpoint with a route of its own.
+
+    `key` is the number of the destination, and that of the endpoint or None. `known_since` is the time (ms)
+    since which its calls are known. `limit` is the limit that answers report, `limit_left` the share of it
+    that is left, and `listed_limit` the limit that the list of endpoints gives. `demand_waited` says that a
+    text has waited for the bucket since the rate last changed. `pause` is the time until which no call may
+    go, `usual` the usual latency.
+    """
 
     BURST_MS, COOLDOWN_MS, CUT_FACTOR, INCREASE_STEP, MIN_LIMIT, IDLE = (
         300.0,
@@ -36,24 +42,27 @@
             scheduler.now,
             known_since or scheduler.now,
         )
-        self.first_attempt_times = deque()  # those of `sends` that were no repeats: what the traffic is
+        self.first_attempt_times = deque()  # of `call_times`, those of no repeats: the traffic
         self.usual = self.usual_rate = self.longest_timeout = 0.0
-        self.fastest_answer = float("inf")  # the quickest delivery
-        self.kept = False  # whether what is kept for the next process says anything of it
+        self.fastest_answer = float("inf")  # ms
+        self.kept = False  # whether the state stored for the next process restricts anything
 
     @property
     def mode(self):
-        """Well, out or cold, as slow start has it."""
+        """The mode of its slow start: well, out or cold."""
         return self.slow_start.mode
 
     def fair_share(self):
-        """Calls a millisecond that this sender may count on when the destination is warm."""
+        """The rate of calls that this sender may count on while the destination is well."""
         return (self.limit or self.listed_limit or self.usual_rate * self.senders) / self.senders
 
     def pace_now(self):
-        """The rate, as far as room is told. With nothing left it is a cut under the even share: only so a
-        limit opens that refused calls use up. What it holds over that share counts in full from half of the
-        limit left, and above half idle senders' shares come on top."""
+        """The rate of the bucket, adapted to what is left of the limit; None where nothing paces it.
+
+        With nothing left, the rate is cut below the even share of all senders: at the even share, refused
+        calls would use up the limit for good. What the rate has above the even share counts in full from half
+        of the limit left on. Above half, the shares of idle senders come on top.
+        """
         if self.rate is None or not (self.limit or self.listed_limit):
             return self.rate
         share = self.fair_share()
@@ -63,24 +72,26 @@
         return share * factor * self.senders ** max(0.0, 2.0 * self.limit_left - 1.0)
 
     def note_limit(self, limit, left, texts):
-        """An answer told the limit and the share of it that is left, in a call of so many texts."""
+        """An answer to a call of `texts` texts reported the limit and the share of it (0 to 1) left."""
         self.refill()
-        old_weight = (
-            0.5**texts if left < self.limit_left else 0.9 ** (1.0 + (texts - 1.0) / self.senders)
-        )  # all rise
+        # a rise counts less for each text of a call, since all senders see it and speed up together
+        old_weight = 0.5**texts if left < self.limit_left else 0.9 ** (1.0 + (texts - 1.0) / self.senders)
         self.limit, self.limit_left = (
             limit or None,
             self.limit_left + (limit and (1.0 - old_weight) * (left - self.limit_left)),
         )
 
     def recent_rate(self):
-        """Own calls a millisecond, over a cooldown or the time lived, if that is shorter."""
+        """The rate of this sender's calls, over the counting window or all known time if that is shorter."""
         span = self.counting_window()
         return self.count_sent_within(span) / min(span, max(SECOND_MS, self.scheduler.now - self.known_since))
 
     def counting_window(self):
-        """What own calls are counted over: a cooldown; where no limit is told nor listed, the last few if
-        that is longer: 200 senders that each count one call in a cooldown use a limit up for good."""
+        """The time (ms) over which this sender counts its own calls.
+
+        Without a known limit it covers at least the last few calls: if each of 200 senders counted one call
+        within the cooldown, their rates would use up the limit for good.
+        """
         if self.limit or self.listed_limit:
             return self.COOLDOWN_MS
         span = (
@@ -91,17 +102,17 @@
         return max(self.COOLDOWN_MS, span)
 
     def count_sent_within(self, span):
-        """How many calls went out in the last so many milliseconds. Repeats do not count: a message that
-        fails over and over is no traffic, and a pace made of it, or a share, is many times too large.
+        """How many calls were sent in the last `span` ms. Repeats do not count: a rate or share derived from
+        a message that fails over and over would be many times too high.
         """
         return sum(at > self.scheduler.now - span - 1e-6 for at in self.first_attempt_times)
 
     def speed(self):
-        """The bucket's rate, as far as slow start allows it."""
+        """The rate of the bucket within what slow start allows; None where nothing limits it."""
         return self.slow_start.limited_rate(self.scheduler.now, self.pace_now(), self.fair_share())
 
     def refill(self):
-        """Fills the bucket up to now; the rate at which it did, None where nothing paces it."""
+        """Refills the bucket up to now. Returns the rate at which it did, or None where nothing limits it."""
         now, rate = self.scheduler.now, self.speed()
         if rate is not None:
             capacity = max(1.0, rate * max(self.BURST_MS, self.scheduler.late)) if self.mode == WELL else 1.0
@@ -112,14 +123,12 @@
         return rate
 
     def opens(self):
-        """When the next call may go."""
+        """The time (ms) at which the next call may go."""
         rate, start = self.refill(), max(self.scheduler.now, self.pause)
         return start if rate is None or self.tokens >= 1.0 - 1e-9 else start + (1.0 - self.tokens) / rate
 
     def take_token(self, first=True):
-        """A call goes out: the one place through which all do, repeats and those of a restart too. `first`:
-        it is no repeat.
-        """
+        """Counts a call. Every call passes here, repeats and restored texts too; `first`: it is no repeat."""
         now, rate = self.scheduler.now, self.speed()
         if not self.slow_start.record_call(now, rate):
             self.scheduler.overran.append(self.name)
@@ -131,26 +140,30 @@
             self.mark_changed()
 
     def mark_changed(self):
-        """What the next process has to know of it is not as it was. Each call of this is a record in the
-        journal: a bucket whose rate is as it was goes on from the last one."""
+        """The state that the next process needs has changed: it is journalled. A bucket that refills at an
+        unchanged rate needs no new record.
+        """
         persist = self.must_persist()
         if persist or self.kept:
             self.scheduler.touched[self] = None
         self.kept = persist
 
     def must_persist(self):
-        """Whether it holds what a restart must not forget: an outage, a wait, or a pace, without which what
-        has waited for it goes at once."""
+        """Whether a restart has to know the route: it has an outage, a wait or a rate limit. Without the
+        rate, all that waited for it would go at once.
+        """
         return self.rate is not None or self.slow_start.must_persist() or self.pause > self.scheduler.now
 
     def start_pacing(self, rate, why):
-        """The first rate, from which the steps of its rise follow."""
+        """Sets the first rate; later increases are steps of a fixed share of it. `why` goes to the log."""
         self.rate = self.initial_rate = rate
         self.mark_changed()
         self.scheduler.log(f"{self.name} paced at {rate * 1000:.2f}/s, {why}")
 
     def refused(self, call):
-        """A throttle: one wave, one cut."""
+        """A call was refused: starts pacing or cuts the rate. Refusals of calls that were sent before the
+        last cut do not cut it again.
+        """
         now = self.scheduler.now
         self.refill()
         self.demand_waited, self.changed_at, self.limit_left = False, now, min(self.limit_left, 0.5)
@@ -166,24 +179,30 @@
                 self.scheduler.log(f"{self.name} cut from {before * 1000:.2f} to {self.rate * 1000:.2f}/s")
 
     def halt(self, wait):
-        """A told wait, in whichever answer it comes: it binds in full and the bucket restarts empty."""
+        """Applies a wait (ms) that an answer asked for: no call goes before its end, and the bucket starts
+        empty.
+        """
         self.refill()
         self.pause, self.tokens = max(self.pause, self.scheduler.now + wait), 0.0
         self.mark_changed()
 
     def is_restricted(self):
-        """Whether a told wait still runs, or an outage or the time behind it."""
+        """Whether a wait is in force, or an outage or the warm-up after it."""
         return self.mode != WELL or self.pause > self.scheduler.now
 
     def delivered(self, elapsed):
-        """A call was delivered, after so long."""
+        """A call was delivered, `elapsed` ms after it was sent."""
         now, self.fastest_answer = self.scheduler.now, min(self.fastest_answer, elapsed)
-        least = elapsed / 4.0 if elapsed > 8.0 * self.usual else 0.0  # were cut off: let the next ones come
+        least = (
+            elapsed / 4.0 if elapsed > 8.0 * self.usual else 0.0
+        )  # earlier ones timed out: let the next ones arrive
         self.usual = max(least, self.usual + 0.1 * (elapsed - self.usual)) if self.usual else elapsed
         if self.rate is None and self.limit:
-            self.start_pacing(max(self.limit / self.senders, self.recent_rate()), "its share of a told limit")
+            self.start_pacing(
+                max(self.limit / self.senders, self.recent_rate()), "its share of the reported limit"
+            )
         suspected_since, changed = self.slow_start.suspected_since, self.slow_start.must_persist()
-        if lasting := self.slow_start.detect_lasting_outage(now):  # its time came since the last look
+        if lasting := self.slow_start.detect_lasting_outage(now):  # it became one since the last maintenance
             self.mode_changed(lasting)
         if why := self.slow_start.delivered(now):
             self.mode_changed(why)
@@ -203,25 +222,25 @@
             self.mark_changed()
 
     def failed(self, why, wait):
-        """A call failed, with a wait that it told."""
+        """A call failed; `why` is the outcome, `wait` how long (ms) its answer asks to wait."""
         if outage := self.slow_start.failed(self.scheduler.now, why, wait):
             self.mode_changed(outage)
         if self.slow_start.must_persist():
             self.mark_changed()
 
     def interrupted(self):
-        """A call of the last process was cut off by its end."""
+        """The end of the last process cut off a call."""
         self.slow_start.interrupted(self.scheduler.now)
         self.mark_changed()
 
     def mode_changed(self, why):
-        """Slow start has another mode: the bucket is empty."""
+        """The mode of slow start has changed: the bucket starts empty."""
         self.tokens, self.refilled_at = 0.0, self.scheduler.now
         self.mark_changed()
         self.scheduler.log(f"{self.name} {self.mode}: {why}")
 
     def maintain(self, intervals):
-        """The periodic look; rounds that were left out are made up for."""
+        """Periodic maintenance; `intervals` counts the skipped runs too."""
         now = self.scheduler.now
         while self.call_times and (
             self.call_times[0] <= now - self.MAX_WINDOW_MS
@@ -236,18 +255,19 @@
             self.rate = None
         if outage := self.slow_start.detect_lasting_outage(now):
             self.mode_changed(outage)
-        elif self.slow_start.starts_suspecting(now):  # so that whole first calls add up to what all may send
+        elif self.slow_start.starts_suspecting(now):
             self.refill()
+            # a random start, so that the first calls of all senders together keep to their rate
             self.tokens = min(self.tokens, self.scheduler.draw(self.name))
             lasted = now - self.slow_start.first_failure_at
             self.scheduler.log(f"{self.name} doubted: {self.slow_start.fails} failures in {lasted:.0f} ms")
         elif self.mode == WELL and not self.slow_start.suspects_outage(now):
-            # from nothing, and never over less than the whole window: a burst is no flow
+            # starts at 0 and counts over the whole window, so that a burst does not count as the usual rate
             span = self.counting_window()
             self.usual_rate += (1.0 - 0.95**intervals) * (
                 self.count_sent_within(span) / span - self.usual_rate
             )
         elif self.slow_start.finish_warmup(now):
-            self.mode_changed("warm again")
+            self.mode_changed("warm-up over")
         if self.kept and not self.must_persist():
             self.mark_changed()
--- a/calicopin/route_state.py
+++ b/calicopin/route_state.py
@@ -1,4 +1,4 @@
-"""What is known of a route as plain values and back, for a restart and for a handover.
+"""The state of a route as plain values, for a restart and for a handover.
 
 No I/O, and nothing here decides anything. Times are milliseconds of the monotonic clock.
 """
@@ -23,7 +23,7 @@
     "flow": "usual_rate",
     "cut_off": "longest_timeout",
 }
-TIME_FIELDS = (  # of both; all others mean the same under any clock
+TIME_FIELDS = (  # of both tables; only these depend on the clock
     "filled",
     "pause",
     "cut_at",
@@ -35,36 +35,36 @@
     "doubted",
     "warm_at",
 )
-FIELDS = (*BUCKET, *slow_start.STATE)  # as they are journalled: a new one goes to the end
-DECIMALS = 7  # decimals: rates are calls a millisecond
-TIME_DECIMALS = 1  # decimals
+FIELDS = (*BUCKET, *slow_start.STATE)  # in the order of the journal: add new ones at the end
+DECIMALS = 7  # rates are small: calls per millisecond
+TIME_DECIMALS = 1
 
 
 def read_fields(part, attributes):
-    """The named values of a part."""
+    """The values of the attributes, by field name."""
     return {name: getattr(part, attribute) for name, attribute in attributes.items()}
 
 
 def write_fields(part, attributes, state):
-    """What an older version did not tell stays as a new part has it."""
+    """Sets the attributes from the state; those that an older version did not write keep their values."""
     for name, attribute in attributes.items():
         if name in state:
             setattr(part, attribute, state[name])
 
 
 def values(route):
-    """All that is kept of a route."""
+    """The stored state of a route, by field name."""
     return read_fields(route, BUCKET) | read_fields(route.slow_start, slow_start.STATE)
 
 
 def set_values(route, state):
-    """The same, into a route."""
+    """Sets the stored state of a route."""
     write_fields(route, BUCKET, state)
     write_fields(route.slow_start, slow_start.STATE, state)
 
 
 def moved(state, offset):
-    """The values with all times so much later."""
+    """The state with all times shifted by `offset` ms."""
     return {
         name: value if value is None or name not in TIME_FIELDS else value + offset
         for name, value in state.items()
@@ -72,7 +72,7 @@
 
 
 def packed(state):
-    """The values as a list, short enough to be written often."""
+    """The state as a list of rounded values: short, since it is written often."""
     return [_rounded(name, state[name]) for name in FIELDS]
 
 
@@ -83,15 +83,15 @@
 
 
 def unpacked(listed):
-    """The values of a list; what an older version did not write is left out."""
+    """The state from a list; fields that an older version did not write are missing."""
     return dict(zip(FIELDS, listed, strict=False))
 
 
 def restore(route, state, now, continuous):
-    """Puts the values into a route of a new process. Its bucket did not fill while there was none: couriers
-    that were down together would all begin with what they had not sent meanwhile, in one moment.
+    """Restores a route in a new process. Its bucket does not refill for the time between the two: couriers
+    that were down together would all begin with tokens saved up meanwhile, at the same moment.
     """
-    wait = max(0.0, state["pause"] - state["filled"])  # no wait is longer behind a restart than it was told
+    wait = max(0.0, state["pause"] - state["filled"])  # a restart does not prolong a wait
     set_values(route, state)
     route.slow_start.restore_clock(now, continuous)
     route.refilled_at = now
--- a/calicopin/scheduler.py
+++ b/calicopin/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of the decisions: inboxes, due times and draws. It decides nothing and has no I/O.
+"""The scheduler of the decisions: messages, timers and random draws. It decides nothing and has no I/O.
 
 Times are float milliseconds.
 """
@@ -12,12 +12,12 @@
 
 
 class Scheduler:
-    """One cooperative event loop: messages lie in the inboxes of the parts, due times in one heap.
+    """A cooperative event loop: each actor has an inbox of messages, and timers are kept in one heap.
 
-    `now` is the time of the current batch, `late` how far the batches run behind their due times, `out`
-    collects the actions of the batch, `touched` the routes whose state a restart has to know anew, `overran`
-    the names of those that were sent more than slow start allows; `number` and `seed` make the draws of one
-    sender its own.
+    `now` is the time of the current batch, and `late` how far the batches lag behind their timers. `actions`
+    collects the actions of the batch, `touched` the routes whose state has to be journalled again, and
+    `overran` the names of routes that got more calls than slow start allows. `number` and `seed` make the
+    random draws of each sender its own.
     """
 
     def __init__(self, number, seed):
@@ -27,16 +27,16 @@
         self.touched, self.overran = {}, []
 
     def post(self, actor, message, *args):
-        """Puts a note into the part's inbox: its `on_NAME` is called with these arguments."""
+        """Puts a message into the actor's inbox: its method `on_MESSAGE` is called with these arguments."""
         actor.inbox.append((message, args))
         self.pending.append(actor)
 
     def later(self, when, actor, message, *args):
-        """Posts a note once `when` has come, in ms."""
+        """Posts the message at the time `when` (ms)."""
         heapq.heappush(self.timers, (when, next(self.sequence), actor, message, args))
 
     def run(self):
-        """Empties the inboxes; what is due posts its note whenever they are empty."""
+        """Delivers all messages. Timers that are due post theirs whenever the inboxes are empty."""
         while self.pending or self.timers and self.timers[0][0] <= self.now:
             if not self.pending:
                 _, _, actor, message, args = heapq.heappop(self.timers)
@@ -46,9 +46,11 @@
             getattr(actor, "on_" + message)(*args)
 
     def draw(self, ident):
-        """A draw, at least 0 and under 1, that follows from number, seed, `ident` and the draws before."""
+        """A pseudorandom number from 0 up to, but not including, 1. It depends on number, seed, `ident` and
+        how many were drawn before.
+        """
         return zlib.crc32(f"{self.number}:{ident}:{next(self.draw_counter)}".encode()) / 2**32
 
     def log(self, line):
-        """Adds a line for operators to what the decisions give out."""
+        """Adds a line for operators to the actions."""
         self.actions.append(Log(line))
--- a/calicopin/send_guard.py
+++ b/calicopin/send_guard.py
@@ -1,9 +1,9 @@
-"""The one guard that every call passes, whatever led to it: a first attempt, a repeat, a message that a
-restart found. It checks what has to hold, counts what does not, and has such a call not made. Decisions only,
-no I/O. Times are float milliseconds of the monotonic clock.
+"""The last check before every call, whatever led to it: a first attempt, a repeat, or a message restored
+after a restart. It counts broken invariants and has such a call not made. Decisions only, no I/O. Times
+are float milliseconds of the monotonic clock.
 
-It does not decide when a call may go; that is `decisions.py` and `slow_start.py`. What it checks follows from
-the rules alone, so that a fault in those shows here and not at a destination.
+It does not decide when a call may go; `decisions.py` and `slow_start.py` do. It checks against the rules
+alone, so that a fault in those shows here and not at a destination.
 """
 
 from collections import Counter
@@ -13,22 +13,23 @@
 
 
 class Invariant(StrEnum):
-    """What holds for every call and every process."""
+    """What holds for every call and every process; the value says it for the log."""
 
     LISTED = "a call goes to an endpoint that is listed and ready"
-    WAIT_OVER = "no call goes before a told wait is over"
+    WAIT_OVER = "no call goes before a requested wait is over"
     JOURNALLED = "a call is journalled before it goes"
     OUTAGE_KNOWN = "an outage that the journal holds is known to the decisions"
-    OUTAGE_ENDS = "an outage ends with a delivery and the time behind it, not otherwise"
-    SLOW_START = "a held sender makes no more calls than its part"
+    OUTAGE_ENDS = "an outage ends only with a delivery and the warm-up after it"
+    SLOW_START = "a throttled sender makes no more calls than its part"
     ENDED = "every message of a call that has ended has its outcome"
     RESTORED = "a start knows all that the journal holds"
     ANSWERED = "a request that was read gets its answer unless its client has left"
 
 
 class SendGuard:
-    """Counts broken invariants; `broken` hears each with a plain sentence. `cold` is the time (ms) that a
-    destination takes to warm up: so long behind the last failure an outage binds whatever the decisions say.
+    """Counts broken invariants and reports each to `broken` with a plain sentence. `cold` is the time (ms)
+    that a destination takes to warm up: for so long after the last failure an outage restricts calls,
+    whatever the decisions say.
     """
 
     def __init__(self, cold: float, broken):
@@ -42,8 +43,8 @@
         return holds
 
     def may_call(self, call, endpoint, kept: dict | None, now: float) -> bool:
-        """Whether a call may be made: `endpoint` is what the decisions know of its target (None: nothing),
-        `kept` the state of its route that the journal holds, or None.
+        """Whether a call may be made. `endpoint` is the endpoint as the decisions know it (None: unknown),
+        and `kept` the state of its route in the journal, or None.
         """
         name = call.place.ident
         listed = endpoint is not None and endpoint.ident in endpoint.dest.endpoints
@@ -59,12 +60,12 @@
                 self._check(not outage or slow_start.mode != WELL, Invariant.OUTAGE_KNOWN, name),
             ]
         )
-        in_time = all(now < text.until for text in call.texts)  # a slow disk may have taken what was left
+        in_time = all(now < text.until for text in call.texts)  # a slow disk may have used up the rest
         return holds and in_time
 
     def may_change(self, name: str, before: dict | None, after: dict | None, now: float) -> bool:
-        """Whether what the journal holds of a route may be replaced: an outage ends as `cold`, and that with
-        its time. A state of None binds nothing.
+        """Whether the state of a route in the journal may be replaced: an outage has to become cold, and cold
+        has to last for the warm-up. A state of None restricts nothing.
         """
         mode = WELL if before is None else before["mode"]
         if mode == WELL or (after is not None and after["mode"] != WELL):
@@ -73,7 +74,7 @@
         return self._check(ended, Invariant.OUTAGE_ENDS, name)
 
     def overran(self, name: str) -> None:
-        """A held sender made more calls than its part."""
+        """A throttled sender made more calls than its part."""
         self._check(False, Invariant.SLOW_START, name)
 
     def call_ended(self, call) -> None:
@@ -81,11 +82,11 @@
         self._check(not call.open, Invariant.ENDED, call.place.ident)
 
     def started(self, unknown: list[str]) -> None:
-        """A start has handed in what was journalled; the names of what the decisions do not know of it."""
+        """A start has restored the journal; `unknown` names what the decisions do not know of it."""
         self._check(not unknown, Invariant.RESTORED, " ".join(unknown))
 
     def unanswered(self, request: str) -> None:
-        """The courier closed a client's connection behind a request that it had read and not answered."""
+        """The courier closed a client's connection without an answer to a request that it had read."""
         self._check(False, Invariant.ANSWERED, request)
 
     def told(self) -> dict[str, int]:
--- a/calicopin/slow_start.py
+++ b/calicopin/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: how fast one sender may call a destination that it has seen fail. Decisions only, no I/O.
 
-A destination that returns from an outage is cold: sent more than its budget by all who met the outage, it
-falls over. Whoever met one keeps to a rate that all of them share, until the destination has had its time to
-warm up. Source: the users' rule on returning destinations; `docs/design.md` has the sums. Times are float
-milliseconds of the monotonic clock, rates calls a millisecond.
+A destination that returns from an outage is cold and fails again if all senders that met the outage exceed
+its budget. Each of them keeps to its part of a shared rate until the destination has had time to warm up.
+This is the rule on returning destinations; `docs/design.md` derives the figures. Times are float milliseconds
+of the monotonic clock, rates calls per millisecond.
 """
 
 from collections import deque
@@ -12,13 +12,12 @@
 from calicopin.interface import FailBack
 
 WELL, OUT, COLD = "well", "out", "cold"
-OUTAGE_STREAK = 5  # failures in a row that are an outage, where none are usual
-RARE_STREAK_EXPONENT = (
-    12.0  # a longer streak is an outage if it comes by chance less often than e to the minus this
-)
-MIN_LASTING_FAILURES = 3  # failures that are an outage once they last for the rule's span
-WHOLE_CALL_ALLOWANCE = 1.0
-CHECK_SLACK_CALLS = 1.0  # calls: the check samples the rate where a call is sent, not between
+OUTAGE_STREAK = 5  # failures in a row that mean an outage, where failures are not usual
+# Where failures are usual, a streak means an outage if its chance is below e to the power of minus this.
+RARE_STREAK_EXPONENT = 12.0
+MIN_LASTING_FAILURES = 3  # failures in a row that mean an outage once they last for the rule's span
+WHOLE_CALL_ALLOWANCE = 1.0  # calls
+CHECK_SLACK_CALLS = 1.0  # the check knows the rate only at the times of calls, not between them
 # The fields that are journalled and handed over, in their stored order, with the attribute that holds each.
 STATE = {
     "mode": "mode",
@@ -35,13 +34,13 @@
 
 
 class SlowStart:
-    """What one sender knows of the outages of one route, and what it may send there.
+    """What one sender knows of the outages of one route, and the rate that this allows.
 
-    `mode` is well, out (an outage is on, as far as is known) or cold (it has answered since); `fails` counts
-    failures since the last delivery, the first of them at `fail_since` and the last at `failed_at`; `gap` is
-    how many of them usually stand between two deliveries; `refused` says that all of them were
-    refusals, `last_refused` that the last one was.
-    `doubted` is the `fail_since` of failures that last and may be an outage, None where there are none.
+    `mode` is well, out (in an outage, as far as is known) or cold (it has answered since); `since` is when
+    that began. `fails` counts the failures since the last delivery, from `first_failure_at` to
+    `last_failure_at`; `usual_failures` is the average number of failures between two deliveries.
+    `only_refusals` says that all of them were refusals, `last_was_refusal` that the last one was.
+    `suspected_since` is the `first_failure_at` of failures that may be an outage, or None.
     """
 
     def __init__(self, rule: FailBack, senders: int):
@@ -49,16 +48,16 @@
         self.mode, self.since, self.warm_at = WELL, 0.0, 0.0
         self.fails, self.only_refusals, self.first_failure_at, self.last_failure_at = 0, False, 0.0, 0.0
         self.usual_failures, self.suspected_since, self.last_was_refusal = 0.0, None, False
-        self.recent_calls: deque[tuple[float, float]] = (
-            deque()
-        )  # calls sent while it is held: when, and its rate then
+        # time (ms) and rate of each call that was sent while throttled
+        self.recent_calls: deque[tuple[float, float]] = deque()
         self.violations = 0
 
-    # What it allows.
+    # Limits.
 
     def suspects_outage(self, now: float) -> bool:
-        """Whether failures without an end that last for the rule's span may be an outage: they come by the
-        usual loss at fewer than one of all senders. One refusal is how a limit shows.
+        """Whether failures may be an outage: they have lasted for the rule's span, and by the usual loss
+        fewer than one of all senders would see as many. A single refusal does not count, since that is how
+        a rate limit shows.
         """
         return (
             now - self.first_failure_at >= self.rule.span
@@ -67,24 +66,24 @@
         )
 
     def is_throttled(self, now: float) -> bool:
-        """Whether calls keep to the shared rate now."""
+        """Whether calls have to keep to the shared rate."""
         return self.mode != WELL or self.suspects_outage(now)
 
     def limited_rate(self, now: float, rate: float | None, share: float) -> float | None:
-        """The most calls a millisecond, where `pace` is allowed otherwise (None: any) and `share` is what
-        this sender may count on when the destination is warm.
+        """The highest rate allowed, or None for no limit. `rate` is what is allowed otherwise (None: any),
+        and `share` what this sender may count on while the destination is well.
         """
         if self.is_throttled(now):
             shared = self.shared_rate(now, share)
             return shared if rate is None else min(rate, shared)
         lasted = now - self.first_failure_at
-        if self.fails > 1 and lasted >= self.rule.span:  # where losses are usual
+        if self.fails > 1 and lasted >= self.rule.span:  # losses are usual here
             return min(rate or 1.0, 1.0 / lasted)
         return rate
 
     def shared_rate(self, now: float, share: float) -> float:
-        """This sender's part of what a cold destination can do, shared by those who met the outage. Failures
-        that last count as met: this sender may see little.
+        """This sender's part of the rate that a cold destination bears from all who met the outage. Lasting
+        failures count as an outage, since a sender with few calls sees few failures.
         """
         rule, elapsed = self.rule, now - (self.first_failure_at if self.mode == WELL else self.since)
         warm_share = min(1.0, elapsed / rule.cold) if self.mode == COLD else 0.0
@@ -95,15 +94,15 @@
         )
 
     def admits(self, decided_at: float) -> bool:
-        """Whether a call that was decided at that time may begin: not where an outage was met since."""
+        """Whether a call decided at that time (ms) may begin: not if an outage was met since."""
         outage_at = max(self.since if self.mode != WELL else 0.0, self.suspected_since or 0.0)
         return outage_at <= decided_at
 
     def record_call(self, now: float, rate: float | None) -> bool:
-        """A call is sent; False where it is more than a held sender's own part, which is counted.
+        """Records a call. Returns False, and counts a violation, where a throttled sender exceeds its part.
 
-        The check does not look at the bucket: in any window of the rule's span a held sender makes no more
-        calls than one and what the highest rate in it gives.
+        The check is independent of the token bucket: in any window of the rule's span, a throttled sender
+        makes at most one call more than the highest rate in the window allows, plus the slack.
         """
         if rate is None or not self.is_throttled(now):
             self.recent_calls.clear()
@@ -121,26 +120,25 @@
         self.violations += 1
         return False
 
-    # What it is told.
+    # Outcomes of calls.
 
     def delivered(self, now: float) -> str | None:
-        """A call was delivered; why the mode changed, or None."""
+        """A call was delivered. Returns why the mode changed, or None."""
         why = None
         if self.mode == OUT:
             why = f"answered after {now - self.since:.0f} ms"
-            self.mode, self.since = (
-                COLD,
-                self.last_failure_at,
-            )  # it may have been back since: where few call, few know
-            self.warm_at = now + self.rule.cold  # but only now is it sure
+            # with few calls, it may have returned as early as the last failure, but only this call proves it
+            self.mode, self.since = COLD, self.last_failure_at
+            self.warm_at = now + self.rule.cold
             self.fails = 0
         self.usual_failures += 0.1 * (self.fails - self.usual_failures)
         self.fails, self.suspected_since = 0, None
         return why
 
     def failed(self, now: float, why: str, wait: float) -> str | None:
-        """A call failed, with a wait that it told: an outage, whatever causes it, is nothing delivered
-        between many failures, or for the rule's span. Why the mode changed, or None.
+        """A call failed; its answer asked to wait for `wait` ms. Many failures in a row, or failures for the
+        rule's span, without a delivery between them are an outage, whatever their cause. Returns why the
+        mode changed, or None.
         """
         refusal = why == "full"
         self.only_refusals = refusal and (self.only_refusals or not self.fails)
@@ -150,10 +148,10 @@
         many = not refusal and self.fails >= streak
         if self.mode == OUT or not (self.is_lasting(now) or many or wait > self.rule.span):
             return None
-        return self._enter_outage(now, f"last {why}, told wait {wait:.0f} ms")
+        return self._enter_outage(now, f"last {why}, requested wait {wait:.0f} ms")
 
     def is_lasting(self, now: float) -> bool:
-        """Whether failures have lasted so long, and are so many, that they are an outage."""
+        """Whether failures have lasted long enough, and are enough, to be an outage."""
         min_failures = OUTAGE_STREAK if self.last_was_refusal else MIN_LASTING_FAILURES
         return self.fails >= min_failures and now - self.first_failure_at >= self.rule.span
 
@@ -163,9 +161,10 @@
         return reason
 
     def detect_lasting_outage(self, now: float) -> str | None:
-        """Failures that were too young for an outage when the last of them came may be one by now; why, or
-        None. Without this a delivery behind such a one was taken for the end of chance losses, and all that
-        waited went at once to a cold destination.
+        """Whether failures have become an outage since the last of them: why the mode changed, or None.
+
+        Without this check, a delivery after such failures ended them as chance losses, and all waiting texts
+        went at once to a cold destination.
         """
         if self.mode == WELL and self.is_lasting(now) and self.suspects_outage(now):
             return self._enter_outage(now, "none since")
@@ -175,15 +174,15 @@
         self.first_failure_at, self.fails = self.first_failure_at if self.fails else at, self.fails + 1
 
     def interrupted(self, now: float) -> None:
-        """A call was cut off by the end of the last process: what it met nobody knows, so that it counts as a
-        failure of this moment, until the next delivery.
+        """The end of the last process cut off a call: its outcome is unknown, so it counts as a failure now,
+        until the next delivery.
         """
         self.only_refusals = self.last_was_refusal = False
         self._count_failure(now)
         self.last_failure_at = now
 
     def starts_suspecting(self, now: float) -> bool:
-        """Whether failures have come to be doubtful since the last look."""
+        """Whether failures have begun to look like an outage since the last maintenance."""
         if (
             self.mode != WELL
             or not self.suspects_outage(now)
@@ -194,21 +193,22 @@
         return True
 
     def finish_warmup(self, now: float) -> bool:
-        """Whether the time of a cold one is over with this look."""
+        """Whether the warm-up of a cold destination ends now; sets the mode to well if so."""
         if self.mode != COLD or now < self.warm_at:
             return False
         self.mode, self.since, self.fails, self.suspected_since = WELL, now, 0, None
         return True
 
-    # What outlives the process.
+    # Restarts.
 
     def must_persist(self) -> bool:
-        """Whether there is anything that the next process has to know."""
+        """Whether the next process has to know this state."""
         return self.mode != WELL or self.fails > self.only_refusals
 
     def restore_clock(self, now: float, continuous: bool) -> None:
-        """Behind a restart: no time lies ahead but the one at which a cold one is warm. Where the monotonic
-        clock has begun anew, nobody knows how long it took: all that has passed is taken for nothing.
+        """Adjusts the times after a restart: none may lie in the future but the end of the warm-up. Where the
+        monotonic clock began anew (not `continuous`), the time that has passed is unknown and counts as
+        none.
         """
         if not continuous:
             self.since = self.first_failure_at = self.last_failure_at = now
@@ -218,5 +218,5 @@
         self.last_failure_at = min(self.last_failure_at, now)
         self.warm_at = min(self.warm_at, now + self.rule.cold)
         if self.mode == WELL and self.fails > self.only_refusals:
-            # all that waited is at hand, and the last calls failed: one call asks first
+            # all waiting texts are ready to go and the last calls failed: one call probes first
             self.first_failure_at = self.suspected_since = min(self.first_failure_at, now - self.rule.span)
