--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""A small stand for the courier: builds one, feeds it events, keeps what it did."""
+"""Fixtures for tests: one courier's decisions with a clock, and stand-ins for the courier on sockets."""
 
 import os
 import socket
@@ -29,10 +29,12 @@
 
 
 class DecisionsFixture:
-    """One courier with its clock; destination 0 has endpoints 0 and 1 unless told otherwise."""
+    """One courier's decisions and their clock (ms). By default, destination 0 has endpoints 0 and 1. `done`
+    collects all actions.
+    """
 
     def __init__(self, products=(PRODUCT,), entries=None, **terms):
-        told = dict(
+        settings = dict(
             seed=7,
             number=0,
             senders=2,
@@ -44,12 +46,14 @@
             partners=[Partner()],
             fail_back=FailBack(0.2, 10000.0, 2.0, 3000.0),
         )
-        self.courier = Courier(CourierSettings(**(told | terms)))
+        self.courier = Courier(CourierSettings(**(settings | terms)))
         self.now, self.wake, self.done, self.next = 0.0, None, [], 0
         self.step([Listed(entries or [Entry(0, 0), Entry(1, 0)], whole=True)])
 
     def step(self, events=(), after=0.0):
-        """Moves the clock, wakes the courier where it asked for it on the way, and hands the events over."""
+        """Moves the clock by `after` ms, wakes the courier at the times it asks for, then hands over the
+        events. Returns all actions.
+        """
         until, out = self.now + after, []
         while self.wake and self.wake[0] <= until:
             out += self.hand(max(self.wake[0], self.now), self.woken(until))
@@ -57,14 +61,14 @@
         return out + (self.hand(until, list(events)) if events else [])
 
     def woken(self, now):
-        """The wake-up, once it is due."""
+        """The requested wake-up as events, if it is due."""
         if not self.wake or self.wake[0] > now:
             return []
         token, self.wake = self.wake[1], None
         return [Woken(token)]
 
     def hand(self, now, events):
-        """One batch."""
+        """Handles one batch."""
         self.now = now
         out = self.courier.handle(now, events)
         for action in out:
@@ -74,11 +78,13 @@
         return out
 
     def take(self, number=1, dest=0, product=0, validity=24000.0, key=None):
+        """Hands in texts; returns the actions."""
         events = [Taken(self.next + i, dest, product, self.now + validity, key) for i in range(number)]
         self.next += number
         return self.step(events)
 
     def outcome(self, submit, how=How.DELIVERED, wait=0.0, elapsed=200.0, ended=None, limit=None, left=None):
+        """Reports the outcome of a submit; returns the actions."""
         ended = how == How.DELIVERED if ended is None else ended
         return self.step([Outcome(submit.text, submit.endpoint, how, wait, elapsed, ended, left, limit)])
 
@@ -87,12 +93,11 @@
     return [action for action in actions if isinstance(action, Submit)]
 
 
-# For the courier on sockets: a clock that the test moves, a loop that is spun, and small stand-ins on
-# loopback.
+# For the courier on sockets: a clock that the test moves, passes of the loop, and stand-ins on loopback.
 
 
 class Clock:
-    """A clock that stands until the test moves it; ms."""
+    """A clock (ms) that only the test moves."""
 
     def __init__(self, now=1000.0):
         self.now = now
@@ -102,7 +107,7 @@
 
 
 class Rebooted(System):
-    """The clock that the test hands in begins anew, so that only the wall clock tells how long ago
+    """A system after a reboot: the test's clock began anew, so that only the wall clock tells how long ago
     something was.
     """
 
@@ -112,17 +117,17 @@
 
 
 def spin(loop, done, passes=4000):
-    """Passes of the loop, none of which waits, until `done` holds."""
+    """Runs passes of the loop, none of which waits, until `done` holds."""
     for _ in range(passes):
         loop.once(loop.now())
         if done():
             return
         time.sleep(0.0005)
-    raise AssertionError("it never came about")
+    raise AssertionError("the condition did not hold in time")
 
 
 class Peer:
-    """The other side of one connection: says and hears bytes while the loop is spun."""
+    """The other side of one connection: sends and receives bytes while the loop runs."""
 
     def __init__(self, loop, sock):
         self.loop, self.sock, self.heard, self.ended, self.reset = loop, sock, b"", False, False
@@ -143,7 +148,7 @@
         return self.heard
 
     def wait(self, what):
-        """Spins until `what` was heard; returns all that was, and forgets it."""
+        """Runs the loop until `what` was received; returns all that was received, and clears it."""
         spin(self.loop, lambda: what in self.hear())
         heard, self.heard = self.heard, b""
         return heard
@@ -154,7 +159,7 @@
 
 
 class Listener:
-    """A listener of the test's own; `meet` is the next connection to it."""
+    """A listening socket of the test; `meet` accepts the next connection."""
 
     def __init__(self, loop):
         self.loop, self.sock = loop, socket.create_server(("127.0.0.1", 0))
@@ -162,17 +167,17 @@
         self.address = "127.0.0.1:%d" % self.sock.getsockname()[1]
 
     def meet(self):
-        met = []
+        accepted = []
 
         def try_to():
             try:
-                met.append(self.sock.accept()[0])
+                accepted.append(self.sock.accept()[0])
             except BlockingIOError:
                 pass
-            return met
+            return accepted
 
         spin(self.loop, try_to)
-        return Peer(self.loop, met[0])
+        return Peer(self.loop, accepted[0])
 
 
 def client(loop, address):
@@ -180,7 +185,7 @@
     return Peer(loop, socket.create_connection((host, int(port))))
 
 
-PORTS = count(20000 + os.getpid() * 499 % 10000)  # below those that the system gives to connections
+PORTS = count(20000 + os.getpid() * 499 % 10000)  # below the range of ephemeral ports
 
 
 def free_address():
@@ -205,7 +210,7 @@
         dict(name="order", idempotency="idempotency_key", keyTtl=15.0, aim=2.0, giveUp=20.0),
         dict(name="once", idempotency="non_idempotent", aim=2.0, giveUp=20.0, inOrder=True),
     ]
-    told = dict(
+    settings = dict(
         slotNo=0,
         groupSize=2,
         tick=0.005,
@@ -221,4 +226,4 @@
         weights="silent",
         discovery="push",
     )
-    return told | other
+    return settings | other
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -1,7 +1,7 @@
-"""One change of the list costs by what it names: the same work at 100 and at 10,000 endpoints, the same
-decisions as before.
+"""The cost of one change of the list depends on what it names: the same work at 100 and at 10,000 endpoints,
+and the same decisions as without this optimisation.
 
-Work is counted as calls and lines that the interpreter runs, never as time.
+Work is counted as lines that the interpreter runs, never as time.
 """
 
 import random
@@ -32,7 +32,7 @@
 
 
 def lines_run(work):
-    """How many lines of Python a call runs, each as often as it runs."""
+    """How many lines of Python a call runs, counted each time they run."""
     count, before = 0, sys.gettrace()
 
     def trace(frame, event, _):
@@ -48,9 +48,8 @@
     return count
 
 
-class WalkingCourier(Courier):
-    """The rule on what is known of endpoints, as plain as it can be: all of them are looked at, at each
-    change."""
+class ScanningCourier(Courier):
+    """The rule on remembered endpoints in its simplest form: every change looks at all of them."""
 
     def on_listed(self, event):
         self.list_failures, seen, changed = 0, {entry.endpoint for entry in event.entries}, {}
@@ -81,63 +80,64 @@
                 endpoint.dest.routes.pop(ident, None)
 
 
-class Play:
-    """A long generated day of one courier: texts, outcomes of every kind, changes of the list and whole
-    lists."""
+class GeneratedRun:
+    """A long generated run of one courier: texts, outcomes of every kind, changes of the list and whole
+    lists.
+    """
 
     def __init__(self, seed, make):
-        self.chance, self.trace, self.out, self.texts = random.Random(seed), [], [], 0
-        slots, apart = self.chance.choice([3, 20]), self.chance.random() < 0.5
-        partners = [Partner(self.chance.choice([1, 4]), apart), Partner()]
+        self.rng, self.trace, self.out, self.texts = random.Random(seed), [], [], 0
+        slots, apart = self.rng.choice([3, 20]), self.rng.random() < 0.5
+        partners = [Partner(self.rng.choice([1, 4]), apart), Partner()]
         settings = DecisionsFixture(
             [replace(PRODUCT, in_order=True)], slots=slots, partners=partners
         ).courier.settings
-        self.courier, self.stand = make(settings), DecisionsFixture()
-        self.stand.courier, self.stand.now, self.stand.wake = self.courier, 0.0, None
-        self.listed, self.sick = {}, {}
+        self.courier, self.fixture = make(settings), DecisionsFixture()
+        self.fixture.courier, self.fixture.now, self.fixture.wake = self.courier, 0.0, None
+        self.listed, self.failing = {}, {}
 
     def entry(self, ident):
-        chance = self.chance
-        dest = ident % 5 if chance.random() < 0.97 else chance.randrange(5)  # now and then one moves
-        return Entry(ident, dest, ident % 2, ident % 3, chance.random() < 0.6, chance.choice([None, 20.0]))
+        rng = self.rng
+        dest = (
+            ident % 5 if rng.random() < 0.97 else rng.randrange(5)
+        )  # now and then an endpoint moves to another destination
+        return Entry(ident, dest, ident % 2, ident % 3, rng.random() < 0.6, rng.choice([None, 20.0]))
 
     def list_event(self):
-        some = self.chance.sample(range(40), self.chance.choice([0, 1, 1, 1, 2, 6, 30]))
+        some = self.rng.sample(range(40), self.rng.choice([0, 1, 1, 1, 2, 6, 30]))
         entries = [self.entry(ident) for ident in some]
-        if entries and self.chance.random() < 0.1:
+        if entries and self.rng.random() < 0.1:
             entries += [replace(entries[0], ready=not entries[0].ready)]  # the same one twice in one event
-        return Listed(entries, self.chance.random() < 0.1)
+        return Listed(entries, self.rng.random() < 0.1)
 
     def event(self):
-        chance, now = self.chance, self.stand.now
-        kind = chance.random()
+        rng, now = self.rng, self.fixture.now
+        kind = rng.random()
         if kind < 0.3:
             return self.list_event()
         if kind < 0.35 and self.texts:
-            return Withdrawn(chance.randrange(self.texts))
+            return Withdrawn(rng.randrange(self.texts))
         if kind < 0.65 and self.out:
-            submit = self.out.pop(chance.randrange(len(self.out)))
-            how = chance.choice([How.DELIVERED] * 6 + list(How))
-            wait = chance.choice([0.0, 0.0, 500.0, 70000.0])
+            submit = self.out.pop(rng.randrange(len(self.out)))
+            how = rng.choice([How.DELIVERED] * 6 + list(How))
+            wait = rng.choice([0.0, 0.0, 500.0, 70000.0])
             return Outcome(
-                submit.text, submit.endpoint, how, wait, chance.expovariate(0.01), how == How.DELIVERED
+                submit.text, submit.endpoint, how, wait, rng.expovariate(0.01), how == How.DELIVERED
             )
         self.texts += 1
-        key = chance.choice([None, "a", "b"])
-        return Taken(
-            self.texts - 1, chance.randrange(6), 0, now + chance.choice([900.0, 24000.0, 90000.0]), key
-        )
+        key = rng.choice([None, "a", "b"])
+        return Taken(self.texts - 1, rng.randrange(6), 0, now + rng.choice([900.0, 24000.0, 90000.0]), key)
 
     def step(self):
-        after = self.chance.choice([0.0, 5.0, 40.0, 300.0, 300.0, 9000.0, 61000.0])
-        events = [self.event() for _ in range(self.chance.choice([1, 1, 2, 5]))]
-        for action in self.stand.step(events, after):
-            self.trace.append((self.stand.now, repr(action)))
+        after = self.rng.choice([0.0, 5.0, 40.0, 300.0, 300.0, 9000.0, 61000.0])
+        events = [self.event() for _ in range(self.rng.choice([1, 1, 2, 5]))]
+        for action in self.fixture.step(events, after):
+            self.trace.append((self.fixture.now, repr(action)))
             if isinstance(action, Submit):
                 self.out.append(action)
 
     def known(self):
-        """What is known of endpoints, and of the order in which all of a kind are looked at."""
+        """What is known of endpoints, and the order in which all of a kind are visited."""
         courier = self.courier
         return (
             sorted(courier.endpoints),
@@ -147,16 +147,16 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_decisions_are_those_of_a_courier_that_looks_at_all_endpoints(seed):
-    plays = [Play(seed, Courier), Play(seed, WalkingCourier)]
+def test_decisions_equal_those_of_a_courier_that_checks_all_endpoints(seed):
+    runs = [GeneratedRun(seed, Courier), GeneratedRun(seed, ScanningCourier)]
     for _ in range(120):
-        for play in plays:
-            play.step()
-        assert plays[0].known() == plays[1].known()
-    assert plays[0].trace == plays[1].trace and len(plays[0].trace) > 100
-    submits = sum(line.startswith("Submit") for _, line in plays[0].trace)
-    ends = sum(line.startswith((Nack.__name__, Undeliverable.__name__)) for _, line in plays[0].trace)
-    assert submits > 20 and ends > 5, "the play shows too little"
+        for run in runs:
+            run.step()
+        assert runs[0].known() == runs[1].known()
+    assert runs[0].trace == runs[1].trace and len(runs[0].trace) > 100
+    submits = sum(line.startswith("Submit") for _, line in runs[0].trace)
+    ends = sum(line.startswith((Nack.__name__, Undeliverable.__name__)) for _, line in runs[0].trace)
+    assert submits > 20 and ends > 5, "the run is too short to compare"
 
 
 def courier_with(count):
@@ -177,8 +177,8 @@
     assert costs[100] == costs[1000] == costs[10000]
 
 
-def test_those_that_left_lately_do_not_make_another_change_dearer():
-    """A zone's loss is followed by changes of other endpoints: they once looked at all of it."""
+def test_endpoints_that_left_lately_do_not_raise_the_cost_of_another_change():
+    """After the loss of a zone, each change of another endpoint looked at all endpoints that had left."""
     costs = {}
     for left in (10, 1000):
         courier = courier_with(4000)
@@ -187,100 +187,102 @@
     assert costs[10] == costs[1000]
 
 
-def test_an_endpoint_is_remembered_for_as_long_as_before():
-    stand = DecisionsFixture()
-    stand.step([Listed([])], after=1000.0)
-    stand.step([Listed([Entry(0, 0, ready=False)])], after=500.0)  # last listed at 1000
-    stand.step([Listed([])], after=Route.IDLE - 500.0)
-    assert 0 in stand.courier.endpoints
-    stand.step([Listed([])], after=1.0)
-    assert sorted(stand.courier.endpoints) == [1]
+def test_an_endpoint_is_remembered_for_the_retention_time():
+    fixture = DecisionsFixture()
+    fixture.step([Listed([])], after=1000.0)
+    fixture.step([Listed([Entry(0, 0, ready=False)])], after=500.0)  # last listed at 1000
+    fixture.step([Listed([])], after=Route.IDLE - 500.0)
+    assert 0 in fixture.courier.endpoints
+    fixture.step([Listed([])], after=1.0)
+    assert sorted(fixture.courier.endpoints) == [1]
 
 
 def facade_with(count):
-    return facade(places=[row(ident) for ident in range(count)])
+    return facade(places=[listed_place(ident) for ident in range(count)])
 
 
-def row(ident, **other):
+def listed_place(ident, **other):
     return place(f"s-{ident}", f"127.0.0.1:{10000 + ident % 50000}", dest=ident // 4, **other)
 
 
 def test_one_changed_entry_costs_the_facade_and_the_connections_the_same_at_any_number():
     costs = {}
     for count in (100, 1000, 10000):
-        house, lines = facade_with(count), Lines(8, 9000.0)
-        lines.list(house.places.values())
+        courier_facade, lines = facade_with(count), Lines(8, 9000.0)
+        lines.list(courier_facade.places.values())
 
-        def change(places, house=house, lines=lines):
-            former = house.listed(places, False)
-            now = [house.places[number] for number in former if number in house.places]
+        def change(places, courier_facade=courier_facade, lines=lines):
+            former = courier_facade.listed(places, False)
+            now = [courier_facade.places[number] for number in former if number in courier_facade.places]
             lines.change([one for one in former.values() if one], now)
-            house.tick(10.0)
+            courier_facade.tick(10.0)
 
         costs[count] = [
-            lines_run(partial(change, [row(5, ready=False)])),
-            lines_run(partial(change, [row(5)])),
-            lines_run(partial(change, [row(count)])),
-            lines_run(partial(change, [row(count, ready=False, left=True)])),
+            lines_run(partial(change, [listed_place(5, ready=False)])),
+            lines_run(partial(change, [listed_place(5)])),
+            lines_run(partial(change, [listed_place(count)])),
+            lines_run(partial(change, [listed_place(count, ready=False, left=True)])),
         ]
     assert costs[100] == costs[1000] == costs[10000]
 
 
-# A destination that nobody uses any more.
+# Released destinations.
 
 
-def released(stand, dest=0):
-    return stand.step([Released(dest)])
+def release(fixture, dest=0):
+    return fixture.step([Released(dest)])
 
 
-def test_a_released_destination_is_forgotten_after_the_span_and_not_before():
-    stand = DecisionsFixture()
-    stand.outcome(submits(stand.take(1))[0])
-    stand.step(after=30000.0)
-    released(stand)
-    stand.step(after=Route.IDLE)
-    assert 0 in stand.courier.dests and sorted(stand.courier.endpoints) == [0, 1]
-    stand.step(after=1000.0)
-    assert not stand.courier.dests and not stand.courier.endpoints and not stand.courier.kinds[0].endpoints
+def test_a_released_destination_is_forgotten_after_the_retention_time_and_not_before():
+    fixture = DecisionsFixture()
+    fixture.outcome(submits(fixture.take(1))[0])
+    fixture.step(after=30000.0)
+    release(fixture)
+    fixture.step(after=Route.IDLE)
+    assert 0 in fixture.courier.dests and sorted(fixture.courier.endpoints) == [0, 1]
+    fixture.step(after=1000.0)
+    assert (
+        not fixture.courier.dests and not fixture.courier.endpoints and not fixture.courier.kinds[0].endpoints
+    )
 
 
 def test_nothing_is_sent_to_a_released_destination_until_it_is_listed_again():
-    stand = DecisionsFixture()
-    released(stand)
-    assert not submits(stand.take(1))
-    assert len(submits(stand.step([Listed([Entry(0, 0)])]))) == 1
-    stand.step(after=5.0 * Route.IDLE)
-    assert 0 in stand.courier.dests and 0 in stand.courier.endpoints
+    fixture = DecisionsFixture()
+    release(fixture)
+    assert not submits(fixture.take(1))
+    assert len(submits(fixture.step([Listed([Entry(0, 0)])]))) == 1
+    fixture.step(after=5.0 * Route.IDLE)
+    assert 0 in fixture.courier.dests and 0 in fixture.courier.endpoints
 
 
 @pytest.mark.parametrize("apart", [False, True])
-def test_a_told_wait_outlasts_the_release_of_its_destination(apart):
-    stand = DecisionsFixture(partners=[Partner(apart=apart)])
-    submit = submits(stand.take(1))[0]
-    stand.outcome(submit, How.FULL, wait=170000.0, ended=True)
-    until = stand.now + 170000.0
-    released(stand)
-    stand.step(after=100000.0)
-    assert 0 in stand.courier.dests
-    stand.step([Listed([Entry(submit.endpoint, 0)])])
-    assert not submits(stand.take(1, validity=200000.0))
-    stand.step(after=until - stand.now - 1.0)
-    assert len(submits(stand.done)) == 1
-    stand.step(after=60000.0)
-    assert len(submits(stand.done)) == 2
-
-
-def test_an_outage_outlasts_the_release_and_what_waits_or_is_out_too():
-    stand = DecisionsFixture()
-    stand.outcome(submits(stand.take(1))[0], How.FULL, wait=4000.0, ended=True)
-    route = stand.courier.dests[0].routes[None]
+def test_a_requested_wait_outlasts_the_release_of_its_destination(apart):
+    fixture = DecisionsFixture(partners=[Partner(apart=apart)])
+    submit = submits(fixture.take(1))[0]
+    fixture.outcome(submit, How.FULL, wait=170000.0, ended=True)
+    until = fixture.now + 170000.0
+    release(fixture)
+    fixture.step(after=100000.0)
+    assert 0 in fixture.courier.dests
+    fixture.step([Listed([Entry(submit.endpoint, 0)])])
+    assert not submits(fixture.take(1, validity=200000.0))
+    fixture.step(after=until - fixture.now - 1.0)
+    assert len(submits(fixture.done)) == 1
+    fixture.step(after=60000.0)
+    assert len(submits(fixture.done)) == 2
+
+
+def test_an_outage_and_texts_outlast_the_release_of_their_destination():
+    fixture = DecisionsFixture()
+    fixture.outcome(submits(fixture.take(1))[0], How.FULL, wait=4000.0, ended=True)
+    route = fixture.courier.dests[0].routes[None]
     assert route.mode == "out"
-    released(stand)
-    stand.step(after=10 * Route.IDLE)
-    assert stand.courier.dests[0].routes[None] is route
+    release(fixture)
+    fixture.step(after=10 * Route.IDLE)
+    assert fixture.courier.dests[0].routes[None] is route
     other = DecisionsFixture()
     out = submits(other.take(1, validity=10 * Route.IDLE))[0]
-    released(other)
+    release(other)
     other.step(after=3 * Route.IDLE)
     assert out.endpoint in other.courier.endpoints and 0 in other.courier.dests
     other.outcome(out)
@@ -288,9 +290,9 @@
     assert not other.courier.dests and not other.courier.endpoints
 
 
-def things(house):
-    """How many objects are kept for destinations and endpoints, wherever."""
-    module = house.module
+def kept_objects(courier_facade):
+    """How many objects are kept for destinations and endpoints, in all places."""
+    module = courier_facade.module
     return dict(
         destinations=len(module.dests),
         endpoints=len(module.endpoints),
@@ -300,53 +302,53 @@
         due=len(module.scheduler.timers),
         names=[
             len(table)
-            for indices in (house.dests, house.endpoints)
+            for indices in (courier_facade.dests, courier_facade.endpoints)
             for table in (indices.index, indices.ident)
         ],
-        places=len(house.places),
-        places_of=len(house.places_of),
-        unlisted=len(house.unlisted),
+        places=len(courier_facade.places),
+        places_of=len(courier_facade.places_of),
+        unlisted=len(courier_facade.unlisted),
     )  # fmt: skip
 
 
-def run_on(house, now, span):
+def advance(courier_facade, now, span):
     until = now + span
-    while (due := house.tick(now)) <= until:
+    while (due := courier_facade.tick(now)) <= until:
         now = due
-    house.tick(until)
+    courier_facade.tick(until)
     return until
 
 
-def test_what_is_kept_is_as_it_was_after_10000_destinations_came_and_went():
-    house = facade(places=[row(1)])
-    now = run_on(house, 0.0, 1000.0)
-    before = things(house)
+def test_nothing_is_left_of_10000_destinations_that_came_and_went():
+    courier_facade = facade(places=[listed_place(1)])
+    now = advance(courier_facade, 0.0, 1000.0)
+    before = kept_objects(courier_facade)
     for group in range(100):
         dests = range(10 + 100 * group, 110 + 100 * group)
-        house.listed([row(4 * dest + some) for dest in dests for some in (0, 1)], False)
-        house.listed([row(4 * dest, ready=False, left=True) for dest in dests[:10]], False)
+        courier_facade.listed([listed_place(4 * dest + some) for dest in dests for some in (0, 1)], False)
+        courier_facade.listed([listed_place(4 * dest, ready=False, left=True) for dest in dests[:10]], False)
         if group % 10 == 0:
             for dest in dests[:5]:
-                house.hand_in(text(f"{group}-{dest}", dest=dest, until=now + 900.0))
-        now = run_on(house, now, 1000.0)
+                courier_facade.hand_in(text(f"{group}-{dest}", dest=dest, until=now + 900.0))
+        now = advance(courier_facade, now, 1000.0)
         for dest in dests:
-            house.release(dest)
-        while call := house.pick():
-            house.report(call, Answer(Far.ANSWERED, status=200), 20.0)
-        now = run_on(house, now, 1000.0)
-    now = run_on(house, now, 2.0 * Route.IDLE)
-    house.listed([], False)
-    now = run_on(house, now, 1000.0)
-    assert things(house) == before
-    assert house.serves(0) and not house.serves(10)
+            courier_facade.release(dest)
+        while call := courier_facade.pick():
+            courier_facade.report(call, Answer(Far.ANSWERED, status=200), 20.0)
+        now = advance(courier_facade, now, 1000.0)
+    now = advance(courier_facade, now, 2.0 * Route.IDLE)
+    courier_facade.listed([], False)
+    now = advance(courier_facade, now, 1000.0)
+    assert kept_objects(courier_facade) == before
+    assert courier_facade.serves(0) and not courier_facade.serves(10)
 
 
 def test_a_destination_that_comes_back_is_served():
-    house = facade(places=[row(1), row(40)])
-    house.release(10)
-    now = run_on(house, 0.0, 3.0 * Route.IDLE)
-    assert not house.serves(10)
-    house.listed([row(40)], False)
-    house.hand_in(text("a", dest=10, until=now + 5000.0))
-    house.tick(now)
-    assert house.pick().place.ident == "s-40"
+    courier_facade = facade(places=[listed_place(1), listed_place(40)])
+    courier_facade.release(10)
+    now = advance(courier_facade, 0.0, 3.0 * Route.IDLE)
+    assert not courier_facade.serves(10)
+    courier_facade.listed([listed_place(40)], False)
+    courier_facade.hand_in(text("a", dest=10, until=now + 5000.0))
+    courier_facade.tick(now)
+    assert courier_facade.pick().place.ident == "s-40"
--- a/tests/test_restart_in_outage.py
+++ b/tests/test_restart_in_outage.py
@@ -1,5 +1,5 @@
 """Couriers that are killed in an outage and started again: the new processes keep to the slow-start budget
-of what the old ones saw fail. Real processes over loopback (issue 43).
+although only the old ones saw the failures. Real processes over loopback.
 """
 
 import asyncio
@@ -12,35 +12,39 @@
 
 RULE = SlowStart(cold_from=0.16, cold=10.0, multiple=2.5, span=3.0)
 COURIERS, CAPACITY = 12, 4.0
-MESSAGES = 5  # at each courier in the outage; they are waiting when it is killed
-VALID = 24.0  # seconds
+MESSAGES = 5  # handed in at each courier in the outage; they wait when it is killed
+VALIDITY_S = 24.0
 KILLED, TERMINATED, NONE = "killed", "terminated", "none"  # how the couriers end in the outage
 
 
-async def wait_for(done, seconds=30.0):
-    until = time.monotonic() + seconds
+async def wait_until(done, seconds=30.0):
+    deadline = time.monotonic() + seconds
     while not done():
-        assert time.monotonic() < until, "it never came about"
+        assert time.monotonic() < deadline, "the condition did not hold in time"
         await asyncio.sleep(0.02)
 
 
 async def hand_in_everywhere(fleet, product):
     statuses = await asyncio.gather(
-        *(fleet.hand_in(courier, 0, product, VALID) for courier in fleet.couriers for _ in range(MESSAGES))
+        *(
+            fleet.hand_in(courier, 0, product, VALIDITY_S)
+            for courier in fleet.couriers
+            for _ in range(MESSAGES)
+        )
     )
     return sum(status == 202 for status in statuses)
 
 
-async def play(folder, how, restart):
-    """The worst window behind the return of a destination in whose outage every courier was restarted, or
-    none was.
+async def worst_window_after_restart(folder, how, restart):
+    """The worst window after the return of a destination, and the number of calls. All couriers were
+    restarted in the outage, or none.
     """
     fleet = Fleet(folder, COURIERS, (DestinationPlan(CAPACITY),), RULE, seed=1)
     try:
         await fleet.start()
         await fleet.begin_outage(0, how)
         assert await hand_in_everywhere(fleet, "order") > COURIERS
-        await wait_for(lambda: all(knows_outage(courier) for courier in fleet.couriers))
+        await wait_until(lambda: all(knows_outage(courier) for courier in fleet.couriers))
         if restart != NONE:
             await fleet.restart(fleet.couriers, gently=restart == TERMINATED)
         fleet.record.failures = fleet.failures()
@@ -53,21 +57,21 @@
 
 
 def knows_outage(courier):
-    """By the line that it writes once the outage is in its journal. A failed call is told before that: a
-    courier killed in between, on a busy machine, knew of nothing but a call that its end cut off.
+    """Whether the courier has logged the outage, which it does once it is in the journal. Failed calls are
+    logged earlier: a courier killed in between knew only of a call that its end had cut off.
     """
-    return any(told.get("event") == "destination.out" for told in courier.records())
+    return any(record.get("event") == "destination.out" for record in courier.records())
 
 
 @pytest.mark.parametrize("restart", [KILLED, TERMINATED])
 def test_restarted_couriers_keep_the_budget_of_an_outage_that_they_met(tmp_path, restart):
-    worst, arrivals = asyncio.run(play(tmp_path, "errors", restart))
+    worst, arrivals = asyncio.run(worst_window_after_restart(tmp_path, "errors", restart))
     assert arrivals > COURIERS, "each has met the outage"
     assert worst is None or worst.excess <= 0.0, worst
 
 
 def test_couriers_that_go_on_keep_the_budget_of_an_outage_that_they_met(tmp_path):
-    """The control: the same messages and the same outage with no restart."""
-    worst, arrivals = asyncio.run(play(tmp_path, "errors", NONE))
+    """For comparison: the same messages and the same outage without a restart."""
+    worst, arrivals = asyncio.run(worst_window_after_restart(tmp_path, "errors", NONE))
     assert arrivals > COURIERS, "each has met the outage"
     assert worst is None or worst.excess <= 0.0, worst
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,6 @@
-"""A slow, plain model of the rules beside the module, on generated input: what it does must be allowed."""
+"""Compares the decisions with a slow, plain model of the rules on generated input: what they do must be
+allowed.
+"""
 
 import random
 
@@ -25,17 +27,17 @@
 
 
 class Model:
-    """What the rules allow, word for word."""
+    """What the rules allow."""
 
     def __init__(self, products, apart, slots, tries):
         self.products, self.apart, self.slots, self.tries = products, apart, slots, tries
-        self.texts, self.out, self.listed, self.waits, self.lines, self.rests = {}, {}, {}, {}, {}, {}
+        self.texts, self.out, self.listed, self.waits, self.queues, self.settling = {}, {}, {}, {}, {}, {}
 
     def take(self, event):
         product = self.products[event.product]
         self.texts[event.text] = dict(event=event, product=product, ran=[], tries=0, ended=False)
         if product.in_order and event.key is not None:
-            self.lines.setdefault(event.key, []).append(event.text)
+            self.queues.setdefault(event.key, []).append(event.text)
 
     def route(self, endpoint):
         entry = self.listed[endpoint]
@@ -45,9 +47,9 @@
         text, entry = self.texts[action.text], self.listed[action.endpoint]
         product = text["product"]
         assert not text["ended"], "a submit after the final answer"
-        assert action.text not in self.out, "two submits of one text out"
+        assert action.text not in self.out, "two submits of one text in flight"
         assert entry.ready and entry.dest == text["event"].dest, "an endpoint that may not be called"
-        assert now >= self.waits.get(self.route(action.endpoint), 0.0), "a told wait is not heeded"
+        assert now >= self.waits.get(self.route(action.endpoint), 0.0), "a requested wait is ignored"
         assert text["tries"] < self.tries and action.timeout <= text["event"].valid_until - now + 1.0
         if text["ran"]:
             first, zone = text["ran"][0]
@@ -57,14 +59,16 @@
                 assert not product.memory_by_zone or zone == entry.zone, "another zone knows no reference"
         key = text["event"].key
         if product.in_order and key is not None:
-            assert self.lines[key][0] == action.text, "out of turn"
-            until, owner = self.rests.get(key, (0.0, None))
-            assert owner == action.text or now >= until, "the key still rests"
+            assert self.queues[key][0] == action.text, "out of order"
+            until, owner = self.settling.get(key, (0.0, None))
+            assert owner == action.text or now >= until, "the settle time of the key is not over"
         text["tries"] += 1
         self.out[action.text] = (now, action)
 
-    def killed(self, now):
-        """The courier dies: calls out may have run, told waits end; what is left comes back as it stood."""
+    def kill(self, now):
+        """The courier is killed: calls in flight may have run, waits end, and what is left is restored as it
+        was.
+        """
         for ident in list(self.out):
             self.outcome(now, Outcome(ident, self.out[ident][1].endpoint, How.BROKEN))
         self.waits.clear()
@@ -92,16 +96,16 @@
             route = self.route(action.endpoint)
             self.waits[route] = max(self.waits.get(route, 0.0), now + event.wait)
         key = text["event"].key
-        rests = event.how in (How.TIMEOUT, How.BROKEN, How.CALLED_OFF)
-        if text["product"].in_order and key is not None and rests:
-            self.rests[key] = (now + SETTLE, event.text)
+        settles = event.how in (How.TIMEOUT, How.BROKEN, How.CALLED_OFF)
+        if text["product"].in_order and key is not None and settles:
+            self.settling[key] = (now + SETTLE, event.text)
         text["ended"] = text["ended"] or event.ended
         self.clear(event.text)
 
     def clear(self, ident):
-        line = self.lines.get(self.texts[ident]["event"].key, [])
-        if self.texts[ident]["ended"] and ident not in self.out and ident in line:
-            line.remove(ident)
+        queue = self.queues.get(self.texts[ident]["event"].key, [])
+        if self.texts[ident]["ended"] and ident not in self.out and ident in queue:
+            queue.remove(ident)
 
     def answer(self, now, action):
         text = self.texts[action.text]
@@ -135,7 +139,7 @@
     products, apart = [product(rng) for _ in range(3)], [rng.random() < 0.5, False]
     entries = [Entry(i, i % 4, i % 2, rng.randrange(2), agreed=rng.choice([None, 8.0])) for i in range(9)]
     slots = rng.choice([4, 12, 60])
-    sick = {i: rng.choice(list(How)[:6]) for i in range(9) if rng.random() < 0.4}
+    failing = {i: rng.choice(list(How)[:6]) for i in range(9) if rng.random() < 0.4}
     model = Model(products, apart, slots, 6)
     terms = dict(
         slots=slots,
@@ -145,16 +149,19 @@
         settle=SETTLE,
         most_advice=2000.0,
     )
-    stand, kills = DecisionsFixture(products, entries, **terms), [5100.0, 9000.0, 13000.0] if seed % 2 else []
+    fixture, kills = (
+        DecisionsFixture(products, entries, **terms),
+        [5100.0, 9000.0, 13000.0] if seed % 2 else [],
+    )
     model.listed = {entry.endpoint: entry for entry in entries}
     ends, number, now = [], 0, 0.0
 
-    def read(actions, now):
+    def check(actions, now):
         for action in actions:
             if isinstance(action, Submit):
                 model.submit(now, action)
                 how = rng.choices(list(How), [30, 1, 3, 0, 1, 1, 1, 1])[0]
-                how = sick.get(action.endpoint, how) if 4000 < now < 12000 else how
+                how = failing.get(action.endpoint, how) if 4000 < now < 12000 else how
                 elapsed = action.timeout if how == How.TIMEOUT else rng.expovariate(1 / 200.0)
                 if elapsed >= action.timeout:
                     how, elapsed = How.TIMEOUT, action.timeout
@@ -166,9 +173,9 @@
         now += 5.0
         if now in kills:
             ends.clear()
-            stand = DecisionsFixture(products, entries, restarted=now, **terms)
-            read(stand.hand(now, list(model.killed(now))), now)
-        events = stand.woken(now)
+            fixture = DecisionsFixture(products, entries, restarted=now, **terms)
+            check(fixture.hand(now, list(model.kill(now))), now)
+        events = fixture.woken(now)
         for end in [end for end in ends if end[0] <= now]:
             ends.remove(end)
             _, action, how, elapsed = end
@@ -206,5 +213,5 @@
             entry.ready = not entry.ready
             events.append(Listed([entry]))
         if events:
-            read(stand.hand(now, events), now)
+            check(fixture.hand(now, events), now)
     assert number > 300 and all(text["ended"] for text in model.texts.values()), "a text was lost"
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The guard that every call passes: each invariant, broken on purpose, is counted and the call not made."""
+"""The check before every call: each invariant, broken on purpose, is counted and the call not made."""
 
 import errno
 import json
@@ -18,30 +18,30 @@
 COLD = 10000.0
 
 
-def guarded():
-    heard = []
-    return SendGuard(COLD, lambda invariant, what: heard.append((invariant, what))), heard
+def guard_and_reports():
+    reports = []
+    return SendGuard(COLD, lambda invariant, what: reports.append((invariant, what))), reports
 
 
 def one_call(**other):
-    house = facade()
-    house.hand_in(text("t1", **other))
-    house.tick(10.0)
-    (call,) = picked(house)
-    return house, call
+    courier_facade = facade()
+    courier_facade.hand_in(text("t1", **other))
+    courier_facade.tick(10.0)
+    (call,) = picked(courier_facade)
+    return courier_facade, call
 
 
 def test_a_call_that_keeps_all_invariants_may_be_made():
-    house, call = one_call()
-    guard, heard = guarded()
-    assert guard.may_call(call, house.endpoint_of(call), None, 10.0) and not heard
+    courier_facade, call = one_call()
+    guard, reports = guard_and_reports()
+    assert guard.may_call(call, courier_facade.endpoint_of(call), None, 10.0) and not reports
     assert guard.told() == dict.fromkeys((each.name.lower() for each in Invariant), 0)
 
 
 def test_each_broken_invariant_is_counted_and_the_call_not_made():
-    house, call = one_call()
-    endpoint = house.endpoint_of(call)
-    guard, heard = guarded()
+    courier_facade, call = one_call()
+    endpoint = courier_facade.endpoint_of(call)
+    guard, reports = guard_and_reports()
     assert not guard.may_call(call, None, None, 10.0)
     assert not guard.may_call(call, endpoint, OUTAGE, 10.0)
     endpoint.route.pause = 500.0
@@ -54,7 +54,7 @@
     guard.call_ended(call)
     guard.started(["t1"])
     guard.overran("destination 7")
-    assert [invariant for invariant, _ in heard] == [
+    assert [invariant for invariant, _ in reports] == [
         Invariant.LISTED,
         Invariant.OUTAGE_KNOWN,
         Invariant.WAIT_OVER,
@@ -67,26 +67,26 @@
     assert guard.counts[Invariant.LISTED] == 2
 
 
-def test_an_outage_that_ends_without_its_time_is_counted_and_stays_journalled():
-    guard, heard = guarded()
+def test_an_outage_that_ends_before_its_warm_up_is_counted_and_stays_journalled():
+    guard, reports = guard_and_reports()
     cold = OUTAGE | {"mode": "cold", "warm_at": 12000.0}
     well = OUTAGE | {"mode": "well"}
     assert guard.may_change("d", None, OUTAGE, 0.0) and guard.may_change("d", OUTAGE, cold, 0.0)
     assert guard.may_change("d", cold, None, 12000.0) and guard.may_change("d", OUTAGE, None, COLD)
-    assert guard.may_change("d", well, None, 0.0) and not heard
+    assert guard.may_change("d", well, None, 0.0) and not reports
     assert not guard.may_change("d", OUTAGE, None, COLD - 1.0)
     assert not guard.may_change("d", OUTAGE, well, COLD - 1.0)
     assert not guard.may_change("d", cold, well, 11999.0)
-    assert [invariant for invariant, _ in heard] == [Invariant.OUTAGE_ENDS] * 3
+    assert [invariant for invariant, _ in reports] == [Invariant.OUTAGE_ENDS] * 3
 
 
-def test_a_call_whose_time_a_slow_disk_has_taken_is_not_made_and_breaks_nothing():
-    house, call = one_call(until=20000.0)
-    guard, heard = guarded()
-    assert not guard.may_call(call, house.endpoint_of(call), None, 20000.0) and not heard
+def test_a_call_that_a_slow_disk_delays_past_its_time_is_not_made_and_breaks_no_invariant():
+    courier_facade, call = one_call(until=20000.0)
+    guard, reports = guard_and_reports()
+    assert not guard.may_call(call, courier_facade.endpoint_of(call), None, 20000.0) and not reports
 
 
-def outage_at_one(courier):
+def fail_five_calls(courier):
     """The courier's one endpoint fails five calls."""
     for number in range(5):
         assert courier.post(f"m-{number}") == b"202"
@@ -95,12 +95,12 @@
         peer.wait(b"\r\n\r\n")
         peer.say(answer(500))
     spin(courier.loop, lambda: courier.runtime.facade.state()[0]["mode"] == "out")
-    courier.loop.once(courier.loop.now())  # what was decided is in the journal
+    courier.loop.once(courier.loop.now())  # the decisions are in the journal now
 
 
 def test_a_restarted_courier_waits_where_the_last_process_met_an_outage(tmp_path):
     first = CourierFixture(tmp_path)
-    outage_at_one(first)
+    fail_five_calls(first)
     first.kill()
     second = CourierFixture(tmp_path, endpoint=first.endpoint)
     assert second.runtime.facade.state()[0]["mode"] == "out"
@@ -109,9 +109,9 @@
 
 
 def test_a_start_that_forgets_an_outage_is_counted_and_sends_nothing(tmp_path, monkeypatch):
-    """The fault of issue 43, made again: the guard sees it and no message goes out."""
+    """The start does not restore the outages in its journal: the guard reports it and nothing is sent."""
     first = CourierFixture(tmp_path)
-    outage_at_one(first)
+    fail_five_calls(first)
     first.kill()
     monkeypatch.setattr(Facade, "restore_route", lambda *_: None)
     second = CourierFixture(tmp_path, endpoint=first.endpoint)
@@ -124,14 +124,14 @@
         first.endpoint.sock.accept()
 
 
-def test_a_start_behind_the_cold_time_has_nothing_to_know():
-    """Seen by the soak (seed 13): the check took a destination that was warm by then for forgotten."""
-    house = facade(now=20000.0)
+def test_a_start_after_the_warm_up_needs_no_state():
+    """The check took a destination that had warmed up by then for a forgotten outage."""
+    courier_facade = facade(now=20000.0)
     cold = {(7, None): {"mode": "cold", "warm_at": 21000.0}}
-    assert house.unknown([], cold, 20000.0) == ["destination 7"]
-    assert house.unknown([], cold, 21000.0) == []
-    assert house.unknown([], {(7, None): OUTAGE}, 21000.0) == ["destination 7"]
-    assert house.unknown([], {(9, "s-9"): OUTAGE}, 21000.0) == ["destination 9 endpoint s-9"]
+    assert courier_facade.unknown([], cold, 20000.0) == ["destination 7"]
+    assert courier_facade.unknown([], cold, 21000.0) == []
+    assert courier_facade.unknown([], {(7, None): OUTAGE}, 21000.0) == ["destination 7"]
+    assert courier_facade.unknown([], {(9, "s-9"): OUTAGE}, 21000.0) == ["destination 9 endpoint s-9"]
 
 
 def test_operators_read_the_counts(tmp_path):
@@ -141,40 +141,40 @@
     assert told["invariants_broken"]["slow_start"] == 1
 
 
-class Refusing(System):
-    """A disk that takes half of a write, refuses the rest, and does not cut the half off either."""
+class FailingDisk(System):
+    """A disk that writes half of the data, refuses the rest, and refuses to truncate the file too."""
 
     def __init__(self):
-        self.refusing = False
+        self.failing = False
 
     def write(self, file, data):
-        if self.refusing:
+        if self.failing:
             System.write(file, data[: len(data) // 2])
             raise OSError(errno.EIO, "EIO")
         return System.write(file, data)
 
     def cut(self, file, size):
-        if self.refusing:
+        if self.failing:
             raise OSError(errno.EIO, "EIO")
         System.cut(file, size)
 
 
-def test_a_half_written_record_that_cannot_be_cut_off_hides_nothing_behind_it(tmp_path):
-    system = Refusing()
+def test_a_partial_record_that_cannot_be_truncated_hides_no_later_record(tmp_path):
+    system = FailingDisk()
     journal = Journal(str(tmp_path), 200_000, 0.0, system)
     journal.taken(text("t1"))
     journal.flush()
-    system.refusing = True
+    system.failing = True
     journal.taken(text("t2"))
     with pytest.raises(OSError):
         journal.flush()
-    system.refusing = False
+    system.failing = False
     journal.taken(text("t3"))
     journal.flush()
     assert set(Journal(str(tmp_path), 200_000, 0.0).texts) == {"t1", "t2", "t3"}
 
 
-def test_a_killed_courier_of_which_a_call_was_out_knows_of_it(tmp_path):
+def test_a_courier_killed_during_a_call_counts_it_as_a_failure(tmp_path):
     first = CourierFixture(tmp_path)
     assert first.post("m-0") == b"202"
     first.endpoint.meet().wait(b"\r\n\r\n")
@@ -187,8 +187,8 @@
 
 
 @pytest.fixture
-def house_and_clients(tmp_path, monkeypatch):
-    """A courier, and what serves its clients."""
+def courier_and_clients(tmp_path, monkeypatch):
+    """A courier, and the object that serves its clients."""
     made = []
     monkeypatch.setattr(
         "calicopin.lifecycle.start.Clients", lambda *told: made.append(Clients(*told)) or made[-1]
@@ -196,28 +196,28 @@
     return CourierFixture(tmp_path), made[0]
 
 
-def test_a_request_that_was_read_and_left_without_an_answer_is_counted(house_and_clients):
-    """Called off in the middle of a request, which nothing in the courier does."""
-    house, clients = house_and_clients
-    house.runtime.journal.flush = lambda: os.write(-1, b"")  # the request waits to be written
-    peer = client(house.loop, house.listen)
+def test_a_request_that_was_read_but_not_answered_is_counted(courier_and_clients):
+    """The request's coroutine is cancelled, which the courier never does itself."""
+    courier, clients = courier_and_clients
+    courier.runtime.journal.flush = lambda: os.write(-1, b"")  # the request waits for its journal record
+    peer = client(courier.loop, courier.listen)
     peer.say(
         b"POST /notice?n=1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\nX-Timeout: 9\r\n"
         b"X-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n"
     )
-    spin(house.loop, lambda: house.runtime.waiting)
+    spin(courier.loop, lambda: courier.runtime.waiting)
     (visit,) = clients.visits
-    house.loop.cancel(clients.visits[visit])
-    assert house.runtime.guard.counts[Invariant.ANSWERED] == 1
-    spin(house.loop, lambda: peer.hear() == b"" and peer.ended)
+    courier.loop.cancel(clients.visits[visit])
+    assert courier.runtime.guard.counts[Invariant.ANSWERED] == 1
+    spin(courier.loop, lambda: peer.hear() == b"" and peer.ended)
 
 
-def test_an_answered_request_and_a_client_that_left_are_not_counted(house_and_clients):
-    house, clients = house_and_clients
-    assert house.post("a") == b"202" and house.post("b", dest=99) == b"404"
-    peer = client(house.loop, house.listen)
+def test_an_answered_request_and_a_client_that_left_are_not_counted(courier_and_clients):
+    courier, clients = courier_and_clients
+    assert courier.post("a") == b"202" and courier.post("b", dest=99) == b"404"
+    peer = client(courier.loop, courier.listen)
     peer.say(b"POST /notice/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
-    spin(house.loop, lambda: any(visit.asked == "POST /notice/k" for visit in clients.visits))
+    spin(courier.loop, lambda: any(visit.asked == "POST /notice/k" for visit in clients.visits))
     peer.sock.close()
-    spin(house.loop, lambda: not any(visit.asked == "POST /notice/k" for visit in clients.visits))
-    assert house.runtime.guard.counts[Invariant.ANSWERED] == 0
+    spin(courier.loop, lambda: not any(visit.asked == "POST /notice/k" for visit in clients.visits))
+    assert courier.runtime.guard.counts[Invariant.ANSWERED] == 0
