--- a/calicopin/departures.py
+++ b/calicopin/departures.py
@@ -1,5 +1,5 @@
-"""Which endpoints have left the list, and when. A change of the list costs by the endpoints that it names,
-not by those that are known.
+"""Which endpoints have left the list, and when. The cost of a change of the list depends on the endpoints
+that it names, not on those that are known.
 
 It decides nothing and has no I/O. Times are float milliseconds.
 """
@@ -11,15 +11,15 @@
     """Known endpoints that are not listed, ordered by `last_listed_at`, the time of the last change of the
     list at which they still were.
 
-    The `last_listed_at` of a listed endpoint is not updated with each change: `last_news_at`, the time of the
-    last one, stands for all of them.
+    The `last_listed_at` of a listed endpoint is not updated with each change: `last_change_at`, the time of
+    the last one, stands for all of them.
     """
 
     def __init__(self):
-        self.unlisted, self.last_news_at = {}, -1e12
+        self.unlisted, self.last_change_at = {}, -1e12
 
     def update(self, endpoints, now):
-        """A change of the list named these endpoints, each once; their destinations hold which are listed
+        """A change of the list named these endpoints, each once; their destinations know which are listed
         now.
         """
         newly_left = []
@@ -27,10 +27,10 @@
             if endpoint.ident in endpoint.dest.endpoints:
                 self.unlisted.pop(endpoint.ident, None)
             elif endpoint.ident not in self.unlisted:
-                endpoint.last_listed_at = max(endpoint.last_listed_at, self.last_news_at)
+                endpoint.last_listed_at = max(endpoint.last_listed_at, self.last_change_at)
                 newly_left.append(endpoint)
         self.append(newly_left)
-        self.last_news_at = now
+        self.last_change_at = now
 
     def append(self, endpoints):
         """Adds endpoints that are not listed; none may have left earlier than those already present."""
@@ -55,5 +55,5 @@
         return (
             endpoint.last_listed_at
             if endpoint.ident in self.unlisted
-            else max(endpoint.last_listed_at, self.last_news_at)
+            else max(endpoint.last_listed_at, self.last_change_at)
         )
--- a/calicopin/route.py
+++ b/calicopin/route.py
@@ -21,6 +21,7 @@
     go, `usual` the usual latency.
     """
 
+    # INCREASE_STEP is a share of the initial rate, MIN_LIMIT a rate.
     BURST_MS, COOLDOWN_MS, CUT_FACTOR, INCREASE_STEP, MIN_LIMIT, IDLE = (
         300.0,
         4000.0,
@@ -42,7 +43,7 @@
             scheduler.now,
             known_since or scheduler.now,
         )
-        self.first_attempt_times = deque()  # of `call_times`, those of no repeats: the traffic
+        self.first_attempt_times = deque()  # without repeats, which are no traffic
         self.usual = self.usual_rate = self.longest_timeout = 0.0
         self.fastest_answer = float("inf")  # ms
         self.kept = False  # whether the state stored for the next process restricts anything
@@ -74,7 +75,7 @@
     def note_limit(self, limit, left, texts):
         """An answer to a call of `texts` texts reported the limit and the share of it (0 to 1) left."""
         self.refill()
-        # a rise counts less for each text of a call, since all senders see it and speed up together
+        # on a rise, each further text of a call counts as 1/senders, since all senders speed up together
         old_weight = 0.5**texts if left < self.limit_left else 0.9 ** (1.0 + (texts - 1.0) / self.senders)
         self.limit, self.limit_left = (
             limit or None,
@@ -161,8 +162,8 @@
         self.scheduler.log(f"{self.name} paced at {rate * 1000:.2f}/s, {why}")
 
     def refused(self, call):
-        """A call was refused: starts pacing or cuts the rate. Refusals of calls that were sent before the
-        last cut do not cut it again.
+        """A call was refused: starts pacing or cuts the rate, at most once per cooldown and not for calls
+        sent before the last cut.
         """
         now = self.scheduler.now
         self.refill()
@@ -193,9 +194,8 @@
     def delivered(self, elapsed):
         """A call was delivered, `elapsed` ms after it was sent."""
         now, self.fastest_answer = self.scheduler.now, min(self.fastest_answer, elapsed)
-        least = (
-            elapsed / 4.0 if elapsed > 8.0 * self.usual else 0.0
-        )  # earlier ones timed out: let the next ones arrive
+        # slower answers timed out before: a higher usual latency lets the next ones arrive
+        least = elapsed / 4.0 if elapsed > 8.0 * self.usual else 0.0
         self.usual = max(least, self.usual + 0.1 * (elapsed - self.usual)) if self.usual else elapsed
         if self.rate is None and self.limit:
             self.start_pacing(
--- a/calicopin/send_guard.py
+++ b/calicopin/send_guard.py
@@ -13,7 +13,7 @@
 
 
 class Invariant(StrEnum):
-    """What holds for every call and every process; the value says it for the log."""
+    """What holds for every call and every process; the value is the sentence for the log."""
 
     LISTED = "a call goes to an endpoint that is listed and ready"
     WAIT_OVER = "no call goes before a requested wait is over"
@@ -27,19 +27,19 @@
 
 
 class SendGuard:
-    """Counts broken invariants and reports each to `broken` with a plain sentence. `cold` is the time (ms)
+    """Counts broken invariants and passes each to `report` with a plain sentence. `cold` is the time (ms)
     that a destination takes to warm up: for so long after the last failure an outage restricts calls,
     whatever the decisions say.
     """
 
-    def __init__(self, cold: float, broken):
+    def __init__(self, cold: float, report):
         self.counts: Counter[Invariant] = Counter()
-        self.cold, self.broken = cold, broken
+        self.cold, self.report = cold, report
 
     def _check(self, holds: bool, invariant: Invariant, what: str) -> bool:
         if not holds:
             self.counts[invariant] += 1
-            self.broken(invariant, what)
+            self.report(invariant, what)
         return holds
 
     def may_call(self, call, endpoint, kept: dict | None, now: float) -> bool:
--- a/calicopin/slow_start.py
+++ b/calicopin/slow_start.py
@@ -161,7 +161,8 @@
         return reason
 
     def detect_lasting_outage(self, now: float) -> str | None:
-        """Whether failures have become an outage since the last of them: why the mode changed, or None.
+        """Detects failures that have become an outage since the last of them came. Returns why the mode
+        changed, or None.
 
         Without this check, a delivery after such failures ended them as chance losses, and all waiting texts
         went at once to a cold destination.
@@ -182,7 +183,7 @@
         self.last_failure_at = now
 
     def starts_suspecting(self, now: float) -> bool:
-        """Whether failures have begun to look like an outage since the last maintenance."""
+        """Notes failures that have begun to look like an outage; returns whether there are new ones."""
         if (
             self.mode != WELL
             or not self.suspects_outage(now)
@@ -193,7 +194,7 @@
         return True
 
     def finish_warmup(self, now: float) -> bool:
-        """Whether the warm-up of a cold destination ends now; sets the mode to well if so."""
+        """Ends the warm-up of a cold destination once its time has passed; returns whether it did."""
         if self.mode != COLD or now < self.warm_at:
             return False
         self.mode, self.since, self.fails, self.suspected_since = WELL, now, 0, None
@@ -208,7 +209,7 @@
     def restore_clock(self, now: float, continuous: bool) -> None:
         """Adjusts the times after a restart: none may lie in the future but the end of the warm-up. Where the
         monotonic clock began anew (not `continuous`), the time that has passed is unknown and counts as
-        none.
+        zero.
         """
         if not continuous:
             self.since = self.first_failure_at = self.last_failure_at = now
