--- a/calicopin/departures.py
+++ b/calicopin/departures.py
@@ -1,5 +1,5 @@
-"""Which endpoints have left the list, and when: a change of the list costs by what it names, not by what is
-known.
+"""Which endpoints have left the list, and when. The cost of a change of the list depends on the endpoints
+that it names, not on those that are known.
 
 It decides nothing and has no I/O. Times are float milliseconds.
 """
@@ -8,47 +8,52 @@
 
 
 class Departures:
-    """Endpoints that are known and not listed, ordered by `seen`, the time of the last news at which they
-    still were.
+    """Known endpoints that are not listed, ordered by `last_listed_at`, the time of the last change of the
+    list at which they still were.
 
-    `seen` of an endpoint that is listed is not kept up with each piece of news: `listed_at`, the time of the
-    last one,
-    stands for all of them.
+    The `last_listed_at` of a listed endpoint is not updated with each change: `last_change_at`, the time of
+    the last one, stands for all of them.
     """
 
     def __init__(self):
-        self.left, self.listed_at = {}, -1e12
+        self.unlisted, self.last_change_at = {}, -1e12
 
-    def note(self, endpoints, now):
-        """News that named these endpoints, each once: their destinations say which of them are listed now."""
+    def update(self, endpoints, now):
+        """A change of the list named these endpoints, each once; their destinations know which are listed
+        now.
+        """
         newly_left = []
         for endpoint in endpoints:
             if endpoint.ident in endpoint.dest.endpoints:
-                self.left.pop(endpoint.ident, None)
-            elif endpoint.ident not in self.left:
-                endpoint.seen = max(endpoint.seen, self.listed_at)
+                self.unlisted.pop(endpoint.ident, None)
+            elif endpoint.ident not in self.unlisted:
+                endpoint.last_listed_at = max(endpoint.last_listed_at, self.last_change_at)
                 newly_left.append(endpoint)
         self.append(newly_left)
-        self.listed_at = now
+        self.last_change_at = now
 
     def append(self, endpoints):
-        """More that are not listed; none of them may be dated before those that stand here already."""
-        for endpoint in sorted(endpoints, key=lambda endpoint: endpoint.seen):
-            self.left[endpoint.ident] = endpoint
+        """Adds endpoints that are not listed; none may have left earlier than those already present."""
+        for endpoint in sorted(endpoints, key=lambda endpoint: endpoint.last_listed_at):
+            self.unlisted[endpoint.ident] = endpoint
 
     def overdue(self, now, span):
-        """Those that were last listed longer ago than that, the longest first; no other one is looked at."""
-        return list(takewhile(lambda endpoint: now - endpoint.seen > span, self.left.values()))
+        """Those last listed more than `span` ms ago, the earliest first. Others are not looked at."""
+        return list(takewhile(lambda endpoint: now - endpoint.last_listed_at > span, self.unlisted.values()))
 
-    def keep(self, endpoint, now):
-        """Dates one anew, as if it had been listed now."""
-        endpoint.seen = now
-        self.left[endpoint.ident] = self.left.pop(endpoint.ident)
+    def renew(self, endpoint, now):
+        """Dates an endpoint as if it had been listed now."""
+        endpoint.last_listed_at = now
+        self.unlisted[endpoint.ident] = self.unlisted.pop(endpoint.ident)
 
     def forget(self, endpoint):
-        """The endpoint is known no more."""
-        del self.left[endpoint.ident]
+        """Removes an endpoint."""
+        del self.unlisted[endpoint.ident]
 
     def last_listed(self, endpoint):
-        """The time of the last news at which it was listed."""
-        return endpoint.seen if endpoint.ident in self.left else max(endpoint.seen, self.listed_at)
+        """The time (ms) of the last change of the list at which the endpoint was listed."""
+        return (
+            endpoint.last_listed_at
+            if endpoint.ident in self.unlisted
+            else max(endpoint.last_listed_at, self.last_change_at)
+        )
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -1,6 +1,8 @@
-"""What the decisions know, as plain values and back: exactly as it was, so that two processes never add up
-to more than one courier. No I/O, and nothing here decides anything. Times are milliseconds of the
-machine's monotonic clock, which both share.
+"""The state of the decisions as plain values, and back, for a handover to another process.
+
+It is restored exactly, so that two processes together never send more than one courier may. No I/O, and
+nothing here decides anything. Times are milliseconds of the machine's monotonic clock, which both processes
+share.
 """
 
 from dataclasses import asdict
@@ -8,19 +10,21 @@
 from calicopin import decisions, route_state
 from calicopin.facade import Call, Place
 from calicopin.interface import Taken
-from calicopin.route_state import picked, put
+from calicopin.route_state import read_fields, write_fields
 from calicopin.state.texts import Text
 
-FORM = 1  # of these values; another is not taken
-DESTINATION = ("most", "bundle", "came", "load")
-CALL = ("timeout", "told", "waited")
+FORM = 1  # version of the written state; any other is refused
+# Fields on the wire between two builds, with the attribute that holds each.
+DESTINATION = {"most": "max_bundle", "bundle": "bundle_size", "came": "arrivals", "load": "arrival_rate"}
+CALL = {"timeout": "timeout", "told": "told", "waited": "waited"}
+ENDPOINT = {"misses": "misses", "seen": "last_listed_at", "shy": "retry_at"}
 
 
-# Giving.
+# Writing.
 
 
 def written(facade, calls):
-    """All that the decisions behind `facade` know, with the calls that are out; JSON holds it."""
+    """The state of the decisions behind `facade`, with the calls in flight, in values that JSON can hold."""
     module, endpoints, texts = facade.module, facade.endpoints.ident, {}
     registry = module.registry
     held = {text.number: text for text in facade.texts.values()}
@@ -29,8 +33,8 @@
     for number, text in held.items():
         known = registry.texts.get(number)
         if known is not None:
-            texts[text.ident] = dict(taken=known.taken, over=known.over)
-    ghosts = [
+            texts[text.ident] = dict(taken=known.accepted_at, over=known.over)
+    ended = [
         asdict(text) | {"body": ""}
         for call in calls
         for text in call.texts
@@ -39,28 +43,28 @@
     dests = []
     for ident, number in facade.dests.index.items():
         dest = module.dests.get(number)
-        told = dict(ident=ident)
+        state = dict(ident=ident)
         if dest is not None:
-            told |= picked(dest, DESTINATION) | dict(
+            state |= read_fields(dest, DESTINATION) | dict(
                 routes=[
                     route_state.values(route)
                     | dict(
                         endpoint=None if place is None else endpoints.get(place),
-                        sends=list(route.sends),
-                        firsts=list(route.firsts),
+                        sends=list(route.call_times),
+                        firsts=list(route.first_attempt_times),
                     )
                     for place, route in dest.routes.items()
                 ]
             )
-        dests.append(told)
+        dests.append(state)
     known = [
         dict(
             ident=endpoints[number],
             dest=facade.dests.ident[endpoint.dest.ident],
             zone=facade.zones.ident.get(endpoint.zone, ""),
             misses=endpoint.misses,
-            missed=[endpoint.missed[product] for product in module.products],
-            shy=endpoint.shy,
+            missed=[endpoint.failures_by_product[product] for product in module.products],
+            shy=endpoint.retry_at,
             kind=module.kinds.index(endpoint.kind),
             seen=module.departures.last_listed(endpoint),
             apart=endpoint.route is not endpoint.dest.routes.get(None),
@@ -75,18 +79,18 @@
         dests=dests,
         endpoints=known,
         texts=texts,
-        ghosts=ghosts,
-        crowded=[kind.crowded for kind in module.kinds],
-        reaped=[[kind.reaped, kind.trust] for kind in module.kinds],
-        calm=registry.calm,
-        rests=[[key, until, named.get(id(text))] for key, (until, text) in registry.rests.items()],
-        calls=[out(facade, call) for call in calls],
+        ghosts=ended,
+        crowded=[kind.last_unreached_at for kind in module.kinds],
+        reaped=[[kind.last_stale_at, kind.idle_limit] for kind in module.kinds],
+        calm=registry.settled_at,
+        rests=[[key, until, named.get(id(text))] for key, (until, text) in registry.settling.items()],
+        calls=[call_state(facade, call) for call in calls],
         due=[],
-    )  # due: an older version of the same form reads it
+    )  # `due`: an older version of the same form reads it
 
 
-def out(facade, call):
-    """One call that is out."""
+def call_state(facade, call):
+    """One call in flight."""
     module = facade.module
     known = next(
         (
@@ -96,93 +100,96 @@
         ),
         None,
     )
-    patient = known is not None and known.endpoint.route.patient is known
-    return picked(call, CALL) | dict(
+    patient = known is not None and known.endpoint.route.patient_call is known
+    return read_fields(call, CALL) | dict(
         place=asdict(call.place),
         texts=[text.ident for text in call.texts],
         open=[text.ident for text in call.texts if text.number in call.open],
         cut=call.timeout,
-        sent=known.sent if known else 0.0,
+        sent=known.sent_at if known else 0.0,
         size=known.size if known else len(call.texts),
-        mode=known.told if known else None,
+        mode=known.last_outcome if known else None,
         patient=patient,
     )
 
 
-# Taking.
-
+# Reading.
 
-def read(facade, told, texts, now):
-    """Puts it into a new facade.
 
-    `texts` are those that its journal holds, in the order in which they were taken on. Returns the calls that
-    are out.
+def read(facade, state, texts, now):
+    """Restores the state into a new facade; `texts` are those in its journal, in the order in which they were
+    accepted. Returns the calls in flight.
     """
     module, scheduler = facade.module, facade.module.scheduler
-    for one in told["dests"]:
+    for one in state["dests"]:
         facade.dests(one["ident"])
-    facade.listed([Place(**place) for place in told["places"]], True)
+    facade.listed([Place(**place) for place in state["places"]], True)
     facade.tick(now)
-    module.registry.calm = told["calm"]
-    for one in told["dests"]:
-        destination(facade, one)
-    for one in told["endpoints"]:
-        endpoint(facade, one)
-    # an older version of the same form lacks these two
-    for kind, crowded in zip(module.kinds, told.get("crowded", []), strict=False):
-        kind.crowded = crowded
-    for kind, (reaped, trust) in zip(module.kinds, told.get("reaped", []), strict=False):
-        kind.reaped, kind.trust = reaped, trust
+    module.registry.settled_at = state["calm"]
+    for one in state["dests"]:
+        restore_destination(facade, one)
+    for one in state["endpoints"]:
+        restore_endpoint(facade, one)
+    # an older version of the same form does not send these two
+    for kind, crowded in zip(module.kinds, state.get("crowded", []), strict=False):
+        kind.last_unreached_at = crowded
+    for kind, (reaped, trust) in zip(module.kinds, state.get("reaped", []), strict=False):
+        kind.last_stale_at, kind.idle_limit = reaped, trust
     by_ident = {}
-    for text in [*texts, *(Text(**ghost | {"body": b""}) for ghost in told["ghosts"])]:
+    for text in [*texts, *(Text(**values | {"body": b""}) for values in state["ghosts"])]:
         text.number, facade.next_number = facade.next_number, facade.next_number + 1
         by_ident[text.ident] = text
-    ghosts = {ghost["ident"] for ghost in told["ghosts"]}
-    flying = {ident for call in told["calls"] for ident in call["open"]}
-    order = sorted(by_ident.values(), key=lambda text: told["texts"].get(text.ident, {}).get("taken", now))
+    ended = {values["ident"] for values in state["ghosts"]}
+    in_flight = {ident for call in state["calls"] for ident in call["open"]}
+    order = sorted(by_ident.values(), key=lambda text: state["texts"].get(text.ident, {}).get("taken", now))
     for text in order:
-        if text.ident in ghosts and text.ident not in flying:
-            continue  # it has ended; only its call is still known
-        if text.ident not in ghosts:
+        if text.ident in ended and text.ident not in in_flight:
+            continue  # it has ended; only its call still names it
+        if text.ident not in ended:
             facade.texts[text.number] = text
-        enter(
-            facade, text, told["texts"].get(text.ident, {}), text.ident in flying, text.ident in ghosts, now
+        restore_text(
+            facade,
+            text,
+            state["texts"].get(text.ident, {}),
+            text.ident in in_flight,
+            text.ident in ended,
+            now,
         )
     known = module.registry.texts
-    for key, until, ident in told["rests"]:
+    for key, until, ident in state["rests"]:
         text = by_ident.get(ident)
-        module.registry.rests[key] = (until, known.get(text.number) if text else object())
-        scheduler.later(until, module.registry, "rested", key)
-    calls = [under_way(facade, one, by_ident) for one in told["calls"]]
+        module.registry.settling[key] = (until, known.get(text.number) if text else object())
+        scheduler.later(until, module.registry, "key_settled", key)
+    calls = [restore_call(facade, one, by_ident) for one in state["calls"]]
     module.departures.append(
         endpoint for endpoint in module.endpoints.values() if endpoint.ident not in endpoint.dest.endpoints
     )
-    facade.listed([], False)  # no news: the first turn empties the inboxes
+    facade.listed([], False)  # an empty change of the list, so that the next batch delivers all messages
     for dest in module.dests.values():
         if not dest.idle() and dest not in module.live:
             module.live[dest] = None
-            scheduler.post(dest, "round", module.rounds)
+            scheduler.post(dest, "maintain", module.maintenance_runs)
     return calls
 
 
-def destination(facade, one):
-    """Puts what was told of a destination and its routes into the decisions."""
+def restore_destination(facade, one):
+    """Restores a destination and its routes."""
     dest = facade.module.dest(facade.dests(one["ident"]))
-    put(dest, DESTINATION, one)
-    for told in one.get("routes", ()):
-        if told["endpoint"] is not None and told["endpoint"] not in facade.endpoints.index:
-            continue  # it has left, and its route with it
+    write_fields(dest, DESTINATION, one)
+    for state in one.get("routes", ()):
+        if state["endpoint"] is not None and state["endpoint"] not in facade.endpoints.index:
+            continue  # it has left the list, and its route with it
         route = facade.module.route(
-            dest, None if told["endpoint"] is None else facade.endpoints(told["endpoint"])
+            dest, None if state["endpoint"] is None else facade.endpoints(state["endpoint"])
         )
-        route_state.put_values(route, told)
-        route.changed_state()
-        route.sends.extend(told["sends"])
-        route.firsts.extend(told.get("firsts", told["sends"]))  # an older version tells none
+        route_state.set_values(route, state)
+        route.mark_changed()
+        route.call_times.extend(state["sends"])
+        route.first_attempt_times.extend(state.get("firsts", state["sends"]))  # an older version sends none
 
 
-def endpoint(facade, one):
-    """Health is kept also of one that is not listed just now and may soon be back."""
+def restore_endpoint(facade, one):
+    """Restores an endpoint, also one that is not listed now: it may come back."""
     module, number = facade.module, facade.endpoints(one["ident"])
     if number not in module.endpoints:
         dest = module.dest(facade.dests(one["dest"]))
@@ -191,13 +198,13 @@
         module.endpoints[number] = decisions.Endpoint(
             module.scheduler, number, facade.zones(one["zone"]), dest, route, kind
         )
-    put(module.endpoints[number], ("misses", "seen", "shy"), one)
+    write_fields(module.endpoints[number], ENDPOINT, one)
     missed = zip(module.products, one.get("missed", []), strict=False)
-    module.endpoints[number].missed.update(missed)
+    module.endpoints[number].failures_by_product.update(missed)
 
 
-def enter(facade, text, told, flying, ghost, now):
-    """One text, in its line or out."""
+def restore_text(facade, text, state, in_flight, ended, now):
+    """Restores a text: queued, in flight, or (`ended`) known only for the sake of its call."""
     module, dest = facade.module, facade.module.dest(facade.dests(text.dest))
     zone = None if text.ran_zone is None else facade.zones(text.ran_zone)
     event = Taken(
@@ -210,35 +217,35 @@
         ran_at=text.ran_at,
         ran_zone=zone,
     )
-    known = decisions.Text(event, dest, module.products[text.product], told.get("taken", now))
-    known.over = ghost or told.get("over", False)
+    known = decisions.Text(event, dest, module.products[text.product], state.get("taken", now))
+    known.over = ended or state.get("over", False)
     module.registry.texts[text.number] = known
     if known.key is not None:
         module.registry.keys.setdefault(known.key, decisions.deque()).append(known)
-    if not flying:
+    if not in_flight:
         dest.queue.append(known)
         module.scheduler.later(
             min(known.until - 2 * module.settings.tick, known.last_submit()), module.registry, "lapse", known
         )
 
 
-def under_way(facade, one, by_ident):
-    """One call that is out, for the decisions and for whoever hears its answer."""
+def restore_call(facade, one, by_ident):
+    """Restores a call in flight: for the decisions, and for the code that reads its answer."""
     module, place = facade.module, Place(**one["place"])
     number = facade.endpoints(place.ident)
     if number not in module.endpoints:
-        endpoint(facade, dict(ident=place.ident, dest=place.dest, zone=place.zone, apart=False))
+        restore_endpoint(facade, dict(ident=place.ident, dest=place.dest, zone=place.zone, apart=False))
     target = module.endpoints[number]
     texts = [by_ident[ident] for ident in one["texts"]]
     call = Call(place, texts, one["timeout"], number, open={by_ident[ident].number for ident in one["open"]})
-    put(call, CALL, one)
+    write_fields(call, CALL, one)
     if call.open:
         known = decisions.Call(target, one["sent"], len(call.open))
-        known.size, known.told = one["size"], one["mode"]
+        known.size, known.last_outcome = one["size"], one["mode"]
         target.calls.append(known)
         module.pool.free, target.dest.held = module.pool.free - 1, target.dest.held + 1
         if one["patient"]:
-            target.route.patient = known
+            target.route.patient_call = known
         for text in call.open:
             module.registry.texts[text].call = known
     return call
--- a/calicopin/route.py
+++ b/calicopin/route.py
@@ -1,220 +1,273 @@
-"""The token bucket that paces the calls to one destination. Decisions only, no I/O.
+"""The token bucket that limits the rate of calls to one destination. Decisions only, no I/O.
 
-Source: the guide of an adaptive rate limiter; `docs/design.md` says what is kept of it and what is not.
-Times are float milliseconds, rates calls a millisecond.
+It follows an adaptive rate limiter; `docs/design.md` describes the differences. Times are float milliseconds,
+rates calls per millisecond.
 """
 
 from collections import deque
 
 from calicopin.slow_start import WELL, SlowStart
 
-SECOND = 1000.0  # what limits count over
+SECOND_MS = 1000.0  # the period that rate limits refer to
 
 
 class Route:
-    """Bucket and health of one destination, or of one endpoint where routes are apart. `key` is the number of
-    the destination, and of the endpoint or None; `born` is since when its calls are known."""
+    """The token bucket and the health of one destination, or of one endpoint with a route of its own.
 
-    BURST, COOLDOWN, CUT, STEP, FLOOR, IDLE = 300.0, 4000.0, 0.7, 0.1, 0.001, 60000.0
-    FEW, LONG = 4, 20000.0
+    `key` is the number of the destination, and that of the endpoint or None. `known_since` is the time (ms)
+    since which its calls are known. `limit` is the limit that answers report, `limit_left` the share of it
+    that is left, and `listed_limit` the limit that the list of endpoints gives. `demand_waited` says that a
+    text has waited for the bucket since the rate last changed. `pause` is the time until which no call may
+    go, `usual` the usual latency.
+    """
 
-    def __init__(self, scheduler, name, senders, fail_back, key=(None, None), born=None):
+    # INCREASE_STEP is a share of the initial rate, MIN_LIMIT a rate.
+    BURST_MS, COOLDOWN_MS, CUT_FACTOR, INCREASE_STEP, MIN_LIMIT, IDLE = (
+        300.0,
+        4000.0,
+        0.7,
+        0.1,
+        0.001,
+        60000.0,
+    )
+    MIN_COUNTED_CALLS, MAX_WINDOW_MS = 4, 20000.0
+
+    def __init__(self, scheduler, name, senders, fail_back, key=(None, None), known_since=None):
         self.scheduler, self.name, self.senders, self.key = scheduler, name, senders, key
         self.slow_start = SlowStart(fail_back, senders)
-        self.rate = self.start = self.agreed = self.limit = None
-        self.tokens, self.filled, self.pause, self.patient = 1.0, scheduler.now, 0.0, None
-        self.cut_at, self.changed, self.waited, self.left = -1e12, -1e12, False, 0.5
-        self.sends, self.sent_at, self.born = deque(), scheduler.now, born or scheduler.now
-        self.firsts = deque()  # those of `sends` that were no repeats: what the traffic is
-        self.usual = self.flow = self.cut_off = 0.0
-        self.fastest = float("inf")  # the quickest delivery
-        self.kept = False  # whether what is kept for the next process says anything of it
+        self.rate = self.initial_rate = self.listed_limit = self.limit = None
+        self.tokens, self.refilled_at, self.pause, self.patient_call = 1.0, scheduler.now, 0.0, None
+        self.cut_at, self.changed_at, self.demand_waited, self.limit_left = -1e12, -1e12, False, 0.5
+        self.call_times, self.last_call_at, self.known_since = (
+            deque(),
+            scheduler.now,
+            known_since or scheduler.now,
+        )
+        self.first_attempt_times = deque()  # without repeats, which are no traffic
+        self.usual = self.usual_rate = self.longest_timeout = 0.0
+        self.fastest_answer = float("inf")  # ms
+        self.kept = False  # whether the state stored for the next process restricts anything
 
     @property
     def mode(self):
-        """Well, out or cold, as slow start has it."""
+        """The mode of its slow start: well, out or cold."""
         return self.slow_start.mode
 
-    def share(self):
-        """Calls a millisecond that this sender may count on when the destination is warm."""
-        return (self.limit or self.agreed or self.flow * self.senders) / self.senders
+    def fair_share(self):
+        """The rate of calls that this sender may count on while the destination is well."""
+        return (self.limit or self.listed_limit or self.usual_rate * self.senders) / self.senders
 
     def pace_now(self):
-        """The rate, as far as room is told. With nothing left it is a cut under the even share: only so a
-        limit opens that refused calls use up. What it holds over that share counts in full from half of the
-        limit left, and above half idle senders' shares come on top."""
-        if self.rate is None or not (self.limit or self.agreed):
+        """The rate of the bucket, adapted to what is left of the limit; None where nothing paces it.
+
+        With nothing left, the rate is cut below the even share of all senders: at the even share, refused
+        calls would use up the limit for good. What the rate has above the even share counts in full from half
+        of the limit left on. Above half, the shares of idle senders come on top.
+        """
+        if self.rate is None or not (self.limit or self.listed_limit):
             return self.rate
-        share = self.share()
-        over = self.CUT * (max(1.0, self.rate / share) / self.CUT) ** min(1.0, 2.0 * self.left)
-        return share * over * self.senders ** max(0.0, 2.0 * self.left - 1.0)
-
-    def hint(self, limit, left, texts):
-        """An answer told the limit and the share of it that is left, in a call of so many texts."""
-        self.fill()
-        kept = 0.5**texts if left < self.left else 0.9 ** (1.0 + (texts - 1.0) / self.senders)  # all rise
-        self.limit, self.left = limit or None, self.left + (limit and (1.0 - kept) * (left - self.left))
-
-    def recent(self):
-        """Own calls a millisecond, over a cooldown or the time lived, if that is shorter."""
-        span = self.window()
-        return self.sent_within(span) / min(span, max(SECOND, self.scheduler.now - self.born))
-
-    def window(self):
-        """What own calls are counted over: a cooldown; where no limit is told nor listed, the last few if
-        that is longer: 200 senders that each count one call in a cooldown use a limit up for good."""
-        if self.limit or self.agreed:
-            return self.COOLDOWN
-        few = self.scheduler.now - self.sends[0] if len(self.sends) >= self.FEW else self.LONG
-        return max(self.COOLDOWN, few)
-
-    def sent_within(self, span):
-        """How many calls went out in the last so many milliseconds. Repeats do not count: a message that
-        fails over and over is no traffic, and a pace made of it, or a share, is many times too large.
+        share = self.fair_share()
+        factor = self.CUT_FACTOR * (max(1.0, self.rate / share) / self.CUT_FACTOR) ** min(
+            1.0, 2.0 * self.limit_left
+        )
+        return share * factor * self.senders ** max(0.0, 2.0 * self.limit_left - 1.0)
+
+    def note_limit(self, limit, left, texts):
+        """An answer to a call of `texts` texts reported the limit and the share of it (0 to 1) left."""
+        self.refill()
+        # on a rise, each further text of a call counts as 1/senders, since all senders speed up together
+        old_weight = 0.5**texts if left < self.limit_left else 0.9 ** (1.0 + (texts - 1.0) / self.senders)
+        self.limit, self.limit_left = (
+            limit or None,
+            self.limit_left + (limit and (1.0 - old_weight) * (left - self.limit_left)),
+        )
+
+    def recent_rate(self):
+        """The rate of this sender's calls, over the counting window or all known time if that is shorter."""
+        span = self.counting_window()
+        return self.count_sent_within(span) / min(span, max(SECOND_MS, self.scheduler.now - self.known_since))
+
+    def counting_window(self):
+        """The time (ms) over which this sender counts its own calls.
+
+        Without a known limit it covers at least the last few calls: if each of 200 senders counted one call
+        within the cooldown, their rates would use up the limit for good.
+        """
+        if self.limit or self.listed_limit:
+            return self.COOLDOWN_MS
+        span = (
+            self.scheduler.now - self.call_times[0]
+            if len(self.call_times) >= self.MIN_COUNTED_CALLS
+            else self.MAX_WINDOW_MS
+        )
+        return max(self.COOLDOWN_MS, span)
+
+    def count_sent_within(self, span):
+        """How many calls were sent in the last `span` ms. Repeats do not count: a rate or share derived from
+        a message that fails over and over would be many times too high.
         """
-        return sum(at > self.scheduler.now - span - 1e-6 for at in self.firsts)
+        return sum(at > self.scheduler.now - span - 1e-6 for at in self.first_attempt_times)
 
     def speed(self):
-        """The bucket's rate, as far as slow start allows it."""
-        return self.slow_start.limited(self.scheduler.now, self.pace_now(), self.share())
-
-    def fill(self):
-        """Fills the bucket up to now; the rate at which it did, None where nothing paces it."""
-        now, speed = self.scheduler.now, self.speed()
-        if speed is not None:
-            most = max(1.0, speed * max(self.BURST, self.scheduler.late)) if self.mode == WELL else 1.0
-            self.tokens = min(most, self.tokens + max(0.0, now - max(self.filled, self.pause)) * speed)
-        self.filled = now
-        return speed
+        """The rate of the bucket within what slow start allows; None where nothing limits it."""
+        return self.slow_start.limited_rate(self.scheduler.now, self.pace_now(), self.fair_share())
+
+    def refill(self):
+        """Refills the bucket up to now. Returns the rate at which it did, or None where nothing limits it."""
+        now, rate = self.scheduler.now, self.speed()
+        if rate is not None:
+            capacity = max(1.0, rate * max(self.BURST_MS, self.scheduler.late)) if self.mode == WELL else 1.0
+            self.tokens = min(
+                capacity, self.tokens + max(0.0, now - max(self.refilled_at, self.pause)) * rate
+            )
+        self.refilled_at = now
+        return rate
 
     def opens(self):
-        """When the next call may go."""
-        speed, start = self.fill(), max(self.scheduler.now, self.pause)
-        return start if speed is None or self.tokens >= 1.0 - 1e-9 else start + (1.0 - self.tokens) / speed
+        """The time (ms) at which the next call may go."""
+        rate, start = self.refill(), max(self.scheduler.now, self.pause)
+        return start if rate is None or self.tokens >= 1.0 - 1e-9 else start + (1.0 - self.tokens) / rate
 
-    def spend(self, first=True):
-        """A call goes out: the one place through which all do, repeats and those of a restart too. `first`:
-        it is no repeat.
-        """
-        now, speed = self.scheduler.now, self.speed()
-        if not self.slow_start.note_sent(now, speed):
+    def take_token(self, first=True):
+        """Counts a call. Every call passes here, repeats and restored texts too; `first`: it is no repeat."""
+        now, rate = self.scheduler.now, self.speed()
+        if not self.slow_start.record_call(now, rate):
             self.scheduler.overran.append(self.name)
-        self.tokens -= float(speed is not None)
-        self.sends.append(now)
+        self.tokens -= float(rate is not None)
+        self.call_times.append(now)
         if first:
-            self.firsts.append(now)
-        if self.slow_start.holds(now):
-            self.changed_state()
-
-    def changed_state(self):
-        """What the next process has to know of it is not as it was. Each call of this is a record in the
-        journal: a bucket whose rate is as it was goes on from the last one."""
-        keeps = self.worth_keeping()
-        if keeps or self.kept:
+            self.first_attempt_times.append(now)
+        if self.slow_start.is_throttled(now):
+            self.mark_changed()
+
+    def mark_changed(self):
+        """The state that the next process needs has changed: it is journalled. A bucket that refills at an
+        unchanged rate needs no new record.
+        """
+        persist = self.must_persist()
+        if persist or self.kept:
             self.scheduler.touched[self] = None
-        self.kept = keeps
+        self.kept = persist
 
-    def worth_keeping(self):
-        """Whether it holds what a restart must not forget: an outage, a wait, or a pace, without which what
-        has waited for it goes at once."""
-        return self.rate is not None or self.slow_start.binds() or self.pause > self.scheduler.now
+    def must_persist(self):
+        """Whether a restart has to know the route: it has an outage, a wait or a rate limit. Without the
+        rate, all that waited for it would go at once.
+        """
+        return self.rate is not None or self.slow_start.must_persist() or self.pause > self.scheduler.now
 
-    def pace(self, rate, why):
-        """The first rate, from which the steps of its rise follow."""
-        self.rate = self.start = rate
-        self.changed_state()
+    def start_pacing(self, rate, why):
+        """Sets the first rate; later increases are steps of a fixed share of it. `why` goes to the log."""
+        self.rate = self.initial_rate = rate
+        self.mark_changed()
         self.scheduler.log(f"{self.name} paced at {rate * 1000:.2f}/s, {why}")
 
-    def full(self, call):
-        """A throttle: one wave, one cut."""
+    def refused(self, call):
+        """A call was refused: starts pacing or cuts the rate, at most once per cooldown and not for calls
+        sent before the last cut.
+        """
         now = self.scheduler.now
-        self.fill()
-        self.waited, self.changed, self.left = False, now, min(self.left, 0.5)
+        self.refill()
+        self.demand_waited, self.changed_at, self.limit_left = False, now, min(self.limit_left, 0.5)
         if self.rate is None:
-            told = self.limit or self.agreed or self.FLOOR
-            self.pace(max(told / self.senders, self.CUT * self.recent()), "refused")
+            limit = self.limit or self.listed_limit or self.MIN_LIMIT
+            self.start_pacing(max(limit / self.senders, self.CUT_FACTOR * self.recent_rate()), "refused")
             self.cut_at, self.tokens = now, 0.0
-        elif now - self.cut_at >= self.COOLDOWN and call.sent > self.cut_at:
-            before, least = self.rate, (self.limit or self.FLOOR) / self.senders
-            self.rate, self.cut_at = min(before, max(least, before * self.CUT)), now
-            self.changed_state()
+        elif now - self.cut_at >= self.COOLDOWN_MS and call.sent_at > self.cut_at:
+            before, floor = self.rate, (self.limit or self.MIN_LIMIT) / self.senders
+            self.rate, self.cut_at = min(before, max(floor, before * self.CUT_FACTOR)), now
+            self.mark_changed()
             if self.rate < before:
                 self.scheduler.log(f"{self.name} cut from {before * 1000:.2f} to {self.rate * 1000:.2f}/s")
 
     def halt(self, wait):
-        """A told wait, in whichever answer it comes: it binds in full and the bucket restarts empty."""
-        self.fill()
+        """Applies a wait (ms) that an answer asked for: no call goes before its end, and the bucket starts
+        empty.
+        """
+        self.refill()
         self.pause, self.tokens = max(self.pause, self.scheduler.now + wait), 0.0
-        self.changed_state()
+        self.mark_changed()
 
-    def binds(self):
-        """Whether a told wait still runs, or an outage or the time behind it."""
+    def is_restricted(self):
+        """Whether a wait is in force, or an outage or the warm-up after it."""
         return self.mode != WELL or self.pause > self.scheduler.now
 
     def delivered(self, elapsed):
-        """A call was delivered, after so long."""
-        now, self.fastest = self.scheduler.now, min(self.fastest, elapsed)
-        beyond = elapsed / 4.0 if elapsed > 8.0 * self.usual else 0.0  # were cut off: let the next ones come
-        self.usual = max(beyond, self.usual + 0.1 * (elapsed - self.usual)) if self.usual else elapsed
+        """A call was delivered, `elapsed` ms after it was sent."""
+        now, self.fastest_answer = self.scheduler.now, min(self.fastest_answer, elapsed)
+        # slower answers timed out before: a higher usual latency lets the next ones arrive
+        least = elapsed / 4.0 if elapsed > 8.0 * self.usual else 0.0
+        self.usual = max(least, self.usual + 0.1 * (elapsed - self.usual)) if self.usual else elapsed
         if self.rate is None and self.limit:
-            self.pace(max(self.limit / self.senders, self.recent()), "its share of a told limit")
-        doubted, bound = self.slow_start.doubted, self.slow_start.binds()
-        if told := self.slow_start.outlasts(now):  # its time came since the last look
-            self.turned(told)
+            self.start_pacing(
+                max(self.limit / self.senders, self.recent_rate()), "its share of the reported limit"
+            )
+        suspected_since, changed = self.slow_start.suspected_since, self.slow_start.must_persist()
+        if lasting := self.slow_start.detect_lasting_outage(now):  # it became one since the last maintenance
+            self.mode_changed(lasting)
         if why := self.slow_start.delivered(now):
-            self.turned(why)
-        elif doubted is not None:
+            self.mode_changed(why)
+        elif suspected_since is not None:
             self.scheduler.log(f"{self.name} trusted: a call was delivered")
-        self.cut_off, room = 0.0, 2.0 * self.left - 1.0 if self.limit else 1.0
-        if self.rate and self.waited and room > 0.0 and now >= max(self.pause, self.changed + 1000.0):
-            self.fill()
-            self.rate += self.STEP * self.start * room
-            self.waited, self.changed, bound = False, now, True
-        if bound:
-            self.changed_state()
+        self.longest_timeout, headroom = 0.0, 2.0 * self.limit_left - 1.0 if self.limit else 1.0
+        if (
+            self.rate
+            and self.demand_waited
+            and headroom > 0.0
+            and now >= max(self.pause, self.changed_at + 1000.0)
+        ):
+            self.refill()
+            self.rate += self.INCREASE_STEP * self.initial_rate * headroom
+            self.demand_waited, self.changed_at, changed = False, now, True
+        if changed:
+            self.mark_changed()
 
     def failed(self, why, wait):
-        """A call failed, with a wait that it told."""
-        if told := self.slow_start.failed(self.scheduler.now, why, wait):
-            self.turned(told)
-        if self.slow_start.binds():
-            self.changed_state()
+        """A call failed; `why` is the outcome, `wait` how long (ms) its answer asks to wait."""
+        if outage := self.slow_start.failed(self.scheduler.now, why, wait):
+            self.mode_changed(outage)
+        if self.slow_start.must_persist():
+            self.mark_changed()
 
     def interrupted(self):
-        """A call of the last process was cut off by its end."""
+        """The end of the last process cut off a call."""
         self.slow_start.interrupted(self.scheduler.now)
-        self.changed_state()
+        self.mark_changed()
 
-    def turned(self, why):
-        """Slow start has another mode: the bucket is empty."""
-        self.tokens, self.filled = 0.0, self.scheduler.now
-        self.changed_state()
+    def mode_changed(self, why):
+        """The mode of slow start has changed: the bucket starts empty."""
+        self.tokens, self.refilled_at = 0.0, self.scheduler.now
+        self.mark_changed()
         self.scheduler.log(f"{self.name} {self.mode}: {why}")
 
-    def look(self, rounds):
-        """The periodic look; rounds that were left out are made up for."""
+    def maintain(self, intervals):
+        """Periodic maintenance; `intervals` counts the skipped runs too."""
         now = self.scheduler.now
-        while self.sends and (
-            self.sends[0] <= now - self.LONG
-            or (self.sends[0] <= now - self.COOLDOWN and len(self.sends) > self.FEW)
+        while self.call_times and (
+            self.call_times[0] <= now - self.MAX_WINDOW_MS
+            or (
+                self.call_times[0] <= now - self.COOLDOWN_MS and len(self.call_times) > self.MIN_COUNTED_CALLS
+            )
         ):
-            self.sent_at = self.sends.popleft()
-        while self.firsts and self.firsts[0] <= now - self.LONG:
-            self.firsts.popleft()
-        if not self.sends and now - self.sent_at > self.IDLE and self.mode == WELL:
+            self.last_call_at = self.call_times.popleft()
+        while self.first_attempt_times and self.first_attempt_times[0] <= now - self.MAX_WINDOW_MS:
+            self.first_attempt_times.popleft()
+        if not self.call_times and now - self.last_call_at > self.IDLE and self.mode == WELL:
             self.rate = None
-        if told := self.slow_start.outlasts(now):
-            self.turned(told)
-        elif self.slow_start.begins_to_doubt(now):  # so that whole first calls add up to what all may send
-            self.fill()
-            self.tokens = min(self.tokens, self.scheduler.chance(self.name))
-            lasted = now - self.slow_start.fail_since
+        if outage := self.slow_start.detect_lasting_outage(now):
+            self.mode_changed(outage)
+        elif self.slow_start.starts_suspecting(now):
+            self.refill()
+            # a random start, so that the first calls of all senders together keep to their rate
+            self.tokens = min(self.tokens, self.scheduler.draw(self.name))
+            lasted = now - self.slow_start.first_failure_at
             self.scheduler.log(f"{self.name} doubted: {self.slow_start.fails} failures in {lasted:.0f} ms")
-        elif self.mode == WELL and not self.slow_start.doubtful(now):
-            # from nothing, and never over less than the whole window: a burst is no flow
-            span = self.window()
-            self.flow += (1.0 - 0.95**rounds) * (self.sent_within(span) / span - self.flow)
-        elif self.slow_start.warms_up(now):
-            self.turned("warm again")
-        if self.kept and not self.worth_keeping():
-            self.changed_state()
+        elif self.mode == WELL and not self.slow_start.suspects_outage(now):
+            # starts at 0 and counts over the whole window, so that a burst does not count as the usual rate
+            span = self.counting_window()
+            self.usual_rate += (1.0 - 0.95**intervals) * (
+                self.count_sent_within(span) / span - self.usual_rate
+            )
+        elif self.slow_start.finish_warmup(now):
+            self.mode_changed("warm-up over")
+        if self.kept and not self.must_persist():
+            self.mark_changed()
