--- a/calicopin/discovery_node/catalogue.py
+++ b/calicopin/discovery_node/catalogue.py
@@ -11,20 +11,20 @@
 
 from calicopin.discovery_node.entry import Entry, Line, decode_entry
 
-LEFT = "left"
+STATE_LEFT = "left"
 NO_ROW = 0xFFFF_FFFF
-LEAST_BITS = 10  # a table begins with 2 ** 10 slots
-MOST_FILL = 2 / 3  # of a table's slots
-GROW_STEP = 4096  # slots that a growing table takes over between two pauses
-LOAD_STEP = 64  # lines that a load takes between two pauses
-USUAL_LINE = 110  # bytes
+MIN_TABLE_BITS = 10  # a table begins with 2 ** 10 slots
+MAX_LOAD_FACTOR = 2 / 3  # of a table's slots
+GROW_SLOTS_PER_STEP = 4096  # slots that a growing table takes over between two pauses
+LOAD_LINES_PER_STEP = 64  # lines that a load takes between two pauses
+TYPICAL_LINE_BYTES = 110  # bytes
 KEY_BITS = 32
 KEY_MASK = 0xFFFF_FFFF
-FIBONACCI = 2_654_435_769  # 2 ** 32 over the golden ratio: spreads keys that lie near each other
+FIBONACCI_MULTIPLIER = 2_654_435_769  # 2 ** 32 over the golden ratio: spreads keys that lie near each other
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class CatalogueStats:
     """What a catalogue holds, in numbers."""
 
     destinations: int
@@ -33,7 +33,7 @@
     block_bytes: int
 
 
-def hash_of(ident: str) -> int:
+def hash_endpoint_id(ident: str) -> int:
     """An endpoint's key."""
     return hash(ident) & KEY_MASK
 
@@ -41,18 +41,18 @@
 class RowTable:
     """Row numbers by a 32-bit key, open addressing with linear probing. `keys` has the key of each row."""
 
-    def __init__(self, keys: array, expected: int = 0):
+    def __init__(self, keys: array, expected_rows: int = 0):
         self.keys = keys
-        self._clear(max(LEAST_BITS, int(expected / MOST_FILL).bit_length()))
+        self._clear(max(MIN_TABLE_BITS, int(expected_rows / MAX_LOAD_FACTOR).bit_length()))
 
     def _clear(self, bits: int) -> None:
-        self.slots, self.free = array("I", [NO_ROW]) * (1 << bits), int(MOST_FILL * (1 << bits))
+        self.slots, self.free_slots = array("I", [NO_ROW]) * (1 << bits), int(MAX_LOAD_FACTOR * (1 << bits))
         self._shift, self._mask = KEY_BITS - bits, (1 << bits) - 1
 
     def slot(self, key: int, matches: Callable[[int], bool] | None = None) -> int:
         """Where the row of that key stands, or would stand; `matches` tells rows apart that share a key."""
         slots, keys, mask = self.slots, self.keys, self._mask
-        at = (key * FIBONACCI & KEY_MASK) >> self._shift
+        at = (key * FIBONACCI_MULTIPLIER & KEY_MASK) >> self._shift
         while (row := slots[at]) != NO_ROW:
             if keys[row] == key and (matches is None or matches(row)):
                 return at
@@ -62,17 +62,17 @@
     def put(self, slot: int, row: int) -> None:
         """Sets a slot that `slot` told."""
         if self.slots[slot] == NO_ROW:
-            self.free -= 1
+            self.free_slots -= 1
         self.slots[slot] = row
 
     def grow(self) -> Iterator[None]:
         """Doubles the slots, a step at a time. Nothing may be added or looked for meanwhile."""
-        old = self.slots
-        self._clear(len(old).bit_length())
-        for at, row in enumerate(old):
+        existing = self.slots
+        self._clear(len(existing).bit_length())
+        for at, row in enumerate(existing):
             if row != NO_ROW:
                 self.put(self.slot(self.keys[row], lambda _: False), row)
-            if at % GROW_STEP == 0:
+            if at % GROW_SLOTS_PER_STEP == 0:
                 yield
 
 
@@ -86,15 +86,17 @@
         self._block = bytearray()  # the loaded entries, a line each
         # of each row: where its line begins, whether a later one replaced or removed it, the next of its
         # destination
-        self._offsets, self._gone, self._next = array("Q"), bytearray(), array("I")
+        self._offsets, self._is_removed, self._next_row = array("Q"), bytearray(), array("I")
         self._destinations, self._ident_hashes = array("I"), array("I")
-        expected = expected_bytes // USUAL_LINE
-        self._by_ident = RowTable(self._ident_hashes, expected)
-        self._by_destination = RowTable(self._destinations, expected)
-        self._changed: dict[
+        expected_rows = expected_bytes // TYPICAL_LINE_BYTES
+        self._by_ident = RowTable(self._ident_hashes, expected_rows)
+        self._by_destination = RowTable(self._destinations, expected_rows)
+        self._changed_entries: dict[
             int, tuple[bytes, ...]
         ] = {}  # destinations as they are now, where that is not as loaded
-        self._moved: dict[str, int | None] = {}  # where an endpoint is now, of those of changed destinations
+        self._moved_to: dict[
+            str, int | None
+        ] = {}  # where an endpoint is now, of those of changed destinations
         self.destinations = self.endpoints = 0
         self.work = 0  # rows that lookups and changes looked at
 
@@ -103,76 +105,76 @@
         earlier."""
         for line in lines:
             for table in (self._by_ident, self._by_destination):
-                if not table.free:
+                if not table.free_slots:
                     yield from table.grow()
             if line.entry is not None:
                 self._load_line(line.entry, line.data)
-            if line.number % LOAD_STEP == 0:
+            if line.number % LOAD_LINES_PER_STEP == 0:
                 yield
 
     def apply(self, entry: Entry, data: bytes) -> set[int]:
         """Takes one line; the destinations that are not as before."""
-        before = self._place_of(entry.id)
-        after = None if entry.state == LEFT else entry.cell
-        if before is None and after is None:
+        previous = self._destination_of(entry.id)
+        current = None if entry.state == STATE_LEFT else entry.cell
+        if previous is None and current is None:
             return set()
-        if before == after and data in self.entries(after):
+        if previous == current and data in self.entries(current):
             return set()
-        touched = {place for place in (before, after) if place is not None}
-        for destination in touched:
-            self._replace(destination, entry.id, data if destination == after else None)
-        self._moved[entry.id] = after
-        self.endpoints += (after is not None) - (before is not None)
-        return touched
+        changed_destinations = {place for place in (previous, current) if place is not None}
+        for destination in changed_destinations:
+            self._replace(destination, entry.id, data if destination == current else None)
+        self._moved_to[entry.id] = current
+        self.endpoints += (current is not None) - (previous is not None)
+        return changed_destinations
 
     def entries(self, destination: int) -> tuple[bytes, ...]:
         """The destination's endpoints as JSON; empty where it does not exist."""
-        changed = self._changed.get(destination)
-        return self._loaded(destination) if changed is None else changed
+        changed = self._changed_entries.get(destination)
+        return self._loaded_entries(destination) if changed is None else changed
 
     @property
     def changed(self) -> int:
         """Destinations that changed since the load."""
-        return len(self._changed)
+        return len(self._changed_entries)
 
-    def figures(self) -> Figures:
+    def stats(self) -> CatalogueStats:
         """What it holds, in numbers."""
-        return Figures(self.destinations, self.endpoints, self.changed, len(self._block))
+        return CatalogueStats(self.destinations, self.endpoints, self.changed, len(self._block))
 
     def _load_line(self, entry: Entry, data: bytes) -> None:
-        ident_hash = hash_of(entry.id)
+        ident_hash = hash_endpoint_id(entry.id)
         slot = self._ident_slot(entry.id, ident_hash)
-        old = self._by_ident.slots[slot]
-        if old != NO_ROW and not self._gone[old]:
-            self._drop_row(old)
-        if entry.state == LEFT:
+        existing = self._by_ident.slots[slot]
+        if existing != NO_ROW and not self._is_removed[existing]:
+            self._remove_row(existing)
+        if entry.state == STATE_LEFT:
             return
         row = len(self._offsets)
         self._offsets.append(len(self._block))
-        self._gone.append(False)
+        self._is_removed.append(False)
         self._destinations.append(entry.cell)
         self._ident_hashes.append(ident_hash)
         self._block += data
         self._block += b"\n"
         self._by_ident.put(slot, row)
-        self._link(row, entry.cell)
+        self._link_row(row, entry.cell)
         self.endpoints += 1
 
-    def _link(self, row: int, destination: int) -> None:
+    def _link_row(self, row: int, destination: int) -> None:
         """The row is one more of its destination."""
         slot = self._by_destination.slot(destination)
         head = self._by_destination.slots[slot]
         if head == NO_ROW:
             self.destinations += 1
-            self._next.append(NO_ROW)
+            self._next_row.append(NO_ROW)
             self._by_destination.put(slot, row)
             return
         self.destinations += not self._live_rows(head)
-        self._next.append(self._next[head])
-        self._next[head] = row
+        self._next_row.append(self._next_row[head])
+        self._next_row[head] = row
 
-    def _drop_row(self, row: int) -> None:
-        self._gone[row] = True
+    def _remove_row(self, row: int) -> None:
+        self._is_removed[row] = True
         self.endpoints -= 1
         self.destinations -= not self._live_rows(self._head(self._destinations[row]))
 
@@ -182,41 +184,41 @@
 
     def _ident_slot(self, ident: str, ident_hash: int) -> int:
         """Where the endpoint's row stands or would stand."""
-        return self._by_ident.slot(ident_hash, lambda row: self._is_of(row, ident))
+        return self._by_ident.slot(ident_hash, lambda row: self._row_has_ident(row, ident))
 
-    def _is_of(self, row: int, ident: str) -> bool:
+    def _row_has_ident(self, row: int, ident: str) -> bool:
         """Whether the row is the endpoint's, and not just of the same hash."""
         self.work += 1
-        return decode_entry(self._line(row)).id == ident
+        return decode_entry(self._row_line(row)).id == ident
 
     def _live_rows(self, row: int) -> list[int]:
         """From a destination's first row on those that count."""
         found = []
         while row != NO_ROW:
             self.work += 1
-            if not self._gone[row]:
+            if not self._is_removed[row]:
                 found.append(row)
-            row = self._next[row]
+            row = self._next_row[row]
         return found
 
-    def _loaded(self, destination: int) -> tuple[bytes, ...]:
-        return tuple([self._line(row) for row in self._live_rows(self._head(destination))])
+    def _loaded_entries(self, destination: int) -> tuple[bytes, ...]:
+        return tuple([self._row_line(row) for row in self._live_rows(self._head(destination))])
 
-    def _line(self, row: int) -> bytes:
+    def _row_line(self, row: int) -> bytes:
         offset = self._offsets[row]
         return bytes(self._block[offset : self._block.index(b"\n", offset)])
 
-    def _place_of(self, ident: str) -> int | None:
+    def _destination_of(self, ident: str) -> int | None:
         """The destination that an endpoint belongs to now."""
-        if ident in self._moved:
-            return self._moved[ident]
-        row = self._by_ident.slots[self._ident_slot(ident, hash_of(ident))]
-        return None if row == NO_ROW or self._gone[row] else self._destinations[row]
+        if ident in self._moved_to:
+            return self._moved_to[ident]
+        row = self._by_ident.slots[self._ident_slot(ident, hash_endpoint_id(ident))]
+        return None if row == NO_ROW or self._is_removed[row] else self._destinations[row]
 
     def _replace(self, destination: int, ident: str, data: bytes | None) -> None:
         """The destination without the endpoint, or with it as told now."""
-        before = self.entries(destination)
-        rest = [entry for entry in before if decode_entry(entry).id != ident]
-        after = tuple(rest if data is None else [*rest, data])
-        self._changed[destination] = after
-        self.destinations += bool(after) - bool(before)
+        previous = self.entries(destination)
+        others = [entry for entry in previous if decode_entry(entry).id != ident]
+        current = tuple(others if data is None else [*others, data])
+        self._changed_entries[destination] = current
+        self.destinations += bool(current) - bool(previous)
--- a/calicopin/discovery_node/entry.py
+++ b/calicopin/discovery_node/entry.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from calicopin.subscription.messages import MOST_DESTINATION
+from calicopin.subscription.messages import MAX_DESTINATION
 
-SOURCE_FORM = 1  # of the source's lines
-MOST_WORD = 256  # characters of an endpoint's id, address, kind or zone
+SOURCE_FORM_VERSION = 1  # of the source's lines
+MAX_FIELD_LENGTH = 256  # characters of an endpoint's id, address, kind or zone
 
-Word = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_WORD)]
-Label = Annotated[str, msgspec.Meta(max_length=MOST_WORD)]
+RequiredText = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_FIELD_LENGTH)]
+OptionalText = Annotated[str, msgspec.Meta(max_length=MAX_FIELD_LENGTH)]
 Weight = Annotated[float, msgspec.Meta(ge=0.0)]
-Destination = Annotated[int, msgspec.Meta(ge=0, le=MOST_DESTINATION)]
+Destination = Annotated[int, msgspec.Meta(ge=0, le=MAX_DESTINATION)]
 
 
 class EntryError(ValueError):
@@ -24,12 +24,12 @@
 class Entry(msgspec.Struct, forbid_unknown_fields=True):
     """One endpoint as the list tells it; `cell` is its destination."""
 
-    id: Word
-    addr: Word
+    id: RequiredText
+    addr: RequiredText
     cell: Destination
     state: Literal["active", "leaving", "left"]
-    kind: Label = ""
-    zone: Label = ""
+    kind: OptionalText = ""
+    zone: OptionalText = ""
     weight: Weight | None = None
 
 
@@ -37,7 +37,7 @@
     """The first line: the form of the lines that follow, and the fleet whose list it is."""
 
     form: int
-    fleet: Word
+    fleet: RequiredText
 
 
 @dataclass(slots=True)
@@ -50,14 +50,14 @@
     fault: str = ""
 
 
-_entry = msgspec.json.Decoder(Entry)
-_header = msgspec.json.Decoder(Header)
+_entry_decoder = msgspec.json.Decoder(Entry)
+_header_decoder = msgspec.json.Decoder(Header)
 
 
 def decode_entry(data: bytes) -> Entry:
     """Raises EntryError where the line is none."""
     try:
-        return _entry.decode(data)
+        return _entry_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
         raise EntryError(str(fault)) from None
 
@@ -73,10 +73,12 @@
 def check_header(data: bytes, fleet: str) -> None:
     """Raises EntryError where the header is none, of another fleet or of a form that is not known here."""
     try:
-        header = _header.decode(data)
+        header = _header_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise EntryError(f'the header is not {{"form":{SOURCE_FORM},"fleet":"..."}}: {fault}') from None
-    if header.form != SOURCE_FORM:
-        raise EntryError(f"form {header.form} is not form {SOURCE_FORM}, the only one known here")
+        raise EntryError(
+            f'the header is not {{"form":{SOURCE_FORM_VERSION},"fleet":"..."}}: {fault}'
+        ) from None
+    if header.form != SOURCE_FORM_VERSION:
+        raise EntryError(f"form {header.form} is not form {SOURCE_FORM_VERSION}, the only one known here")
     if header.fleet != fleet:
         raise EntryError(f"the list is of the fleet {header.fleet[:40]!r}, this node serves {fleet!r}")
--- a/calicopin/discovery_node/measure.py
+++ b/calicopin/discovery_node/measure.py
@@ -18,7 +18,7 @@
 from calicopin.discovery_node.entry import decode_entry
 from calicopin.discovery_node.source import open_source
 from calicopin.discovery_node.status import resident_bytes
-from calicopin.subscription.leases import LeaseBounds, LeaseTable, Tell
+from calicopin.subscription.leases import LeaseBounds, LeaseTable, LeaseUpdate
 from calicopin.subscription.messages import (
     Grant,
     SubscribeRequest,
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
+class LeaseOpeningCost:
     """What it took to grant all leases."""
 
     cpu_s: float
@@ -59,9 +59,9 @@
     largest_answer: int
 
 
-def made_entry(number: int, state: str = "active") -> bytes:
+def make_entry(number: int, state: str = "active") -> bytes:
     """An endpoint of the destination of the same number."""
-    told = {
+    fields = {
         "id": f"s-{number}",
         "addr": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080",
         "cell": number,
@@ -70,7 +70,7 @@
         "state": state,
         "weight": 1.0,
     }
-    return json.dumps(told, separators=(",", ":")).encode()
+    return json.dumps(fields, separators=(",", ":")).encode()
 
 
 def write_source(path: str, destinations: int) -> None:
@@ -78,7 +78,7 @@
     with open(path, "wb") as file:
         file.write(json.dumps({"form": 1, "fleet": FLEET}).encode() + b"\n")
         for number in range(destinations):
-            file.write(made_entry(number) + b"\n")
+            file.write(make_entry(number) + b"\n")
 
 
 def load(path: str) -> Catalogue:
@@ -91,23 +91,23 @@
     return catalogue
 
 
-def sets_of(destinations: int, couriers: int, each: int, seed: int) -> Iterator[tuple[int, ...]]:
+def disjoint_sets(destinations: int, couriers: int, each: int, seed: int) -> Iterator[tuple[int, ...]]:
     """Disjoint sets by chance."""
     numbers = random.Random(seed).sample(range(destinations), couriers * each)
     for at in range(0, len(numbers), each):
         yield tuple(numbers[at : at + each])
 
 
-def answer(catalogue: Catalogue, told: Tell) -> bytes:
+def answer(catalogue: Catalogue, fields: LeaseUpdate) -> bytes:
     """The body that goes out."""
-    servers = [entry for destination in told.destinations for entry in catalogue.entries(destination)]
-    grant = Grant(FLEET, "n1", told.lease, told.sequence, 30_000.0, told.destinations)
-    return encode_answer(told.full, told.version, servers, grant)
+    servers = [entry for destination in fields.destinations for entry in catalogue.entries(destination)]
+    grant = Grant(FLEET, "n1", fields.lease, fields.sequence, 30_000.0, fields.destinations)
+    return encode_answer(fields.full, fields.version, servers, grant)
 
 
 def change_one(catalogue: Catalogue, table: LeaseTable, number: int) -> None:
     """One destination's endpoint is announced as leaving, and all that hold it are answered."""
-    data = made_entry(number, "leaving")
+    data = make_entry(number, "leaving")
     for name in table.change(catalogue.apply(decode_entry(data), data)):
         answer(catalogue, table.tell(name))
 
@@ -117,22 +117,22 @@
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "list.log")
         write_source(path, destinations)
-        size, resident, began = os.path.getsize(path), resident_bytes(), time.process_time()
+        size, resident_before, started_at = os.path.getsize(path), resident_bytes(), time.process_time()
         catalogue = load(path)
-        load_cpu, load_resident = time.process_time() - began, resident_bytes() - resident
+        load_cpu, load_resident = time.process_time() - started_at, resident_bytes() - resident_before
     table = LeaseTable(FLEET, "n1", "run", LeaseBounds(leases=max(couriers, 1024)))
     requests = [
         encode_request(SubscribeRequest(FLEET, f"c-{number}", subscribe=wanted))
-        for number, wanted in enumerate(sets_of(destinations, couriers, each, seed))
+        for number, wanted in enumerate(disjoint_sets(destinations, couriers, each, seed))
     ]
     opening = open_all(catalogue, table, requests)
-    held = table.subscribed()
-    changed = random.Random(seed).sample(held, min(changes, len(held)))
+    subscribed = table.subscribed()
+    changed = random.Random(seed).sample(subscribed, min(changes, len(subscribed)))
     leases, rows = table.work, catalogue.work
-    resident, began = resident_bytes(), time.process_time()
+    resident_before, started_at = resident_bytes(), time.process_time()
     for number in changed:
         change_one(catalogue, table, number)
-    change_cpu, change_resident = time.process_time() - began, resident_bytes() - resident
+    change_cpu, change_resident = time.process_time() - started_at, resident_bytes() - resident_before
     return Cost(
         destinations=destinations,
         couriers=couriers,
@@ -150,13 +150,13 @@
     )
 
 
-def open_all(catalogue: Catalogue, table: LeaseTable, requests: list[bytes]) -> Opening:
+def open_all(catalogue: Catalogue, table: LeaseTable, requests: list[bytes]) -> LeaseOpeningCost:
     """A lease for each request."""
-    resident, began, largest = resident_bytes(), time.process_time(), 0
+    resident_before, started_at, largest = resident_bytes(), time.process_time(), 0
     for body in requests:
-        told = table.request(0.0, decode_request(body), None)
-        largest = max(largest, len(answer(catalogue, told)))
-    return Opening(time.process_time() - began, resident_bytes() - resident, largest)
+        fields = table.request(0.0, decode_request(body), None)
+        largest = max(largest, len(answer(catalogue, fields)))
+    return LeaseOpeningCost(time.process_time() - started_at, resident_bytes() - resident_before, largest)
 
 
 @click.command(context_settings={"help_option_names": ["-h", "--help"]})
--- a/calicopin/discovery_node/node.py
+++ b/calicopin/discovery_node/node.py
@@ -9,7 +9,7 @@
 
 from loguru import logger
 
-from calicopin.discovery_node.catalogue import Catalogue, Figures
+from calicopin.discovery_node.catalogue import Catalogue, CatalogueStats
 from calicopin.discovery_node.entry import Line
 from calicopin.discovery_node.server import NodeServer, ServerBounds
 from calicopin.discovery_node.source import Source, SourceError, open_source
@@ -44,7 +44,7 @@
 class SourceReport:
     """What a check of a source found."""
 
-    figures: Figures
+    figures: CatalogueStats
     lines: int
     faults: list[Line]
     half_line: bool
@@ -66,11 +66,11 @@
         )
         self.server.source = self.source
 
-    def heed(self, signal_reader: SignalReader) -> None:
+    def stop_on_signal(self, signal_reader: SignalReader) -> None:
         """SIGTERM and SIGINT end it."""
-        self.loop.spawn(self._heed(signal_reader), ahead=True)
+        self.loop.spawn(self._wait_for_stop(signal_reader), ahead=True)
 
-    def _heed(self, signal_reader: SignalReader) -> Iterator[Until]:
+    def _wait_for_stop(self, signal_reader: SignalReader) -> Iterator[Until]:
         while not signal_reader.heard().intersection(SignalReader.STOPS):
             yield Until(FOREVER, signal_reader.fd, READ)
         logger.info("the node ends", event="stopping")
@@ -103,7 +103,7 @@
 def run(settings: NodeSettings, signal_reader: SignalReader, system: System = HERE) -> None:
     """A node on that system, from its first look at the source until it is told to end."""
     node = Node(settings, system)
-    node.heed(signal_reader)
+    node.stop_on_signal(signal_reader)
     system.settle()
     logger.info(
         "{node} listens on {host}:{port}",
@@ -124,14 +124,14 @@
             raise SourceError(f"{path}:1: has no whole header yet")
         catalogue, faults = Catalogue(file.size_at_open), []
 
-        def noted(lines: Iterator[Line]) -> Iterator[Line]:
+        def record_faults(lines: Iterator[Line]) -> Iterator[Line]:
             for line in lines:
                 if line.entry is None:
                     faults.append(line)
                 yield line
 
-        for _ in catalogue.load(noted(file.lines(file.size_at_open))):
+        for _ in catalogue.load(record_faults(file.lines(file.size_at_open))):
             pass
-        return SourceReport(catalogue.figures(), file.splitter.number, faults, file.splitter.is_waiting())
+        return SourceReport(catalogue.stats(), file.splitter.number, faults, file.splitter.has_partial_line())
     finally:
         file.close()
--- a/calicopin/discovery_node/replies.py
+++ b/calicopin/discovery_node/replies.py
@@ -7,7 +7,7 @@
 
 from calicopin.subscription.messages import MessageError, Reason, Refusal, encode_refusal
 
-INDEX_DIGITS = 18
+MAX_INDEX_DIGITS = 18
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     last: bool = False
 
 
-def refused(refusal: Refusal, status: int = 0, last: bool = False) -> Reply:
+def refusal_reply(refusal: Refusal, status: int = 0, last: bool = False) -> Reply:
     """A refusal as an answer; `status` where none of its reason's own fits better."""
     return Reply(status or refusal.status, encode_refusal(refusal), refusal, last)
 
@@ -38,7 +38,7 @@
     return math.ceil(refusal.retry_ms / 1000.0)
 
 
-def whole_refusal(refusal: Refusal) -> bytes:
+def encode_refusal_response(refusal: Refusal) -> bytes:
     """A refusal with its head, as the last message on a connection that nothing else is said on."""
     body = encode_refusal(refusal)
     head = [
@@ -51,23 +51,23 @@
     return ("\r\n".join(head) + "\r\n\r\n").encode() + body
 
 
-def unreadable(why: str, status: int = 400, last: bool = True) -> Reply:
+def unreadable_reply(message: str, status: int = 400, last: bool = True) -> Reply:
     """The answer to what cannot be read."""
-    return refused(Refusal(Reason.UNREADABLE, why), status, last)
+    return refusal_reply(Refusal(Reason.UNREADABLE, message), status, last)
 
 
-def is_number(word: str) -> bool:
+def is_number(text: str) -> bool:
     """Whether a word of a query is a whole number from 0 up."""
-    return word.isascii() and word.isdigit() and len(word) <= INDEX_DIGITS
+    return text.isascii() and text.isdigit() and len(text) <= MAX_INDEX_DIGITS
 
 
-def read_poll(target: bytes, most_wait: float) -> Poll:
+def read_poll(target: bytes, max_wait_ms: float) -> Poll:
     """The query of a request; raises MessageError."""
-    told = {}
+    fields = {}
     for name, value in parse_qsl(target.partition(b"?")[2].decode("latin-1"), keep_blank_values=True):
         if name not in ("index", "wait"):
             raise MessageError(f"query.{name[:40]}", "is an unknown field")
         if not is_number(value):
             raise MessageError(f"query.{name}", "is no whole number from 0 up")
-        told[name] = int(value)
-    return Poll(told.get("index"), min(float(told.get("wait", 0)), most_wait))
+        fields[name] = int(value)
+    return Poll(fields.get("index"), min(float(fields.get("wait", 0)), max_wait_ms))
--- a/calicopin/discovery_node/server.py
+++ b/calicopin/discovery_node/server.py
@@ -20,17 +20,17 @@
     Reply,
     is_number,
     read_poll,
-    refused,
+    refusal_reply,
     retry_seconds,
-    unreadable,
-    whole_refusal,
+    unreadable_reply,
+    encode_refusal_response,
 )
 from calicopin.discovery_node.source import Source
 from calicopin.discovery_node.status import status_of
-from calicopin.discovery_node.upstream import LOG_CHUNK, LOG_PATH, Upstream, encode_piece
-from calicopin.subscription.leases import LeaseTable, Tell, Wait
+from calicopin.discovery_node.upstream import LOG_CHUNK_BYTES, LOG_PATH, Upstream, encode_log_chunk
+from calicopin.subscription.leases import LeaseTable, LeaseUpdate, Wait
 from calicopin.subscription.messages import (
-    STATUS,
+    HTTP_STATUS,
     Grant,
     MessageError,
     Reason,
@@ -42,23 +42,25 @@
 from calicopin.wire.http import TOO_LONG, Line, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Loop, Until
 
-TARGETS = b"/api/targets"
+TARGETS_PATH = b"/api/targets"
 STATUS_PATH = b"/-/status"
 READY_PATH = b"/-/ready"
 LOG_TARGET = LOG_PATH.encode()
-PATIENCE = 2500.0  # ms for a whole request, and for its answer to be read
-LINGER = 300.0  # ms for a client to read its last answer
-EXPIRY = 500.0  # ms between two looks for leases that are over
-ENDING = 400.0  # ms that answers have to go out after SIGTERM: with the rest of the end less than a second
-ENDING_STEP = 10.0
-NOT_READY_RETRY = 1000.0  # ms
-TURNED_AWAY_RETRY = 1000.0
-REPEAT = 1000.0  # ms between two lines on requests turned away
-ANSWER_STEP = 1000  # destinations of an answer that are looked up in one pass
-AT_ONCE = 32  # connections accepted in one pass
-BODY_PER_DESTINATION = 11  # bytes of a request: nine digits, a comma, a space
-BODY_BASE = 4096
-MOST_READING = 64 << 20  # bytes of bodies that are read at once, all connections together
+REQUEST_TIMEOUT_MS = 2500.0  # ms for a whole request, and for its answer to be read
+LAST_ANSWER_READ_MS = 300.0  # ms for a client to read its last answer
+LEASE_EXPIRY_INTERVAL_MS = 500.0  # ms between two looks for leases that are over
+SHUTDOWN_GRACE_MS = (
+    400.0  # ms that answers have to go out after SIGTERM: with the rest of the end less than a second
+)
+SHUTDOWN_POLL_MS = 10.0
+NOT_READY_RETRY_MS = 1000.0  # ms
+OVERLOAD_RETRY_MS = 1000.0
+REFUSAL_LOG_INTERVAL_MS = 1000.0  # ms between two lines on requests turned away
+ANSWER_DESTINATIONS_PER_STEP = 1000  # destinations of an answer that are looked up in one pass
+ACCEPT_BATCH_SIZE = 32  # connections accepted in one pass
+REQUEST_BYTES_PER_DESTINATION = 11  # bytes of a request: nine digits, a comma, a space
+REQUEST_BASE_BYTES = 4096
+MAX_BUFFERED_BODY_BYTES = 64 << 20  # bytes of bodies that are read at once, all connections together
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,24 +103,26 @@
         self.loop, self.listener, self.table, self.bounds = loop, listener, table, bounds
         self.source: Source | None = None
         self.upstream: Upstream | None = None  # where the source is a copy of another node's
-        self.most_body = BODY_BASE + BODY_PER_DESTINATION * table.bounds.destinations
-        self.most_wait = table.bounds.lease_ms / 2.0
+        self.max_body_bytes = REQUEST_BASE_BYTES + REQUEST_BYTES_PER_DESTINATION * table.bounds.destinations
+        self.max_wait_ms = table.bounds.lease_ms / 2.0
         self.connections: dict[Connection, None] = {}
         self.parked: dict[str, Parked] = {}
         self.refused: Counter[Reason] = Counter()
-        self.reading = 0  # bytes that the bodies now being read may come to
+        self.reserved_body_bytes = 0  # bytes that the bodies now being read may come to
         self.answers = self.changes_told = self.destinations_changed = 0
         self.stopping = False
-        self._lookups: list[set[int]] = []  # what changes while long answers are made, one set for each
-        self._turned_away, self._told_at = 0, -FOREVER
+        self._changes_during_lookups: list[
+            set[int]
+        ] = []  # what changes while long answers are made, one set for each
+        self._unlogged_refusals, self._refusal_logged_at = 0, -FOREVER
         self.accepting = loop.keep(self._accept)
         loop.keep(self._expire)
 
     def change(self, destinations: set[int]) -> None:
         """These destinations are not as before: whoever holds them and waits is answered."""
         self.destinations_changed += len(destinations)
-        for touched in self._lookups:
-            touched |= destinations
+        for changed in self._changes_during_lookups:
+            changed |= destinations
         for name in sorted(
             self.table.change(destinations)
         ):  # not in the order of a set: the same in any process
@@ -134,17 +138,17 @@
         self.stopping = True
         self.loop.cancel(self.accepting)
         self.loop.close(self.listener)
-        self._end_waiting()
-        until = self.loop.now() + ENDING
+        self._close_waiting()
+        until = self.loop.now() + SHUTDOWN_GRACE_MS
         while self.connections and self.loop.now() < until:
-            yield Until(self.loop.now() + ENDING_STEP)
+            yield Until(self.loop.now() + SHUTDOWN_POLL_MS)
         self.loop.running = False
 
-    def _end_waiting(self) -> None:
+    def _close_waiting(self) -> None:
         """Thousands of requests may wait: all are answered by the same bytes, and connections between two
         closed."""
         refusal = self._not_ready_refusal()
-        data, waiting = whole_refusal(refusal), {parked.line for parked in self.parked.values()}
+        data, waiting = encode_refusal_response(refusal), {parked.line for parked in self.parked.values()}
         self.refused[refusal.reason] += len(waiting)
         for connection in list(self.connections):
             if connection.line in waiting:
@@ -166,7 +170,7 @@
 
     def _accept_some(self) -> bool:
         """Whether more may wait to be accepted."""
-        for _ in range(AT_ONCE):
+        for _ in range(ACCEPT_BATCH_SIZE):
             sock = accept_next(self.listener)
             if sock is None:
                 return False
@@ -177,7 +181,7 @@
         """Serves the connection; with no room left the one that is idle longest gives way, or this one is
         turned away."""
         if len(self.connections) >= self.bounds.connections:
-            idle = next((each for each in self.connections if each.idle and each.line.quiet()), None)
+            idle = next((other for other in self.connections if other.idle and other.line.quiet()), None)
             if idle is not None:
                 self._hang_up(idle)
         connection = Connection(line)
@@ -185,13 +189,13 @@
             self.connections[connection] = None
             connection.task = self.loop.spawn(self._serve(connection))
             return
-        self._turn_away(line)
+        self._reject_connection(line)
 
-    def _turn_away(self, line: Line) -> None:
+    def _reject_connection(self, line: Line) -> None:
         """Answers without having read: the connection gets no coroutine."""
-        refusal = Refusal(Reason.TOO_MANY, "no room for another connection", TURNED_AWAY_RETRY)
-        self._count(refusal)
-        line.part(whole_refusal(refusal))
+        refusal = Refusal(Reason.TOO_MANY, "no room for another connection", OVERLOAD_RETRY_MS)
+        self._log_refusal(refusal)
+        line.part(encode_refusal_response(refusal))
         line.close()
 
     def _hang_up(self, connection: Connection) -> None:
@@ -209,7 +213,7 @@
                 # one after the other: a client that never pauses does not hold up the rest
                 yield Until(self.loop.now())
             if not line.ended and line.h11.our_state is not h11.IDLE:
-                yield from line.linger(self.loop.now() + LINGER)
+                yield from line.linger(self.loop.now() + LAST_ANSWER_READ_MS)
         finally:
             self.connections.pop(connection, None)
             line.close()
@@ -217,18 +221,18 @@
     def _exchange(self, connection: Connection) -> Iterator[Until]:
         """One request and its answer; False where the connection ends."""
         line = connection.line
-        if not (yield from self._begins(connection)):
+        if not (yield from self._wait_for_request(connection)):
             return False
-        until = self.loop.now() + PATIENCE
+        until = self.loop.now() + REQUEST_TIMEOUT_MS
         head = yield from line.event(until)
-        reply = self._unread_head(line, head)
+        reply = self._head_error_reply(line, head)
         if reply is None and isinstance(head, h11.Request):
-            reply = yield from self._hear(line, head, until)
+            reply = yield from self._read_request(line, head, until)
         if reply is None:
             return False
-        return (yield from self._reply(line, reply))
+        return (yield from self._send_reply(line, reply))
 
-    def _begins(self, connection: Connection) -> Iterator[Until]:
+    def _wait_for_request(self, connection: Connection) -> Iterator[Until]:
         """Whether a request comes; an idle connection that stays silent is closed."""
         line = connection.line
         if self.stopping:
@@ -238,87 +242,87 @@
         connection.idle = True
         del self.connections[connection]  # the one idle longest comes first
         self.connections[connection] = None
-        came = yield Until(self.loop.now() + self.bounds.idle_ms, line.sock.fileno(), READ)
+        readable = yield Until(self.loop.now() + self.bounds.idle_ms, line.sock.fileno(), READ)
         connection.idle = False
-        return came
+        return readable
 
     @staticmethod
-    def _unread_head(line: Line, head) -> Reply | None:
+    def _head_error_reply(line: Line, head) -> Reply | None:
         """The answer where a request's head did not come or cannot be read."""
         if head is None and line.unread():
-            return unreadable("a head that does not come", 408)
+            return unreadable_reply("a head that does not come", 408)
         if isinstance(head, h11.RemoteProtocolError):
-            return unreadable(str(head), head.error_status_hint or 400)
+            return unreadable_reply(str(head), head.error_status_hint or 400)
         return None
 
-    def _hear(self, line: Line, head: h11.Request, until: float) -> Iterator[Until]:
+    def _read_request(self, line: Line, head: h11.Request, until: float) -> Iterator[Until]:
         """The request's body, and the answer to it; None where nobody is there to hear one."""
         lengths = dict(head.headers)
         if b"content-length" in lengths and b"transfer-encoding" in lengths:
-            return unreadable("both Content-Length and Transfer-Encoding")
+            return unreadable_reply("both Content-Length and Transfer-Encoding")
         length = int(lengths.get(b"content-length", 0))
-        if length > self.most_body:
-            return self._too_large()
-        expected = self.most_body if b"transfer-encoding" in lengths else length
-        if self.reading + expected > MOST_READING:
-            why = "too many long requests at once"
-            return refused(Refusal(Reason.TOO_MANY, why, TURNED_AWAY_RETRY), last=True)
-        self.reading += expected
+        if length > self.max_body_bytes:
+            return self._too_large_reply()
+        expected = self.max_body_bytes if b"transfer-encoding" in lengths else length
+        if self.reserved_body_bytes + expected > MAX_BUFFERED_BODY_BYTES:
+            message = "too many long requests at once"
+            return refusal_reply(Refusal(Reason.TOO_MANY, message, OVERLOAD_RETRY_MS), last=True)
+        self.reserved_body_bytes += expected
         try:
-            body = yield from line.body(self.most_body, until)
+            body = yield from line.body(self.max_body_bytes, until)
         finally:
-            self.reading -= expected
+            self.reserved_body_bytes -= expected
         if body is TOO_LONG:
-            return self._too_large()
+            return self._too_large_reply()
         if body is None:
-            return self._unread_body(line, until)
+            return self._body_error_reply(line, until)
         return (yield from self._route(line, head, body))
 
-    def _unread_body(self, line: Line, until: float) -> Reply | None:
+    def _body_error_reply(self, line: Line, until: float) -> Reply | None:
         """The answer where a body did not come whole."""
         if line.ended:
             return None
         if self.loop.now() >= until:
-            return unreadable("a body that does not come", 408)
-        return unreadable("a body that cannot be read")
+            return unreadable_reply("a body that does not come", 408)
+        return unreadable_reply("a body that cannot be read")
 
-    def _too_large(self) -> Reply:
-        return refused(Refusal(Reason.TOO_LARGE, f"a body over {self.most_body} bytes"), last=True)
+    def _too_large_reply(self) -> Reply:
+        return refusal_reply(Refusal(Reason.TOO_LARGE, f"a body over {self.max_body_bytes} bytes"), last=True)
 
     def _route(self, line: Line, head: h11.Request, body: bytes) -> Iterator[Until]:
         path = head.target.partition(b"?")[0]
-        methods = {TARGETS: b"POST", LOG_TARGET: b"GET", STATUS_PATH: b"GET", READY_PATH: b"GET"}
+        methods = {TARGETS_PATH: b"POST", LOG_TARGET: b"GET", STATUS_PATH: b"GET", READY_PATH: b"GET"}
         if path not in methods:
-            return unreadable(f"no path {path[:60].decode('latin-1')}", 404, last=False)
+            return unreadable_reply(f"no path {path[:60].decode('latin-1')}", 404, last=False)
         if head.method != methods[path]:
-            return unreadable(f"{path.decode()} takes {methods[path].decode()}", 405, last=False)
+            return unreadable_reply(f"{path.decode()} takes {methods[path].decode()}", 405, last=False)
         if path == STATUS_PATH:
             return Reply(200, json.dumps(status_of(self)).encode())
         if path == READY_PATH:
-            return Reply(200 if self.is_ready() else STATUS[Reason.NOT_READY], b"")
+            return Reply(200 if self.is_ready() else HTTP_STATUS[Reason.NOT_READY], b"")
         if not self.is_ready():
-            return self._not_ready()
+            return self._not_ready_reply()
         if path == LOG_TARGET:
-            return self._log_piece(head.target)
+            return self._log_chunk_reply(head.target)
         return (yield from self._subscribe(line, head.target, body))
 
-    def _log_piece(self, target: bytes) -> Reply:
+    def _log_chunk_reply(self, target: bytes) -> Reply:
         """A piece of the source's file for a node whose upstream this one is."""
-        told = dict(parse_qsl(target.partition(b"?")[2].decode("latin-1")))
-        offset = told.get("offset", "")
-        if len(told) != 1 or not is_number(offset):
-            return unreadable("query.offset: is no whole number from 0 up", last=False)
+        update = dict(parse_qsl(target.partition(b"?")[2].decode("latin-1")))
+        offset = update.get("offset", "")
+        if len(update) != 1 or not is_number(offset):
+            return unreadable_reply("query.offset: is no whole number from 0 up", last=False)
         identity = f"{self.table.prefix}{self.source.files}"
-        return Reply(200, encode_piece(identity, self.source.piece(int(offset), LOG_CHUNK)))
+        return Reply(200, encode_log_chunk(identity, self.source.read_piece(int(offset), LOG_CHUNK_BYTES)))
 
     # Subscriptions.
 
     def _subscribe(self, line: Line, target: bytes, body: bytes) -> Iterator[Until]:
         try:
-            poll = read_poll(target, self.most_wait)
+            poll = read_poll(target, self.max_wait_ms)
             request = decode_request(body)
         except MessageError as fault:
-            return unreadable(str(fault), last=False)
+            return unreadable_reply(str(fault), last=False)
         if line.left():  # nobody would hear the answer, and it would count as told
             return None
         return (yield from self._decide(line, request, poll))
@@ -327,36 +331,36 @@
         if request.lease in self.parked:
             self._supersede(request.lease)
         decision = self.table.request(self.loop.now(), request, poll.index)
-        self._release_ended()
+        self._wake_ended()
         if isinstance(decision, Wait):
             return (yield from self._park(line, decision.lease, poll.wait))
-        return (yield from self._answer(decision))
+        return (yield from self._build_reply(decision))
 
     def _park(self, line: Line, lease: str, wait: float) -> Iterator[Until]:
         """Waits for a change of the lease; None where the client has left meanwhile."""
         if wait > 0.0 and len(self.parked) >= self.bounds.parked:
-            why = "no room for another request that waits"
-            return refused(Refusal(Reason.TOO_MANY, why, TURNED_AWAY_RETRY))
+            message = "no room for another request that waits"
+            return refusal_reply(Refusal(Reason.TOO_MANY, message, OVERLOAD_RETRY_MS))
         parked = self.parked[lease] = Parked(line, Event(self.loop))
         try:
-            heard = yield from self._wait_parked(line, parked, self.loop.now() + wait)
+            answerable = yield from self._wait_parked(line, parked, self.loop.now() + wait)
         finally:
             if self.parked.get(lease) is parked:
                 del self.parked[lease]
-        if not heard:
+        if not answerable:
             return None
-        told = self.table.idle(lease) if parked.superseded else self.table.tell(lease)
-        return (yield from self._answer(told))
+        update = self.table.idle(lease) if parked.superseded else self.table.tell(lease)
+        return (yield from self._build_reply(update))
 
     def _wait_parked(self, line: Line, parked: Parked, until: float) -> Iterator[Until]:
         """Until it is woken or its time is up; False where the client has left before."""
-        watched = line.sock.fileno()
+        descriptor = line.sock.fileno()
         while not parked.woken:
-            if not (yield Until(until, watched, READ, parked.event)):
+            if not (yield Until(until, descriptor, READ, parked.event)):
                 break
             if not parked.woken and line.left():
                 return False
-            watched = -1  # the next request lies there already: its turn comes after this answer
+            descriptor = -1  # the next request lies there already: its turn comes after this answer
         return True
 
     def _wake(self, lease: str) -> None:
@@ -370,21 +374,21 @@
         parked.superseded = True
         parked.wake()
 
-    def _release_ended(self) -> None:
+    def _wake_ended(self) -> None:
         for lease in self.table.take_ended():
             self._wake(lease)
 
     def _expire(self) -> Iterator[Until]:
         while True:
-            yield Until(self.loop.now() + EXPIRY)
+            yield Until(self.loop.now() + LEASE_EXPIRY_INTERVAL_MS)
             self.table.expire(self.loop.now())
-            self._release_ended()
+            self._wake_ended()
 
-    def _answer(self, decision: Tell | Refusal) -> Iterator[Until]:
+    def _build_reply(self, decision: LeaseUpdate | Refusal) -> Iterator[Until]:
         """The reply; a long one is made in several passes. What changes meanwhile is told by the next one
         again."""
         if isinstance(decision, Refusal):
-            return refused(decision)
+            return refusal_reply(decision)
         entries = yield from self._look_up(decision.destinations)
         complete = tuple(destination for destination, found in entries.items() if found)
         unknown = tuple(destination for destination, found in entries.items() if not found)
@@ -405,34 +409,36 @@
     def _look_up(self, destinations: tuple[int, ...]) -> Iterator[Until]:
         """The entries of each destination, all as of one moment: an endpoint that moves must not stand in
         two."""
-        catalogue, touched, entries = self.source.catalogue, set(), {}
-        self._lookups.append(touched)
+        catalogue, changed, entries = self.source.catalogue, set(), {}
+        self._changes_during_lookups.append(changed)
         try:
             for position, destination in enumerate(destinations, 1):
                 entries[destination] = catalogue.entries(destination)
-                if position % ANSWER_STEP == 0:
+                if position % ANSWER_DESTINATIONS_PER_STEP == 0:
                     yield Until(self.loop.now())
         finally:
-            self._lookups = [other for other in self._lookups if other is not touched]
+            self._changes_during_lookups = [
+                other for other in self._changes_during_lookups if other is not changed
+            ]
         replaced = self.source.catalogue is not catalogue
-        for destination in entries if replaced else touched.intersection(entries):
+        for destination in entries if replaced else changed.intersection(entries):
             entries[destination] = self.source.catalogue.entries(destination)
         return entries
 
-    def _not_ready(self) -> Reply:
-        return refused(self._not_ready_refusal(), last=self.stopping)
+    def _not_ready_reply(self) -> Reply:
+        return refusal_reply(self._not_ready_refusal(), last=self.stopping)
 
     def _not_ready_refusal(self) -> Refusal:
-        why = "the node ends" if self.stopping else "the node has not read its list yet"
-        return Refusal(Reason.NOT_READY, why, NOT_READY_RETRY)
+        message = "the node ends" if self.stopping else "the node has not read its list yet"
+        return Refusal(Reason.NOT_READY, message, NOT_READY_RETRY_MS)
 
     # Answers.
 
-    def _reply(self, line: Line, reply: Reply) -> Iterator[Until]:
+    def _send_reply(self, line: Line, reply: Reply) -> Iterator[Until]:
         """Whether the connection may serve another request."""
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(reply.body)))]
         if reply.refusal:
-            self._count(reply.refusal)
+            self._log_refusal(reply.refusal)
             if reply.refusal.retry_ms:
                 headers.append(("Retry-After", str(retry_seconds(reply.refusal))))
         if reply.last or self.stopping:
@@ -441,21 +447,21 @@
             data = line.encode(h11.Response(status_code=reply.status, headers=headers), reply.body)
         except h11.LocalProtocolError:  # it spoke no HTTP, or is gone
             return False
-        done = yield from line.write(data, self.loop.now() + PATIENCE)
+        done = yield from line.write(data, self.loop.now() + REQUEST_TIMEOUT_MS)
         return done == len(data) and line.again()
 
-    def _count(self, refusal: Refusal) -> None:
+    def _log_refusal(self, refusal: Refusal) -> None:
         """One line a second at the most: those that come at full speed are counted."""
         self.refused[refusal.reason] += 1
-        self._turned_away += 1
+        self._unlogged_refusals += 1
         now = self.loop.now()
-        if now < self._told_at + REPEAT:
+        if now < self._refusal_logged_at + REFUSAL_LOG_INTERVAL_MS:
             return
         logger.warning(
             "{requests} requests refused, the last as {reason}: {why}",
             event="refused",
-            requests=self._turned_away,
+            requests=self._unlogged_refusals,
             reason=refusal.reason.value,
-            why=refusal.message,
+            message=refusal.message,
         )
-        self._turned_away, self._told_at = 0, now
+        self._unlogged_refusals, self._refusal_logged_at = 0, now
--- a/calicopin/discovery_node/status.py
+++ b/calicopin/discovery_node/status.py
@@ -20,7 +20,7 @@
 def status_of(server: "NodeServer") -> dict:
     """Figures for operators, as JSON has them."""
     source, catalogue = server.source, server.source.catalogue
-    figures = asdict(catalogue.figures()) if catalogue else {}
+    stats = asdict(catalogue.stats()) if catalogue else {}
     return {
         "node": server.table.node,
         "fleet": server.table.fleet,
@@ -30,7 +30,7 @@
         "subscriptions": server.table.subscriptions,
         "connections": len(server.connections),
         "parked": len(server.parked),
-        **figures,
+        **stats,
         "answers": server.answers,
         "destinations_changed": server.destinations_changed,
         "changes_told": server.changes_told,
--- a/calicopin/discovery_node/upstream.py
+++ b/calicopin/discovery_node/upstream.py
@@ -17,21 +17,21 @@
 from calicopin.wire.loop import Loop, Until
 
 LOG_PATH = "/api/log"
-LOG_CHUNK = 1 << 20  # bytes of the log in one answer
-MOST_IDENTITY = 512  # bytes in front of them
-PAUSE = 250.0  # ms between two requests where nothing was new
-RETRY = 1000.0  # ms after one that failed
-REFUSED_RETRY = 30_000.0  # ms after a copy that could not be used: it is made whole again
-PATIENCE = 5000.0  # ms for one answer
-SUFFIX = ".part"  # of a copy that is not whole yet
+LOG_CHUNK_BYTES = 1 << 20  # bytes of the log in one answer
+MAX_IDENTITY_BYTES = 512  # bytes in front of them
+POLL_INTERVAL_MS = 250.0  # ms between two requests where nothing was new
+RETRY_INTERVAL_MS = 1000.0  # ms after one that failed
+REJECTED_COPY_RETRY_MS = 30_000.0  # ms after a copy that could not be used: it is made whole again
+ANSWER_TIMEOUT_MS = 5000.0  # ms for one answer
+PARTIAL_SUFFIX = ".part"  # of a copy that is not whole yet
 
 
-def encode_piece(identity: str, data: bytes) -> bytes:
+def encode_log_chunk(identity: str, data: bytes) -> bytes:
     """A piece of the log: a line that names the file, and the bytes."""
     return identity.encode() + b"\n" + data
 
 
-def write_whole(descriptor: int, data: bytes, offset: int) -> None:
+def write_all(descriptor: int, data: bytes, offset: int) -> None:
     """All of it, or OSError; once more does no harm."""
     done = 0
     while done < len(data):
@@ -47,8 +47,8 @@
         self.heard_at: float | None = None  # wall time of the last answer, ms
         self.copies = 0  # made whole
         self._identity, self._offset, self._descriptor = "", 0, -1
-        self._whole = False  # whether the copy has taken its place
-        self._told = ""
+        self._is_published = False  # whether the copy has taken its place
+        self._last_logged = ""
         if not os.path.exists(path):
             os.close(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o644))
         super().__init__(loop, address)
@@ -57,69 +57,72 @@
         """For ever: one request after the other on one connection, a new one after a fault."""
         self.hang_up()
         while True:
-            pause = PAUSE
+            pause = POLL_INTERVAL_MS
             try:
-                piece = yield from self._ask()
-                if piece is None:
-                    self._tell_once(f"the upstream node {self.address} does not answer")
-                    pause = RETRY
-                elif self._take(piece):
+                chunk = yield from self._request_chunk()
+                if chunk is None:
+                    self._log_once(f"the upstream node {self.address} does not answer")
+                    pause = RETRY_INTERVAL_MS
+                elif self._append(chunk):
                     pause = 0.0
             except (OSError, SourceError) as fault:
-                self._tell_once(f"no copy of the list of the upstream node {self.address}: {fault}")
-                self._identity, pause = "", REFUSED_RETRY
+                self._log_once(f"no copy of the list of the upstream node {self.address}: {fault}")
+                self._identity, pause = "", REJECTED_COPY_RETRY_MS
             yield Until(self.loop.now() + pause)
 
-    def _ask(self) -> Iterator[Until]:
+    def _request_chunk(self) -> Iterator[Until]:
         """The next piece; None where none came."""
-        until = self.loop.now() + PATIENCE
+        until = self.loop.now() + ANSWER_TIMEOUT_MS
         line = yield from self.connect(until)
         if not line:
             return None
         target = f"{LOG_PATH}?offset={self._offset}"
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        status, body = (yield from line.ask(request, b"", LOG_CHUNK + MOST_IDENTITY, until)) or (0, b"")
+        status, body = (yield from line.ask(request, b"", LOG_CHUNK_BYTES + MAX_IDENTITY_BYTES, until)) or (
+            0,
+            b"",
+        )
         if not (status and line.again()):
             self.hang_up()
         return body if status == 200 else None
 
-    def _take(self, piece: bytes) -> bool:
+    def _append(self, chunk: bytes) -> bool:
         """Takes one piece in; whether there may be more at once."""
         self.heard_at = self.loop.system.wall()
-        name, _, data = piece.partition(b"\n")
+        name, _, data = chunk.partition(b"\n")
         identity = name.decode("latin-1")
         if identity != self._identity:
-            self._begin(identity)
+            self._start_copy(identity)
             return True
-        write_whole(self._descriptor, data, self._offset)
+        write_all(self._descriptor, data, self._offset)
         self._offset += len(data)
-        if len(data) >= LOG_CHUNK:
+        if len(data) >= LOG_CHUNK_BYTES:
             return True
-        self._told = ""
-        if not self._whole:
-            self._put_in_place()
+        self._last_logged = ""
+        if not self._is_published:
+            self._publish()
         return False
 
-    def _begin(self, identity: str) -> None:
+    def _start_copy(self, identity: str) -> None:
         """A new copy, from the log's first byte on."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
-        self._descriptor = os.open(self.path + SUFFIX, flags, 0o644)
-        self._identity, self._offset, self._whole = identity, 0, False
+        self._descriptor = os.open(self.path + PARTIAL_SUFFIX, flags, 0o644)
+        self._identity, self._offset, self._is_published = identity, 0, False
 
-    def _put_in_place(self) -> None:
+    def _publish(self) -> None:
         """The copy is whole: it is the source from now on, if it is one of this fleet."""
-        file = open_source(self.path + SUFFIX, self.fleet)
+        file = open_source(self.path + PARTIAL_SUFFIX, self.fleet)
         file.close()
         if file.offset == 0:
             raise SourceError("it has no whole header yet")
-        os.replace(self.path + SUFFIX, self.path)
-        self._whole = True
+        os.replace(self.path + PARTIAL_SUFFIX, self.path)
+        self._is_published = True
         self.copies += 1
 
-    def _tell_once(self, why: str) -> None:
-        if why != self._told:
+    def _log_once(self, why: str) -> None:
+        if why != self._last_logged:
             logger.warning("{why}", event="upstream.unheard", why=why)
-            self._told = why
+            self._last_logged = why
--- a/calicopin/subscription/interest.py
+++ b/calicopin/subscription/interest.py
@@ -11,10 +11,14 @@
 from dataclasses import dataclass
 
 IDLE = 600000.0  # after its last use a destination is given up, where nothing is held for it
-IDLE_SPREAD = 0.5  # the part of that by which it is longer by chance: sets don't shrink all in one request
-RECHECK = 30000.0  # after which one that was idle and still needed is looked at again
+IDLE_JITTER_FRACTION = (
+    0.5  # the part of that by which it is longer by chance: sets don't shrink all in one request
+)
+RECHECK_INTERVAL_MS = 30000.0  # after which one that was idle and still needed is looked at again
 MOST = 100_000  # destinations of one courier
-FULL_FOR = 1000.0  # as long a set found full of needed destinations counts as full: no walk at each use
+FULL_RECHECK_INTERVAL_MS = (
+    1000.0  # as long a set found full of needed destinations counts as full: no walk at each use
+)
 
 
 class InterestFullError(Exception):
@@ -33,7 +37,7 @@
     given_up: int | None = None
 
 
-REPEATED = Use(fresh=False)
+ALREADY_TRACKED = Use(fresh=False)
 
 
 class Interest:
@@ -41,75 +45,83 @@
 
     def __init__(self, seed: int, in_use: Callable[[int], bool], idle: float = IDLE, most: int = MOST):
         self.seed, self.in_use, self.idle, self.most = seed, in_use, idle, most
-        self._used: OrderedDict[int, float] = OrderedDict()  # last use by destination, the latest at the end
-        self._due: list[tuple[float, int]] = []  # a heap: one live entry for each destination
-        self._entry: dict[int, float] = {}  # the time of its live entry
+        self._last_used: OrderedDict[int, float] = (
+            OrderedDict()
+        )  # last use by destination, the latest at the end
+        self._schedule_heap: list[tuple[float, int]] = []  # a heap: one live entry for each destination
+        self._scheduled_at: dict[int, float] = {}  # the time of its live entry
         self._full_until = -float("inf")
-        self.looks = 0  # destinations looked at in sweeps and for room: work, for tests and figures
+        self.destinations_checked = (
+            0  # destinations looked at in sweeps and for room: work, for tests and figures
+        )
 
     def __len__(self) -> int:
-        return len(self._used)
+        return len(self._last_used)
 
     def __contains__(self, destination: int) -> bool:
-        return destination in self._used
+        return destination in self._last_used
 
     def use(self, destination: int, now: float) -> Use:
         """Notes a use; raises InterestFullError where there is no room for a new destination."""
-        if destination in self._used:
-            self._used[destination] = now
-            self._used.move_to_end(destination)
-            return REPEATED
-        given_up = self._make_room(now) if len(self._used) >= self.most else None
-        self._used[destination] = now
-        self._plan(destination, now + self._patience(destination, now))
+        if destination in self._last_used:
+            self._last_used[destination] = now
+            self._last_used.move_to_end(destination)
+            return ALREADY_TRACKED
+        given_up = self._evict_least_recently_used(now) if len(self._last_used) >= self.most else None
+        self._last_used[destination] = now
+        self._schedule(destination, now + self._idle_timeout(destination, now))
         return Use(True, given_up)
 
     def sweep(self, now: float) -> list[int]:
         """Gives up what is due, and says what that was."""
         given_up = []
-        while self._due and self._due[0][0] <= now:
-            at, destination = heapq.heappop(self._due)
-            if self._entry.get(destination) != at:
+        while self._schedule_heap and self._schedule_heap[0][0] <= now:
+            at, destination = heapq.heappop(self._schedule_heap)
+            if self._scheduled_at.get(destination) != at:
                 continue  # given up meanwhile
-            self.looks += 1
-            until = self._used[destination] + self._patience(destination, self._used[destination])
+            self.destinations_checked += 1
+            until = self._last_used[destination] + self._idle_timeout(
+                destination, self._last_used[destination]
+            )
             if until > now:
-                self._plan(destination, until)
+                self._schedule(destination, until)
             elif self.in_use(destination):
-                self._plan(destination, now + RECHECK)
+                self._schedule(destination, now + RECHECK_INTERVAL_MS)
             else:
-                self._forget(destination)
+                self._remove(destination)
                 given_up.append(destination)
         return given_up
 
     def next_due(self) -> float:
         """When a sweep has something to look at; infinity where nothing is in the set."""
-        return self._due[0][0] if self._due else float("inf")
+        return self._schedule_heap[0][0] if self._schedule_heap else float("inf")
 
-    def _patience(self, destination: int, used: float) -> float:
+    def _idle_timeout(self, destination: int, used: float) -> float:
         """How long an idle destination stays: longer by chance, drawn anew after each use."""
-        chance = zlib.crc32(f"{self.seed}:{destination}:{used}".encode()) / 2**32
-        return self.idle * (1.0 + IDLE_SPREAD * chance)
+        random_fraction = zlib.crc32(f"{self.seed}:{destination}:{used}".encode()) / 2**32
+        return self.idle * (1.0 + IDLE_JITTER_FRACTION * random_fraction)
 
-    def _plan(self, destination: int, at: float) -> None:
-        self._entry[destination] = at
-        heapq.heappush(self._due, (at, destination))
+    def _schedule(self, destination: int, at: float) -> None:
+        self._scheduled_at[destination] = at
+        heapq.heappush(self._schedule_heap, (at, destination))
 
-    def _make_room(self, now: float) -> int:
+    def _evict_least_recently_used(self, now: float) -> int:
         """Gives up the least recently used that is not needed."""
         if now >= self._full_until:
-            for _ in range(len(self._used)):
-                destination = next(iter(self._used))
-                self.looks += 1
+            for _ in range(len(self._last_used)):
+                destination = next(iter(self._last_used))
+                self.destinations_checked += 1
                 if not self.in_use(destination):
-                    self._forget(destination)
+                    self._remove(destination)
                     return destination
-                self._used.move_to_end(destination)
-            self._full_until = now + FULL_FOR
+                self._last_used.move_to_end(destination)
+            self._full_until = now + FULL_RECHECK_INTERVAL_MS
         raise InterestFullError(self.most)
 
-    def _forget(self, destination: int) -> None:
-        del self._used[destination], self._entry[destination]
-        if len(self._due) > 64 + 2 * len(self._entry):  # mostly entries of those given up to make room
-            self._due = [(at, kept) for kept, at in self._entry.items()]
-            heapq.heapify(self._due)
+    def _remove(self, destination: int) -> None:
+        del self._last_used[destination], self._scheduled_at[destination]
+        if len(self._schedule_heap) > 64 + 2 * len(
+            self._scheduled_at
+        ):  # mostly entries of those given up to make room
+            self._schedule_heap = [(at, kept) for kept, at in self._scheduled_at.items()]
+            heapq.heapify(self._schedule_heap)
--- a/calicopin/subscription/leases.py
+++ b/calicopin/subscription/leases.py
@@ -17,7 +17,7 @@
 
 LEAST_LEASE_BOUND = 1024
 MOST_NODE_WORD = 128  # characters of a node's name: it stands in the lease's
-NO_ROOM_RETRY = 1000.0  # ms, at least, after which a courier that found no room comes again
+MIN_CAPACITY_RETRY_MS = 1000.0  # ms, at least, after which a courier that found no room comes again
 NOTHING: frozenset[int] = frozenset()
 
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class LeaseUpdate:
     """An answer that is due now: these destinations, all of their endpoints; of a `full` one they are the
     whole set."""
 
@@ -58,26 +58,28 @@
         "name",
         "courier",
         "sequence",
-        "until",
+        "expires_at",
         "destinations",
-        "acknowledged",
-        "sent",
+        "acknowledged_version",
+        "sent_version",
         "in_flight",
         "changed",
         "tokens",
-        "tokens_at",
+        "tokens_updated_at",
     )
 
-    def __init__(self, name: str, courier: str, tokens: float, tokens_at: float):
-        self.name, self.courier, self.sequence, self.until = name, courier, 0, 0.0
+    def __init__(self, name: str, courier: str, tokens: float, tokens_updated_at: float):
+        self.name, self.courier, self.sequence, self.expires_at = name, courier, 0, 0.0
         self.destinations = array("I")  # sorted
-        self.acknowledged: int | None = None  # the version that the courier is known to have
-        self.sent: int | None = None  # the version of the last answer, where that is not known to have come
+        self.acknowledged_version: int | None = None  # the version that the courier is known to have
+        self.sent_version: int | None = (
+            None  # the version of the last answer, where that is not known to have come
+        )
         self.in_flight: set[int] | frozenset[int] = NOTHING  # told under `sent`
         self.changed: set[int] | frozenset[int] = NOTHING  # not told yet
-        self.tokens, self.tokens_at = tokens, tokens_at
+        self.tokens, self.tokens_updated_at = tokens, tokens_updated_at
 
-    def mark(self, destination: int) -> None:
+    def mark_changed(self, destination: int) -> None:
         """The destination is to be told."""
         if not self.changed:
             self.changed = set()
@@ -86,13 +88,13 @@
     def acknowledge(self, index: int | None) -> bool:
         """Takes the version in that the courier has; False where only the whole set can bring it up to
         date."""
-        if index is None or index not in (self.sent, self.acknowledged):
+        if index is None or index not in (self.sent_version, self.acknowledged_version):
             return False
-        if index == self.sent:
-            self.acknowledged = index
+        if index == self.sent_version:
+            self.acknowledged_version = index
         else:  # the last answer was lost
             self.changed = self.changed | self.in_flight
-        self.sent, self.in_flight = None, NOTHING
+        self.sent_version, self.in_flight = None, NOTHING
         return True
 
 
@@ -114,23 +116,25 @@
     def __len__(self) -> int:
         return len(self._leases)
 
-    def request(self, now: float, request: SubscribeRequest, index: int | None) -> Tell | Wait | Refusal:
+    def request(
+        self, now: float, request: SubscribeRequest, index: int | None
+    ) -> LeaseUpdate | Wait | Refusal:
         """Decides on one request; `index` is the version that the courier says it has."""
         self.expire(now)
         return self._open(now, request) if request.lease is None else self._renew(now, request, index)
 
-    def tell(self, name: str) -> Tell | Refusal:
+    def tell(self, name: str) -> LeaseUpdate | Refusal:
         """What a request that waited is answered with now, with or without something to tell."""
         lease = self._leases.get(name)
         if lease is None:
             return Refusal(Reason.LEASE_OVER, "the lease ended while the request waited")
-        return self._told(lease)
+        return self._pending_update(lease)
 
-    def idle(self, name: str) -> Tell | Refusal:
+    def idle(self, name: str) -> LeaseUpdate | Refusal:
         """What a request is answered with in whose place another of the same lease came: nothing is told by
         it."""
         lease = self._leases.get(name)
-        return self.tell(name) if lease is None else self._empty(lease)
+        return self.tell(name) if lease is None else self._empty_update(lease)
 
     def change(self, destinations: Iterable[int]) -> set[str]:
         """These destinations changed; the names of the leases that have something to tell by it."""
@@ -138,7 +142,7 @@
         for destination in destinations:
             for lease in self._subscribers_of(destination):
                 self.work += 1
-                lease.mark(destination)
+                lease.mark_changed(destination)
                 touched.add(lease.name)
         return touched
 
@@ -146,7 +150,7 @@
         """Ends the leases that were not renewed in time; costs by those alone."""
         while self._leases:
             lease = next(iter(self._leases.values()))
-            if lease.until > now:
+            if lease.expires_at > now:
                 return
             self._end(lease)
 
@@ -159,79 +163,83 @@
         """Every destination that some lease holds."""
         return list(self._subscribers)
 
-    def _open(self, now: float, request: SubscribeRequest) -> Tell | Refusal:
-        refusal = self._foreign(request) or self._misused(request)
+    def _open(self, now: float, request: SubscribeRequest) -> LeaseUpdate | Refusal:
+        refusal = self._check_fleet(request) or self._check_new_lease(request)
         if refusal:
             return refusal
         wanted = set(request.subscribe)
         if len(wanted) > self.bounds.destinations:
             return self._too_large(len(wanted))
-        old = self._couriers.get(request.courier)
-        if old is None and len(self._leases) >= self.bounds.leases:
-            return self._no_room(now)
-        if old is not None:
-            wait = self._spend(old, now)
-            if wait:
-                return wait
-            self._end(old)
+        previous = self._couriers.get(request.courier)
+        if previous is None and len(self._leases) >= self.bounds.leases:
+            return self._at_capacity(now)
+        if previous is not None:
+            rate_refusal = self._take_token(previous, now)
+            if rate_refusal:
+                return rate_refusal
+            self._end(previous)
         self.work += 1
-        lease = self._grant(request.courier, now, old)
+        lease = self._grant(request.courier, now, previous)
         self._set_destinations(lease, wanted)
-        self._keep(lease, now)
-        return self._full(lease)
+        self._extend(lease, now)
+        return self._full_update(lease)
 
-    def _renew(self, now: float, request: SubscribeRequest, index: int | None) -> Tell | Wait | Refusal:
-        refusal = self._foreign(request)
+    def _renew(
+        self, now: float, request: SubscribeRequest, index: int | None
+    ) -> LeaseUpdate | Wait | Refusal:
+        refusal = self._check_fleet(request)
         if refusal:
             return refusal
         lease = self._leases.get(request.lease)
         if lease is None or lease.courier != request.courier:
             return self._unknown_lease(request.lease)
         self.work += 1
-        self._keep(lease, now)
-        wait = self._spend(lease, now)
-        if wait:
-            return wait
-        step = request.sequence - lease.sequence
-        if step not in (0, 1):
+        self._extend(lease, now)
+        rate_refusal = self._take_token(lease, now)
+        if rate_refusal:
+            return rate_refusal
+        sequence_step = request.sequence - lease.sequence
+        if sequence_step not in (0, 1):
             return Refusal(
                 Reason.LEASE_OVER,
                 f"sequence {request.sequence} does not follow {lease.sequence}: subscribe anew",
             )
-        if step == 1:
+        if sequence_step == 1:
             refusal = self._modify(lease, request)
             if refusal:
                 return refusal
         if not lease.acknowledge(index):
-            return self._full(lease)
-        if step == 0 and not lease.changed:
+            return self._full_update(lease)
+        if sequence_step == 0 and not lease.changed:
             return Wait(lease.name)
-        return self._told(lease)
+        return self._pending_update(lease)
 
     def _modify(self, lease: Lease, request: SubscribeRequest) -> Refusal | None:
         """Takes one change of the set in, or nothing of it."""
-        added, held = set(request.subscribe), set(lease.destinations)
-        wanted = (held - set(request.unsubscribe)) | added
+        added, current = set(request.subscribe), set(lease.destinations)
+        wanted = (current - set(request.unsubscribe)) | added
         if len(wanted) > self.bounds.destinations:
             return self._too_large(len(wanted))
         lease.sequence += 1
         self._set_destinations(lease, wanted)
-        gone = held - wanted
-        lease.changed = (lease.changed - gone) | added
-        lease.in_flight = lease.in_flight - gone
+        removed = current - wanted
+        lease.changed = (lease.changed - removed) | added
+        lease.in_flight = lease.in_flight - removed
         return None
 
-    def _grant(self, courier: str, now: float, old: Lease | None) -> Lease:
+    def _grant(self, courier: str, now: float, previous: Lease | None) -> Lease:
         """A new lease; the courier's allowance goes on from its old one."""
         self.serial += 1
-        tokens, tokens_at = (old.tokens, old.tokens_at) if old else (self.bounds.burst - 1.0, now)
-        lease = Lease(f"{self.prefix}{self.serial:x}", courier, tokens, tokens_at)
+        tokens, tokens_updated_at = (
+            (previous.tokens, previous.tokens_updated_at) if previous else (self.bounds.burst - 1.0, now)
+        )
+        lease = Lease(f"{self.prefix}{self.serial:x}", courier, tokens, tokens_updated_at)
         self._couriers[courier] = lease
         return lease
 
-    def _keep(self, lease: Lease, now: float) -> None:
+    def _extend(self, lease: Lease, now: float) -> None:
         """Renews: all leases last equally long, so the one renewed last is the last to end."""
-        lease.until = now + self.bounds.lease_ms
+        lease.expires_at = now + self.bounds.lease_ms
         self._leases[lease.name] = lease
         self._leases.move_to_end(lease.name)
 
@@ -242,11 +250,11 @@
         self._set_destinations(lease, set())
         self._ended.append(lease.name)
 
-    def _spend(self, lease: Lease, now: float) -> Refusal | None:
+    def _take_token(self, lease: Lease, now: float) -> Refusal | None:
         """One request of the courier's allowance, a token bucket."""
         rate = self.bounds.requests_per_second
-        filled = lease.tokens + (now - lease.tokens_at) * rate / 1000.0
-        lease.tokens, lease.tokens_at = min(self.bounds.burst, filled), now
+        filled = lease.tokens + (now - lease.tokens_updated_at) * rate / 1000.0
+        lease.tokens, lease.tokens_updated_at = min(self.bounds.burst, filled), now
         if lease.tokens >= 1.0:
             lease.tokens -= 1.0
             return None
@@ -254,68 +262,68 @@
         return Refusal(Reason.TOO_MANY, f"more than {rate:g} requests a second", retry)
 
     def _set_destinations(self, lease: Lease, wanted: set[int]) -> None:
-        held = set(lease.destinations)
-        for destination in held - wanted:
+        current = set(lease.destinations)
+        for destination in current - wanted:
             self._remove_subscriber(destination, lease)
-        for destination in wanted - held:
+        for destination in wanted - current:
             self._add_subscriber(destination, lease)
-        self.subscriptions += len(wanted) - len(held)
+        self.subscriptions += len(wanted) - len(current)
         lease.destinations = array("I", sorted(wanted))
 
     def _subscribers_of(self, destination: int) -> Iterator[Lease]:
-        held = self._subscribers.get(destination)
-        if isinstance(held, Lease):
-            yield held
-        elif held:
-            yield from held
+        subscribers = self._subscribers.get(destination)
+        if isinstance(subscribers, Lease):
+            yield subscribers
+        elif subscribers:
+            yield from subscribers
 
     def _add_subscriber(self, destination: int, lease: Lease) -> None:
-        held = self._subscribers.get(destination)
-        if held is None:
+        subscribers = self._subscribers.get(destination)
+        if subscribers is None:
             self._subscribers[destination] = lease
-        elif isinstance(held, Lease):
-            self._subscribers[destination] = {held, lease}
+        elif isinstance(subscribers, Lease):
+            self._subscribers[destination] = {subscribers, lease}
         else:
-            held.add(lease)
+            subscribers.add(lease)
 
     def _remove_subscriber(self, destination: int, lease: Lease) -> None:
-        held = self._subscribers[destination]
-        if held is lease:
+        subscribers = self._subscribers[destination]
+        if subscribers is lease:
             del self._subscribers[destination]
             return
-        held.discard(lease)
-        if len(held) == 1:
-            self._subscribers[destination] = held.pop()
+        subscribers.discard(lease)
+        if len(subscribers) == 1:
+            self._subscribers[destination] = subscribers.pop()
 
-    def _full(self, lease: Lease) -> Tell:
+    def _full_update(self, lease: Lease) -> LeaseUpdate:
         """The whole set; no version before this one counts any more."""
-        lease.acknowledged = None
+        lease.acknowledged_version = None
         lease.changed = lease.in_flight = NOTHING
-        return self._under_new_version(lease, True, lease.destinations)
+        return self._update_with_new_version(lease, True, lease.destinations)
 
-    def _told(self, lease: Lease) -> Tell:
+    def _pending_update(self, lease: Lease) -> LeaseUpdate:
         if not lease.changed:
-            return self._empty(lease)
-        told, lease.changed = lease.changed, NOTHING
-        lease.in_flight = lease.in_flight | told
-        return self._under_new_version(lease, False, sorted(lease.in_flight))
+            return self._empty_update(lease)
+        changed, lease.changed = lease.changed, NOTHING
+        lease.in_flight = lease.in_flight | changed
+        return self._update_with_new_version(lease, False, sorted(lease.in_flight))
 
-    def _under_new_version(self, lease: Lease, full: bool, destinations: Iterable[int]) -> Tell:
+    def _update_with_new_version(self, lease: Lease, full: bool, destinations: Iterable[int]) -> LeaseUpdate:
         self.version += 1
-        lease.sent = self.version
-        return Tell(lease.name, lease.sequence, self.version, full, tuple(destinations))
+        lease.sent_version = self.version
+        return LeaseUpdate(lease.name, lease.sequence, self.version, full, tuple(destinations))
 
-    def _empty(self, lease: Lease) -> Tell:
+    def _empty_update(self, lease: Lease) -> LeaseUpdate:
         """Nothing new: the version is the one that the courier has."""
-        version = lease.sent if lease.acknowledged is None else lease.acknowledged
-        return Tell(lease.name, lease.sequence, version, False, ())
+        version = lease.sent_version if lease.acknowledged_version is None else lease.acknowledged_version
+        return LeaseUpdate(lease.name, lease.sequence, version, False, ())
 
-    def _foreign(self, request: SubscribeRequest) -> Refusal | None:
+    def _check_fleet(self, request: SubscribeRequest) -> Refusal | None:
         if request.fleet == self.fleet:
             return None
         return Refusal(Reason.OTHER_FLEET, f"this node serves the fleet {self.fleet}")
 
-    def _misused(self, request: SubscribeRequest) -> Refusal | None:
+    def _check_new_lease(self, request: SubscribeRequest) -> Refusal | None:
         if request.sequence == 0 and not request.unsubscribe:
             return None
         return Refusal(
@@ -327,9 +335,9 @@
             Reason.TOO_LARGE, f"{wanted} destinations, {self.bounds.destinations} at most in one lease"
         )
 
-    def _no_room(self, now: float) -> Refusal:
+    def _at_capacity(self, now: float) -> Refusal:
         first = next(iter(self._leases.values()))
-        retry = max(NO_ROOM_RETRY, first.until - now)
+        retry = max(MIN_CAPACITY_RETRY_MS, first.expires_at - now)
         return Refusal(Reason.TOO_MANY, f"{self.bounds.leases} leases, as many as this node grants", retry)
 
     def _unknown_lease(self, name: str) -> Refusal:
--- a/calicopin/subscription/messages.py
+++ b/calicopin/subscription/messages.py
@@ -11,9 +11,9 @@
 from enum import StrEnum
 from typing import Any
 
-FORM = 1  # of these messages; a later one is refused by name
+FORM_VERSION = 1  # of these messages; a later one is refused by name
 MOST_WORD = 256  # characters of a fleet's, courier's, node's or lease's name
-MOST_DESTINATION = 999_999_999  # as clients may name one
+MAX_DESTINATION = 999_999_999  # as clients may name one
 
 
 class MessageError(ValueError):
@@ -38,7 +38,7 @@
     NOT_READY = "not_ready"  # 503: the node has not read its list yet, or ends
 
 
-STATUS = {
+HTTP_STATUS = {
     Reason.UNREADABLE: 400,
     Reason.OTHER_FLEET: 409,
     Reason.LEASE_OVER: 410,
@@ -106,10 +106,10 @@
     @property
     def status(self) -> int:
         """The HTTP status that goes with the reason."""
-        return STATUS[self.reason]
+        return HTTP_STATUS[self.reason]
 
 
-def _table(value: Any, place: str, fields: tuple[str, ...]) -> dict:
+def _check_object(value: Any, place: str, fields: tuple[str, ...]) -> dict:
     if not isinstance(value, dict):
         raise MessageError(place, "is no object")
     for name in value:
@@ -118,40 +118,42 @@
     return value
 
 
-def _word(value: Any, place: str) -> str:
+def _check_name(value: Any, place: str) -> str:
     if not isinstance(value, str) or not 0 < len(value) <= MOST_WORD:
         raise MessageError(place, f"is no word of 1 to {MOST_WORD} characters")
     return value
 
 
-def _count(value: Any, place: str) -> int:
+def _check_count(value: Any, place: str) -> int:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise MessageError(place, "is no whole number from 0 up")
     return value
 
 
-def _milliseconds(value: Any, place: str) -> float:
+def _check_milliseconds(value: Any, place: str) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < float("inf"):
         raise MessageError(place, "is no number of milliseconds")
     return float(value)
 
 
-def _destinations(value: Any, place: str) -> tuple[int, ...]:
+def _check_destinations(value: Any, place: str) -> tuple[int, ...]:
     if not isinstance(value, list):
         raise MessageError(place, "is no list")
     for position, number in enumerate(value):
-        if isinstance(number, bool) or not isinstance(number, int) or not 0 <= number <= MOST_DESTINATION:
+        if isinstance(number, bool) or not isinstance(number, int) or not 0 <= number <= MAX_DESTINATION:
             raise MessageError(f"{place}[{position}]", "is no number of a destination")
     return tuple(value)
 
 
-def _form(told: dict, place: str) -> None:
-    form = told.get("form")
-    if form != FORM or isinstance(form, bool):
-        raise MessageError(f"{place}.form", f"{str(form)[:20]} is not form {FORM}, the only one known here")
+def _check_form(payload: dict, place: str) -> None:
+    form = payload.get("form")
+    if form != FORM_VERSION or isinstance(form, bool):
+        raise MessageError(
+            f"{place}.form", f"{str(form)[:20]} is not form {FORM_VERSION}, the only one known here"
+        )
 
 
-def _object(data: bytes, place: str) -> Any:
+def _parse_json(data: bytes, place: str) -> Any:
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as fault:
@@ -164,8 +166,8 @@
 
 def encode_request(request: SubscribeRequest) -> bytes:
     """The request's body."""
-    told = {
-        "form": FORM,
+    payload = {
+        "form": FORM_VERSION,
         "fleet": request.fleet,
         "courier": request.courier,
         "lease": request.lease,
@@ -173,29 +175,29 @@
         "subscribe": request.subscribe,
         "unsubscribe": request.unsubscribe,
     }
-    return json.dumps({"subscription": told}, separators=(",", ":")).encode()
+    return json.dumps({"subscription": payload}, separators=(",", ":")).encode()
 
 
 def decode_request(data: bytes) -> SubscribeRequest:
     """Raises MessageError where it cannot be read."""
-    body = _table(_object(data, "body"), "body", ("subscription",))
-    told = _table(body.get("subscription"), "subscription", REQUEST_FIELDS)
-    _form(told, "subscription")
-    lease = told.get("lease")
+    body = _check_object(_parse_json(data, "body"), "body", ("subscription",))
+    payload = _check_object(body.get("subscription"), "subscription", REQUEST_FIELDS)
+    _check_form(payload, "subscription")
+    lease = payload.get("lease")
     return SubscribeRequest(
-        fleet=_word(told.get("fleet"), "subscription.fleet"),
-        courier=_word(told.get("courier"), "subscription.courier"),
-        lease=None if lease is None else _word(lease, "subscription.lease"),
-        sequence=_count(told.get("sequence"), "subscription.sequence"),
-        subscribe=_destinations(told.get("subscribe", []), "subscription.subscribe"),
-        unsubscribe=_destinations(told.get("unsubscribe", []), "subscription.unsubscribe"),
+        fleet=_check_name(payload.get("fleet"), "subscription.fleet"),
+        courier=_check_name(payload.get("courier"), "subscription.courier"),
+        lease=None if lease is None else _check_name(lease, "subscription.lease"),
+        sequence=_check_count(payload.get("sequence"), "subscription.sequence"),
+        subscribe=_check_destinations(payload.get("subscribe", []), "subscription.subscribe"),
+        unsubscribe=_check_destinations(payload.get("unsubscribe", []), "subscription.unsubscribe"),
     )
 
 
 def encode_answer(full: bool, version: int, servers: list[bytes], grant: Grant) -> bytes:
     """An answer's body; `servers` are entries that are JSON already, so that many answers can share them."""
-    told = {
-        "form": FORM,
+    payload = {
+        "form": FORM_VERSION,
         "fleet": grant.fleet,
         "node": grant.node,
         "lease": grant.lease,
@@ -204,7 +206,7 @@
         "complete": grant.complete,
         "unknown": grant.unknown,
     }
-    head = json.dumps({"full": full, "version": version, "subscription": told}, separators=(",", ":"))
+    head = json.dumps({"full": full, "version": version, "subscription": payload}, separators=(",", ":"))
     return head[:-1].encode() + b',"servers":[' + b",".join(servers) + b"]}"
 
 
@@ -212,39 +214,41 @@
     """Raises MessageError where it cannot be read; the entries themselves are checked by the list's
     reader.
     """
-    body = _table(_object(data, "answer"), "answer", ("full", "version", "servers", "subscription"))
-    told = _table(body.get("subscription"), "subscription", GRANT_FIELDS)
-    _form(told, "subscription")
+    body = _check_object(
+        _parse_json(data, "answer"), "answer", ("full", "version", "servers", "subscription")
+    )
+    payload = _check_object(body.get("subscription"), "subscription", GRANT_FIELDS)
+    _check_form(payload, "subscription")
     servers = body.get("servers")
     if not isinstance(body.get("full"), bool):
         raise MessageError("full", "is neither true nor false")
     if not isinstance(servers, list) or not all(isinstance(entry, dict) for entry in servers):
         raise MessageError("servers", "is no list of objects")
     grant = Grant(
-        fleet=_word(told.get("fleet"), "subscription.fleet"),
-        node=_word(told.get("node"), "subscription.node"),
-        lease=_word(told.get("lease"), "subscription.lease"),
-        sequence=_count(told.get("sequence"), "subscription.sequence"),
-        lease_ms=_milliseconds(told.get("lease_ms"), "subscription.lease_ms"),
-        complete=_destinations(told.get("complete"), "subscription.complete"),
-        unknown=_destinations(told.get("unknown"), "subscription.unknown"),
+        fleet=_check_name(payload.get("fleet"), "subscription.fleet"),
+        node=_check_name(payload.get("node"), "subscription.node"),
+        lease=_check_name(payload.get("lease"), "subscription.lease"),
+        sequence=_check_count(payload.get("sequence"), "subscription.sequence"),
+        lease_ms=_check_milliseconds(payload.get("lease_ms"), "subscription.lease_ms"),
+        complete=_check_destinations(payload.get("complete"), "subscription.complete"),
+        unknown=_check_destinations(payload.get("unknown"), "subscription.unknown"),
     )
-    return SubscribeAnswer(body["full"], _count(body.get("version"), "version"), tuple(servers), grant)
+    return SubscribeAnswer(body["full"], _check_count(body.get("version"), "version"), tuple(servers), grant)
 
 
 def encode_refusal(refusal: Refusal) -> bytes:
     """A refusal's body."""
-    told = {"reason": refusal.reason, "message": refusal.message, "retry_ms": refusal.retry_ms}
-    return json.dumps({"error": told}, separators=(",", ":")).encode()
+    payload = {"reason": refusal.reason, "message": refusal.message, "retry_ms": refusal.retry_ms}
+    return json.dumps({"error": payload}, separators=(",", ":")).encode()
 
 
 def decode_refusal(data: bytes) -> Refusal:
     """Raises MessageError where it cannot be read."""
-    body = _table(_object(data, "answer"), "answer", ("error",))
-    told = _table(body.get("error"), "error", ("reason", "message", "retry_ms"))
+    body = _check_object(_parse_json(data, "answer"), "answer", ("error",))
+    payload = _check_object(body.get("error"), "error", ("reason", "message", "retry_ms"))
     try:
-        reason = Reason(told.get("reason"))
+        reason = Reason(payload.get("reason"))
     except ValueError:
-        raise MessageError("error.reason", f"{str(told.get('reason'))[:40]} is none") from None
-    message = str(told.get("message", ""))[:MOST_WORD]
-    return Refusal(reason, message, _milliseconds(told.get("retry_ms", 0.0), "error.retry_ms"))
+        raise MessageError("error.reason", f"{str(payload.get('reason'))[:40]} is none") from None
+    message = str(payload.get("message", ""))[:MOST_WORD]
+    return Refusal(reason, message, _check_milliseconds(payload.get("retry_ms", 0.0), "error.retry_ms"))
--- a/calicopin/subscription/nodes.py
+++ b/calicopin/subscription/nodes.py
@@ -14,14 +14,18 @@
 TRY_JITTER = (
     300.0  # longest wait before the next node is tried: a lost node's couriers don't arrive in one instant
 )
-START_JITTER = 100.0  # the same before the first request of all
+START_JITTER_MS = 100.0  # the same before the first request of all
 ROUND_JITTER = 1500.0  # longest sum of these waits in one round over all nodes
-FIRST_PAUSE = 250.0  # behind a round in which no node answered; doubled for each further one
-MOST_PAUSE = 3500.0  # of that: with a round's waits the next answer is heard within 6 s of a node's return
-SHORT_RETRY = 1000.0  # a refusal of at most so long is waited for at the node that the courier keeps to
-MOST_RETRY = 60000.0  # a longer told time counts as this: guards couriers against a garbled one
-RETURN_SPREAD = 300000.0  # within which couriers go back to a node that they would rather ask
-RETURN_LEAST = 0.2  # part of it that passes in any case
+INITIAL_BACKOFF_MS = 250.0  # behind a round in which no node answered; doubled for each further one
+MAX_BACKOFF_MS = (
+    3500.0  # of that: with a round's waits the next answer is heard within 6 s of a node's return
+)
+MAX_SAME_NODE_RETRY_MS = (
+    1000.0  # a refusal of at most so long is waited for at the node that the courier keeps to
+)
+MAX_RETRY_MS = 60000.0  # a longer told time counts as this: guards couriers against a garbled one
+FAILBACK_WINDOW_MS = 300000.0  # within which couriers go back to a node that they would rather ask
+FAILBACK_MIN_FRACTION = 0.2  # part of it that passes in any case
 
 
 class NoNodesError(ValueError):
@@ -29,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class NextRequest:
     """The next node to ask, not before `at`."""
 
     node: str
@@ -56,21 +60,21 @@
         self.courier, self.seed, self._draws = courier, seed, count()
         self._not_before: dict[str, float] = {}  # by node, as it told with a refusal
         self._tried: set[str] = set()  # in this round
-        self._empty_rounds = 0  # in a row
-        self._return_at = float("inf")  # when a node that is preferred to the current one is tried
+        self._failed_rounds = 0  # in a row
+        self._failback_at = float("inf")  # when a node that is preferred to the current one is tried
         self.current: str | None = None  # the node that the courier keeps to; None while it looks for one
-        self._last_kept: str | None = None
+        self._last_current: str | None = None
         self.asked: str | None = None  # the node of the last turn
         self.changes = 0  # how often another node than before answered
         self._ranked = self._ranking(nodes)
-        self._at = now + START_JITTER * self._chance()
+        self._at = now + START_JITTER_MS * self._random_fraction()
 
     def _ranking(self, nodes: list[str]) -> list[str]:
         if not nodes:
             raise NoNodesError("there is no discovery node in the list")
         return ranking(self.courier, nodes)
 
-    def _chance(self) -> float:
+    def _random_fraction(self) -> float:
         return zlib.crc32(f"{self.seed}:{self.courier}:node:{next(self._draws)}".encode()) / 2**32
 
     @property
@@ -81,63 +85,63 @@
     @property
     def exhausted(self) -> bool:
         """Whether all nodes were asked in vain since one answered last."""
-        return self._empty_rounds > 0
+        return self._failed_rounds > 0
 
-    def turn(self, now: float) -> Turn:
+    def turn(self, now: float) -> NextRequest:
         """The next request's node and earliest time."""
         if self.current is None:
-            self.asked, at = self._next(now)
+            self.asked, at = self._next_untried(now)
         else:
-            self.asked, at = self._preferred(now) or self.current, self._at
-        return Turn(self.asked, max(at, now))
+            self.asked, at = self._failback_node(now) or self.current, self._at
+        return NextRequest(self.asked, max(at, now))
 
-    def _next(self, now: float) -> tuple[str, float]:
+    def _next_untried(self, now: float) -> tuple[str, float]:
         """The most preferred node that was not tried in this round; where all asked for time, the one whose
         time is up first."""
-        begin = max(now, self._at)
-        ready = [node for node in self._ranked if self._not_before.get(node, 0.0) <= begin]
+        earliest = max(now, self._at)
+        ready = [node for node in self._ranked if self._not_before.get(node, 0.0) <= earliest]
         if not ready:
             first = min(self._ranked, key=lambda node: self._not_before[node])
             return first, self._not_before[first]
-        return next((node for node in ready if node not in self._tried), ready[0]), begin
+        return next((node for node in ready if node not in self._tried), ready[0]), earliest
 
-    def _preferred(self, now: float) -> str | None:
+    def _failback_node(self, now: float) -> str | None:
         """The node to return to, once that is due: the best that is not bound to be left alone."""
-        if now < max(self._return_at, self._at):
+        if now < max(self._failback_at, self._at):
             return None
-        better = self._ranked[: self._ranked.index(self.current)]
-        free = [node for node in better if self._not_before.get(node, 0.0) <= now]
-        if not free:
-            self._plan_return(now)
-        return free[0] if free else None
+        preferred = self._ranked[: self._ranked.index(self.current)]
+        available = [node for node in preferred if self._not_before.get(node, 0.0) <= now]
+        if not available:
+            self._schedule_failback(now)
+        return available[0] if available else None
 
-    def _plan_return(self, now: float) -> None:
+    def _schedule_failback(self, now: float) -> None:
         """Each courier goes back at a time of its own: guards a node that has just come back."""
         if self.current is None or self.current == self._ranked[0]:
-            self._return_at = float("inf")
+            self._failback_at = float("inf")
         else:
-            part = RETURN_LEAST + (1.0 - RETURN_LEAST) * self._chance()
-            self._return_at = now + RETURN_SPREAD * part
+            fraction = FAILBACK_MIN_FRACTION + (1.0 - FAILBACK_MIN_FRACTION) * self._random_fraction()
+            self._failback_at = now + FAILBACK_WINDOW_MS * fraction
 
     def answered(self, now: float) -> None:
         """The node that was asked has answered: it is kept to."""
         self._tried.clear()
         self._not_before.pop(self.asked, None)
-        self._empty_rounds, self._at = 0, now
+        self._failed_rounds, self._at = 0, now
         if self.asked != self.current:
-            self.changes += self._last_kept not in (None, self.asked)
-            self.current = self._last_kept = self.asked
-            self._plan_return(now)
+            self.changes += self._last_current not in (None, self.asked)
+            self.current = self._last_current = self.asked
+            self._schedule_failback(now)
 
     def failed(self, now: float) -> None:
         """The node that was asked did not answer, or not so that it could be used."""
         if self.current is not None and self.asked != self.current:
             self._at = now  # a try to return: the current node serves on
-            self._plan_return(now)
+            self._schedule_failback(now)
             return
         self.current = None
         self._tried.add(self.asked)
-        at = now + self._chance() * min(TRY_JITTER, ROUND_JITTER / len(self._ranked))
+        at = now + self._random_fraction() * min(TRY_JITTER, ROUND_JITTER / len(self._ranked))
         if any(node not in self._tried and self._not_before.get(node, 0.0) <= at for node in self._ranked):
             self._at = at
         else:
@@ -145,15 +149,15 @@
 
     def _end_round(self, now: float) -> None:
         self._tried.clear()
-        pause = min(MOST_PAUSE, FIRST_PAUSE * 2.0 ** min(self._empty_rounds, 16))
-        self._empty_rounds += 1
-        self._at = now + pause * (0.5 + 0.5 * self._chance())
+        pause = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2.0 ** min(self._failed_rounds, 16))
+        self._failed_rounds += 1
+        self._at = now + pause * (0.5 + 0.5 * self._random_fraction())
 
     def refused(self, now: float, retry_ms: float) -> None:
         """The node that was asked refused: it is not asked before the time that it told."""
-        until = now + min(retry_ms, MOST_RETRY) + TRY_JITTER * self._chance()
+        until = now + min(retry_ms, MAX_RETRY_MS) + TRY_JITTER * self._random_fraction()
         self._not_before[self.asked] = until
-        if self.asked == self.current and 0.0 < retry_ms <= SHORT_RETRY:
+        if self.asked == self.current and 0.0 < retry_ms <= MAX_SAME_NODE_RETRY_MS:
             self._at = until
         else:
             self.failed(now)
@@ -165,6 +169,6 @@
         self._not_before = {node: at for node, at in self._not_before.items() if node in self._ranked}
         if self.current is not None and self.current not in self._ranked:
             self.current = None
-            self._at = now + TRY_JITTER * self._chance()
-        if self.current == self._ranked[0] or self._return_at == float("inf"):
-            self._plan_return(now)
+            self._at = now + TRY_JITTER * self._random_fraction()
+        if self.current == self._ranked[0] or self._failback_at == float("inf"):
+            self._schedule_failback(now)
--- a/calicopin/subscription/session.py
+++ b/calicopin/subscription/session.py
@@ -19,7 +19,7 @@
     SubscribeRequest,
 )
 
-LEASE_PART = (
+MAX_WAIT_LEASE_FRACTION = (
     1.0 / 3.0
 )  # of a lease: the longest a request may wait at the node, so that the lease never ends under it
 
@@ -70,16 +70,16 @@
 class _Lease:
     """A lease at one node, as the courier knows it."""
 
-    asked: str  # the node as it is asked
+    address: str  # the node as it is asked
     node: str  # as it names itself
     name: str
     lease_ms: float
     version: int
-    served: set[int]  # the set at the node, once `sent` is answered
+    node_destinations: set[int]  # the set at the node, once `sent` is answered
     sequence: int = 0
-    sent: _Change | None = None  # not answered yet
-    add: dict[int, None] = field(default_factory=dict)  # wanted and not served
-    drop: dict[int, None] = field(default_factory=dict)  # served and not wanted
+    pending_change: _Change | None = None  # not answered yet
+    to_subscribe: dict[int, None] = field(default_factory=dict)  # wanted and not served
+    to_unsubscribe: dict[int, None] = field(default_factory=dict)  # served and not wanted
 
 
 class Session:
@@ -89,13 +89,15 @@
         self.fleet, self.courier = fleet, courier
         self.resyncs = 0  # full answers under a lease that went on
         self._wanted: dict[int, None] = {}
-        self._given_up: dict[int, None] = {}  # no longer wanted, and what is known of them not yet forgotten
+        self._unsubscribed: dict[
+            int, None
+        ] = {}  # no longer wanted, and what is known of them not yet forgotten
         self._known: dict[int, dict[str, Place]] = {}  # by destination and endpoint
         self._unknown: set[int] = set()  # destinations that do not exist
         self._owner: dict[str, int] = {}  # the destination of each known endpoint
         self._confirmed: set[int] = set()  # by an answer, not only by a snapshot
         self._lease: _Lease | None = None
-        self._ask: Ask | None = None  # the request that is out
+        self._outstanding: Ask | None = None  # the request that is out
         for destination, places in (restored or {}).items():
             self._wanted[destination] = None
             if known := {place.ident: place for place in places}:
@@ -107,22 +109,22 @@
     def subscribe(self, destination: int) -> None:
         """It belongs to the set from now on."""
         self._wanted[destination] = None
-        self._given_up.pop(destination, None)
+        self._unsubscribed.pop(destination, None)
         if lease := self._lease:
-            lease.drop.pop(destination, None)
-            if destination not in lease.served:
-                lease.add[destination] = None
+            lease.to_unsubscribe.pop(destination, None)
+            if destination not in lease.node_destinations:
+                lease.to_subscribe[destination] = None
 
     def unsubscribe(self, destination: int) -> None:
         """It belongs to the set no longer; what is known of it stays until a request says so."""
         if destination not in self._wanted:
             return
         del self._wanted[destination]
-        self._given_up[destination] = None
+        self._unsubscribed[destination] = None
         if lease := self._lease:
-            lease.add.pop(destination, None)
-            if destination in lease.served:
-                lease.drop[destination] = None
+            lease.to_subscribe.pop(destination, None)
+            if destination in lease.node_destinations:
+                lease.to_unsubscribe[destination] = None
 
     def wants(self, destination: int) -> bool:
         """Whether it belongs to the set."""
@@ -154,50 +156,54 @@
     @property
     def pressing(self) -> bool:
         """Whether a destination waits to be subscribed that no request has named yet."""
-        return bool(self._lease and self._lease.add)
+        return bool(self._lease and self._lease.to_subscribe)
 
     # The exchange.
 
     def longest_wait(self, node: str, wait_ms: float) -> float:
         """How long the next request may wait at the node."""
         lease = self._lease
-        return min(wait_ms, LEASE_PART * lease.lease_ms) if lease and lease.asked == node else 0.0
+        return (
+            min(wait_ms, MAX_WAIT_LEASE_FRACTION * lease.lease_ms) if lease and lease.address == node else 0.0
+        )
 
     def next(self, node: str) -> Ask:
         """The next request to that node: under its lease where there is one, else for a new one."""
         lease = self._lease
-        if lease is None or lease.asked != node:
+        if lease is None or lease.address != node:
             request = SubscribeRequest(self.fleet, self.courier, subscribe=tuple(self._wanted))
-            self._ask = Ask(node, request, None, prompt=True)
-            return self._ask
+            self._outstanding = Ask(node, request, None, prompt=True)
+            return self._outstanding
         released = ()
-        if lease.sent is None:
-            released = self._take_changes(lease)
-        change = lease.sent or _Change(lease.sequence, (), ())
+        if lease.pending_change is None:
+            released = self._collect_changes(lease)
+        change = lease.pending_change or _Change(lease.sequence, (), ())
         request = SubscribeRequest(
             self.fleet, self.courier, lease.name, change.sequence, change.subscribe, change.unsubscribe
         )
-        self._ask = Ask(node, request, lease.version, lease.sent is not None, released)
-        return self._ask
+        self._outstanding = Ask(node, request, lease.version, lease.pending_change is not None, released)
+        return self._outstanding
 
-    def _take_changes(self, lease: _Lease) -> tuple[int, ...]:
+    def _collect_changes(self, lease: _Lease) -> tuple[int, ...]:
         """What changed goes with the next request, and what was given up is forgotten."""
-        if lease.add or lease.drop:
-            lease.sent = _Change(lease.sequence + 1, tuple(lease.add), tuple(lease.drop))
-            lease.served.update(lease.add)
-            lease.served.difference_update(lease.drop)
-            lease.add, lease.drop = {}, {}
-        return self._forget(tuple(self._given_up))
-
-    def _forget(self, given_up: tuple[int, ...]) -> tuple[int, ...]:
-        for destination in given_up:
-            del self._given_up[destination]
+        if lease.to_subscribe or lease.to_unsubscribe:
+            lease.pending_change = _Change(
+                lease.sequence + 1, tuple(lease.to_subscribe), tuple(lease.to_unsubscribe)
+            )
+            lease.node_destinations.update(lease.to_subscribe)
+            lease.node_destinations.difference_update(lease.to_unsubscribe)
+            lease.to_subscribe, lease.to_unsubscribe = {}, {}
+        return self._forget(tuple(self._unsubscribed))
+
+    def _forget(self, destinations: tuple[int, ...]) -> tuple[int, ...]:
+        for destination in destinations:
+            del self._unsubscribed[destination]
             self._confirmed.discard(destination)
             self._unknown.discard(destination)
-            self._disown(destination, self._known.pop(destination, {}))
-        return given_up
+            self._remove_owner(destination, self._known.pop(destination, {}))
+        return destinations
 
-    def _disown(self, destination: int, places: Iterable[str]) -> None:
+    def _remove_owner(self, destination: int, places: Iterable[str]) -> None:
         """The endpoints no longer count as the destination's, unless another one has them already."""
         for ident in places:
             if self._owner.get(ident) == destination:
@@ -212,8 +218,8 @@
             self.abandon()
             raise
         grant, lease = answer.grant, self._lease
-        if self._ask.request.lease is None:
-            released = self._begin(grant, answer.version)
+        if self._outstanding.request.lease is None:
+            released = self._start_lease(grant, answer.version)
         else:
             released = ()
             self._acknowledge(lease)
@@ -221,33 +227,45 @@
             self.resyncs += answer.full
         return self._learn(answer, places, released)
 
-    def _begin(self, grant: Grant, version: int) -> tuple[int, ...]:
+    def _start_lease(self, grant: Grant, version: int) -> tuple[int, ...]:
         """A new lease: what changed since its request goes with the next one."""
-        served = set(self._ask.request.subscribe)
-        self._lease = _Lease(self._ask.node, grant.node, grant.lease, grant.lease_ms, version, served)
-        self._lease.add = {wanted: None for wanted in self._wanted if wanted not in served}
-        self._lease.drop = {gone: None for gone in self._given_up if gone in served}
-        return self._forget(tuple(gone for gone in self._given_up if gone not in served))
+        node_destinations = set(self._outstanding.request.subscribe)
+        self._lease = _Lease(
+            self._outstanding.node, grant.node, grant.lease, grant.lease_ms, version, node_destinations
+        )
+        self._lease.to_subscribe = {
+            wanted: None for wanted in self._wanted if wanted not in node_destinations
+        }
+        self._lease.to_unsubscribe = {
+            destination: None for destination in self._unsubscribed if destination in node_destinations
+        }
+        return self._forget(
+            tuple(destination for destination in self._unsubscribed if destination not in node_destinations)
+        )
 
     @staticmethod
     def _acknowledge(lease: _Lease) -> None:
         """The change that was out has been applied."""
-        if lease.sent:
-            lease.sequence, lease.sent = lease.sent.sequence, None
+        if lease.pending_change:
+            lease.sequence, lease.pending_change = lease.pending_change.sequence, None
 
     def _learn(self, answer: SubscribeAnswer, places: list[Place], released: tuple[int, ...]) -> News:
         """Of a destination told as complete, what is not in the answer has left."""
-        served = self._lease.served
-        complete = tuple(destination for destination in answer.grant.complete if destination in served)
-        unknown = tuple(destination for destination in answer.grant.unknown if destination in served)
+        node_destinations = self._lease.node_destinations
+        complete = tuple(
+            destination for destination in answer.grant.complete if destination in node_destinations
+        )
+        unknown = tuple(
+            destination for destination in answer.grant.unknown if destination in node_destinations
+        )
         before = self._remove(complete + unknown)
         self._known.update((destination, {}) for destination in complete)
         self._unknown.update(unknown)
         self._confirmed.update(complete, unknown)
-        told = set(complete)
-        current = [place for place in places if place.dest in told and not place.left]
+        complete_set = set(complete)
+        current = [place for place in places if place.dest in complete_set and not place.left]
         for place in current:
-            self._put(place)
+            self._add_place(place)
         everything = (
             [place for known in self._known.values() for place in known.values()] if answer.full else ()
         )
@@ -262,11 +280,11 @@
         for destination in destinations:
             known = self._known.pop(destination, {})
             self._unknown.discard(destination)
-            self._disown(destination, known)
+            self._remove_owner(destination, known)
             before += known.values()
         return before
 
-    def _put(self, place: Place) -> None:
+    def _add_place(self, place: Place) -> None:
         """An endpoint belongs to one destination, the one that it was told of last."""
         if (owner := self._owner.get(place.ident)) is not None:
             del self._known[owner][place.ident]
@@ -275,20 +293,20 @@
 
     def refused(self, refusal: Refusal) -> bool:
         """Takes a refusal of the last request in; whether the same node is asked at once, for a new lease."""
-        renewal = self._ask.request.lease is not None
+        renewal = self._outstanding.request.lease is not None
         if renewal and refusal.reason in (Reason.LEASE_OVER, Reason.UNREADABLE, Reason.TOO_LARGE):
             self.abandon()
         return renewal and refusal.reason is Reason.LEASE_OVER
 
     def abandon(self) -> None:
         """The next request asks for a new lease with the whole set; all that is known stays."""
-        if self._lease is not None and self._lease.asked == self._ask.node:
+        if self._lease is not None and self._lease.address == self._outstanding.node:
             self._lease = None
 
     # What an answer may say.
 
     def _check(self, answer: SubscribeAnswer, places: list[Place]) -> None:
-        grant, request, lease = answer.grant, self._ask.request, self._lease
+        grant, request, lease = answer.grant, self._outstanding.request, self._lease
         if grant.fleet != self.fleet:
             raise MessageError("subscription.fleet", f"{grant.fleet[:40]!r} is another fleet")
         if grant.sequence != request.sequence:
@@ -314,13 +332,13 @@
     def _check_destinations(self, answer: SubscribeAnswer) -> None:
         """Each is named once, and all that are owed are there: the whole set in a full answer, else those
         just subscribed to."""
-        grant, request = answer.grant, self._ask.request
-        named = set(grant.complete).union(grant.unknown)
-        if len(named) < len(grant.complete) + len(grant.unknown):
+        grant, request = answer.grant, self._outstanding.request
+        listed = set(grant.complete).union(grant.unknown)
+        if len(listed) < len(grant.complete) + len(grant.unknown):
             raise MessageError("subscription.complete", "names a destination twice")
         resync = answer.full and request.lease is not None
-        owed = set(self._lease.served if resync else request.subscribe)
-        if missing := owed.difference(named):
+        required = set(self._lease.node_destinations if resync else request.subscribe)
+        if missing := required.difference(listed):
             raise MessageError("subscription.complete", f"lacks destination {min(missing)}")
 
     @staticmethod
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -26,7 +26,14 @@
 from calicopin.discovery_node.measure import measure
 from calicopin.discovery_node.node import check_source
 from calicopin.discovery_node.server import NodeServer, ServerBounds
-from calicopin.discovery_node.source import LOOK, MOST_LINE, MOST_TOLD, LineSplitter, Source, SourceError
+from calicopin.discovery_node.source import (
+    LOOK,
+    MAX_LINE_BYTES,
+    MAX_LOGGED_FAULTS,
+    LineSplitter,
+    Source,
+    SourceError,
+)
 from calicopin.discovery_node.upstream import Upstream
 from calicopin.subscription.leases import LeaseBounds, LeaseTable
 from calicopin.subscription.messages import (
@@ -117,7 +124,7 @@
 def test_load_and_changes_agree_with_a_plain_map(monkeypatch, seed, hashes):
     """Also where many endpoints share a hash."""
     if hashes:
-        monkeypatch.setattr(catalogue_module, "hash_of", lambda ident: int(ident[2:]) % hashes)
+        monkeypatch.setattr(catalogue_module, "hash_endpoint_id", lambda ident: int(ident[2:]) % hashes)
     rng = random.Random(seed)
     lines = [
         entry(f"s-{rng.randrange(400)}", rng.randrange(300), rng.choice(("active", "leaving", "left")))
@@ -179,9 +186,9 @@
 
     def look(self):
         """As long as the next look takes."""
-        looks = self.source.looks
+        polls = self.source.polls
         self.loop.now.now += LOOK
-        spin(self.loop, lambda: self.source.looks > looks)
+        spin(self.loop, lambda: self.source.polls > polls)
 
     def append(self, data):
         with open(self.path, "ab") as file:
@@ -267,7 +274,7 @@
         entry("b", 2).replace(b"1.0", b"NaN"),
         entry("b", "2"),
         b"[" * 100_000,
-        b'"' + b"x" * (3 * MOST_LINE) + b'"',
+        b'"' + b"x" * (3 * MAX_LINE_BYTES) + b'"',
     ],
 )
 def test_a_line_that_cannot_be_read_is_passed_over_and_told_once(path, lines, damaged):
@@ -285,7 +292,7 @@
     following = Following(path)
     assert following.entries(1)
     told = [line for line in lines if "passed over" in line]
-    assert len(told) == MOST_TOLD + 1 and "100 lines in all" in told[-1]
+    assert len(told) == MAX_LOGGED_FAULTS + 1 and "100 lines in all" in told[-1]
 
 
 def test_a_replaced_file_is_read_whole_and_only_differences_are_told(path):
@@ -379,7 +386,7 @@
 
 def test_lines_come_whole_however_they_are_cut():
     data = b"".join(
-        line + b"\n" for line in (entry("a", 1), b"x" * (MOST_LINE + 1), entry("b", 2), b"{", b"")
+        line + b"\n" for line in (entry("a", 1), b"x" * (MAX_LINE_BYTES + 1), entry("b", 2), b"{", b"")
     )
     whole = list(LineSplitter().feed(data))
     assert [line.number for line in whole] == [1, 2, 3, 4, 5]
@@ -387,7 +394,7 @@
     for step in (1, 7, 1000):
         splitter = LineSplitter()
         cut = [line for at in range(0, len(data), step) for line in splitter.feed(data[at : at + step])]
-        assert cut == whole and not splitter.is_waiting()
+        assert cut == whole and not splitter.has_partial_line()
 
 
 class Running(Clock):
@@ -440,7 +447,7 @@
 
 
 def test_a_file_of_which_much_has_changed_is_read_whole_again_and_nobody_is_told(path, monkeypatch):
-    monkeypatch.setattr(source_module, "FOLD_LEAST", 2)
+    monkeypatch.setattr(source_module, "RELOAD_MIN_CHANGED", 2)
     path.write_bytes(log(*(entry(f"s-{number}", number) for number in range(10))))
     following = Following(path, subscribed=range(10))
     for number in range(3):
@@ -560,9 +567,9 @@
     def append(self, *entries):
         with open(self.path, "ab") as file:
             file.write(b"".join(line + b"\n" for line in entries))
-        looks = self.source.looks
+        polls = self.source.polls
         self.loop.now.now += LOOK
-        spin(self.loop, lambda: self.source.looks > looks)
+        spin(self.loop, lambda: self.source.polls > polls)
 
     def parks(self, count):
         spin(self.loop, lambda: len(self.server.parked) == count)
@@ -660,7 +667,7 @@
 
 def in_the_middle(path, monkeypatch, change, destinations=6):
     """A courier whose long answer was being made while `change` was done to the node."""
-    monkeypatch.setattr(server_module, "ANSWER_STEP", 2)
+    monkeypatch.setattr(server_module, "ANSWER_DESTINATIONS_PER_STEP", 2)
     path.write_bytes(log(*(entry(f"s-{number}", number) for number in range(destinations))))
     node = OwnNode(path).ready()
     courier = Courier(node)
@@ -862,14 +869,14 @@
 def test_bodies_read_at_once_are_bounded_together(node, monkeypatch):
     first, second = Courier(node, "c-1"), Courier(node, "c-2")
     body = first.body((1,))
-    monkeypatch.setattr(server_module, "MOST_READING", 2 * len(body) - 1)
+    monkeypatch.setattr(server_module, "MAX_BUFFERED_BODY_BYTES", 2 * len(body) - 1)
     head = f"POST /api/targets HTTP/1.1\r\nHost: n\r\nContent-Length: {len(body)}\r\n\r\n"
     first.peer.say(head.encode() + body[:-1])
-    spin(node.loop, lambda: node.server.reading == len(body))
+    spin(node.loop, lambda: node.server.reserved_body_bytes == len(body))
     second.send(second.body((1,)))
     assert second.refusal().reason is Reason.TOO_MANY
     first.peer.say(body[-1:])
-    assert first.told().full and node.server.reading == 0
+    assert first.told().full and node.server.reserved_body_bytes == 0
     assert Courier(node, "c-2").subscribe(1).full
 
 
@@ -1058,8 +1065,8 @@
 @pytest.fixture
 def upstream(path, tmp_path, monkeypatch):
     """A node and one that copies from it, in small pieces."""
-    monkeypatch.setattr(upstream_module, "LOG_CHUNK", 300)
-    monkeypatch.setattr(server_module, "LOG_CHUNK", 300)
+    monkeypatch.setattr(upstream_module, "LOG_CHUNK_BYTES", 300)
+    monkeypatch.setattr(server_module, "LOG_CHUNK_BYTES", 300)
     path.write_bytes(log(*(entry(f"s-{number}", number) for number in range(20))))
     above = OwnNode(path).ready()
     return above, Copying(tmp_path / "copy.log", f"127.0.0.1:{above.port}", above.loop)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from calicopin.subscription.leases import LeaseBounds, LeaseTable, Tell, Wait
+from calicopin.subscription.leases import LeaseBounds, LeaseTable, LeaseUpdate, Wait
 from calicopin.subscription.messages import Reason, Refusal, SubscribeRequest
 
 
@@ -30,7 +30,7 @@
 
 def test_a_new_lease_is_told_its_whole_set_at_once():
     told = opened(table_of(), (7, 3, 7))
-    assert told == Tell("n1-run-1", 0, 1, True, (3, 7))
+    assert told == LeaseUpdate("n1-run-1", 0, 1, True, (3, 7))
 
 
 def test_a_new_lease_begins_with_sequence_0_and_no_destination_to_give_up():
@@ -44,7 +44,7 @@
     table = table_of()
     told = opened(table)
     assert renewed(table, told, told.version) == Wait(told.lease)
-    assert table.tell(told.lease) == Tell(told.lease, 0, told.version, False, ())
+    assert table.tell(told.lease) == LeaseUpdate(told.lease, 0, told.version, False, ())
     assert renewed(table, told, told.version) == Wait(told.lease)
 
 
@@ -63,7 +63,7 @@
     told = opened(table)
     table.change({2})
     more = renewed(table, told, told.version)
-    assert more == Tell(told.lease, 0, told.version + 1, False, (2,))
+    assert more == LeaseUpdate(told.lease, 0, told.version + 1, False, (2,))
     assert renewed(table, told, more.version) == Wait(told.lease)
 
 
@@ -268,8 +268,8 @@
     opened(table, courier="c-2", now=100.0)
     assert refused(opened(table, courier="c-3", now=1000.0), Reason.TOO_MANY).retry_ms == 4000.0
     assert refused(opened(table, courier="c-3", now=4900.0), Reason.TOO_MANY).retry_ms == 1000.0
-    assert isinstance(opened(table, courier="c-2", now=4900.0), Tell)  # its old one ends
-    assert isinstance(opened(table, courier="c-3", now=5000.0), Tell)
+    assert isinstance(opened(table, courier="c-2", now=4900.0), LeaseUpdate)  # its old one ends
+    assert isinstance(opened(table, courier="c-3", now=5000.0), LeaseUpdate)
 
 
 def test_a_set_over_the_bound_is_refused_and_changes_nothing():
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -17,7 +17,7 @@
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.start import Post, build
 from calicopin.state.known_list import LOOK, REFRESH, KnownList, decode, journal_bytes
-from calicopin.subscription.interest import IDLE, IDLE_SPREAD
+from calicopin.subscription.interest import IDLE, IDLE_JITTER_FRACTION
 from calicopin.subscription.nodes import TRY_JITTER
 from calicopin.wire.loop import Loop
 from calicopin.wire.subscriber import AGAIN, PROMPT
@@ -317,7 +317,7 @@
     house = started(tmp_path, node, endpoint)
     house.go_on(LOOK)
     facade, passed = house.runtime.facade, 0.0
-    while passed < IDLE * (1.0 + IDLE_SPREAD) + 3.0 * Route.IDLE:
+    while passed < IDLE * (1.0 + IDLE_JITTER_FRACTION) + 3.0 * Route.IDLE:
         _, asked = house.node.hear()
         house.node.tell(asked, 3)
         house.go_on(2000.0)
--- a/tests/test_subscription_messages.py
+++ b/tests/test_subscription_messages.py
@@ -5,7 +5,7 @@
 import pytest
 
 from calicopin.subscription.messages import (
-    FORM,
+    FORM_VERSION,
     Grant,
     MessageError,
     Reason,
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize(
     "change, place",
     [
-        ({"form": FORM + 1}, "subscription.form"),
+        ({"form": FORM_VERSION + 1}, "subscription.form"),
         ({"form": True}, "subscription.form"),
         ({"more": 1}, "subscription.more"),
         ({"fleet": ""}, "subscription.fleet"),
--- a/tests/test_subscription_nodes.py
+++ b/tests/test_subscription_nodes.py
@@ -5,17 +5,17 @@
 import pytest
 
 from calicopin.subscription.nodes import (
-    FIRST_PAUSE,
-    MOST_PAUSE,
-    MOST_RETRY,
-    RETURN_LEAST,
-    RETURN_SPREAD,
-    SHORT_RETRY,
-    START_JITTER,
+    INITIAL_BACKOFF_MS,
+    MAX_BACKOFF_MS,
+    MAX_RETRY_MS,
+    FAILBACK_MIN_FRACTION,
+    FAILBACK_WINDOW_MS,
+    MAX_SAME_NODE_RETRY_MS,
+    START_JITTER_MS,
     TRY_JITTER,
     NodeChoice,
     NoNodesError,
-    Turn,
+    NextRequest,
     ranking,
 )
 from calicopin.wire.asking import TOLD
@@ -76,12 +76,12 @@
         chosen.failed(now)
     assert {node for _, node in tries[-nodes:]} == set(CONTROL[:nodes]), "each round asks every node"
     times = [at for at, _ in tries]
-    assert max(after - before for before, after in zip(times, times[1:], strict=False)) <= MOST_PAUSE
+    assert max(after - before for before, after in zip(times, times[1:], strict=False)) <= MAX_BACKOFF_MS
     for node in CONTROL[:nodes]:
         asked = [at for at, name in tries if name == node]
         gaps = [after - before for before, after in zip(asked, asked[1:], strict=False)]
         assert max(gaps) + CONNECT <= TOLD, "a node that is back is asked in time"
-        assert min(gaps[6:], default=MOST_PAUSE) >= MOST_PAUSE / 2.0, "and not over and over"
+        assert min(gaps[6:], default=MAX_BACKOFF_MS) >= MAX_BACKOFF_MS / 2.0, "and not over and over"
 
 
 def test_answer_of_the_next_node_is_heard_within_6_s_also_behind_another_half_open_one():
@@ -116,20 +116,20 @@
         chosen.refused(0.0, 9000.0)
     turn = chosen.turn(100.0)
     assert 9000.0 <= turn.at <= 9000.0 + TRY_JITTER
-    assert choice().turn(0.0).at <= START_JITTER
+    assert choice().turn(0.0).at <= START_JITTER_MS
 
 
 def test_a_short_refusal_is_waited_for_at_the_same_node_and_a_garbled_time_is_bounded():
     chosen = choice()
     first = kept(chosen)
     chosen.turn(1000.0)
-    chosen.refused(1000.0, SHORT_RETRY)
+    chosen.refused(1000.0, MAX_SAME_NODE_RETRY_MS)
     turn = chosen.turn(1000.0)
     assert turn.node == first and 2000.0 <= turn.at <= 2000.0 + TRY_JITTER
     lone = choice(CONTROL[:1])
     lone.turn(0.0)
     lone.refused(0.0, 1e15)
-    assert lone.turn(0.0).at <= MOST_RETRY + TRY_JITTER
+    assert lone.turn(0.0).at <= MAX_RETRY_MS + TRY_JITTER
 
 
 def test_return_to_a_better_node_is_spread_over_minutes_and_a_failed_one_costs_the_current_nothing():
@@ -148,14 +148,17 @@
         assert chosen.asked == best
         returns.append(now)
         chosen.failed(now)
-        assert chosen.turn(now) == Turn(second, now) and chosen.current == second
-        again = now + RETURN_SPREAD + WAIT
+        assert chosen.turn(now) == NextRequest(second, now) and chosen.current == second
+        again = now + FAILBACK_WINDOW_MS + WAIT
         assert chosen.turn(again).node == best, "it is tried again"
         chosen.answered(again)
         assert chosen.current == best and chosen.changes == 1
-        assert chosen.turn(again + 10 * RETURN_SPREAD).node == best
-    assert min(returns) >= RETURN_LEAST * RETURN_SPREAD and max(returns) <= RETURN_SPREAD + 2.0 * WAIT
-    halves = Counter(when < RETURN_SPREAD * (1.0 + RETURN_LEAST) / 2.0 for when in returns)
+        assert chosen.turn(again + 10 * FAILBACK_WINDOW_MS).node == best
+    assert (
+        min(returns) >= FAILBACK_MIN_FRACTION * FAILBACK_WINDOW_MS
+        and max(returns) <= FAILBACK_WINDOW_MS + 2.0 * WAIT
+    )
+    halves = Counter(when < FAILBACK_WINDOW_MS * (1.0 + FAILBACK_MIN_FRACTION) / 2.0 for when in returns)
     assert min(halves.values()) > 150
 
 
@@ -183,9 +186,9 @@
         now = chosen.turn(now).at
         chosen.failed(now)
         pauses.append(chosen.turn(now).at - now)
-    assert pauses[0] <= FIRST_PAUSE and max(pauses) > MOST_PAUSE / 2.0
+    assert pauses[0] <= INITIAL_BACKOFF_MS and max(pauses) > MAX_BACKOFF_MS / 2.0
     now = chosen.turn(now).at
     chosen.answered(now)
     chosen.turn(now)
     chosen.failed(now)
-    assert chosen.turn(now).at - now <= FIRST_PAUSE
+    assert chosen.turn(now).at - now <= INITIAL_BACKOFF_MS
--- a/tests/test_subscription_properties.py
+++ b/tests/test_subscription_properties.py
@@ -15,8 +15,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from calicopin.facade import Place
-from calicopin.subscription.interest import IDLE_SPREAD, Interest
-from calicopin.subscription.leases import LeaseBounds, LeaseTable, Tell, Wait
+from calicopin.subscription.interest import IDLE_JITTER_FRACTION, Interest
+from calicopin.subscription.leases import LeaseBounds, LeaseTable, LeaseUpdate, Wait
 from calicopin.subscription.messages import Grant, MessageError, Reason, Refusal, SubscribeAnswer
 from calicopin.subscription.nodes import NodeChoice
 from calicopin.subscription.session import Session, Standing
@@ -123,7 +123,7 @@
         told = self.table.request(now, request, index)
         if isinstance(told, Wait):
             told = self.table.tell(told.lease)
-        if not isinstance(told, Tell):
+        if not isinstance(told, LeaseUpdate):
             return told
         return answered(self, told.lease, told.sequence, told.version, told.full, told.destinations)
 
@@ -247,7 +247,7 @@
     )
     def idle_and_request(self, number, fate, again):
         """What is not held is given up with the request that follows; some of it is used again at once."""
-        self.now += IDLE * (1.0 + IDLE_SPREAD)
+        self.now += IDLE * (1.0 + IDLE_JITTER_FRACTION)
         self.trip(self.couriers[number], fate)
         for destination in again:
             self.use(number, destination)
@@ -409,8 +409,8 @@
     """Takes a change for applied once it was sent."""
 
     def next(self, node):
-        if self._lease and self._lease.asked == node:
-            self._lease.sent = None
+        if self._lease and self._lease.address == node:
+            self._lease.pending_change = None
         return super().next(node)
 
 
@@ -426,25 +426,29 @@
 
     def next(self, node):
         known, self._wanted_before = dict(self._known), self._wanted
-        if self._lease is None or self._lease.asked != node:
+        if self._lease is None or self._lease.address != node:
             self._wanted = {number: None for number in self._wanted if number not in known}
         ask = super().next(node)
         self._wanted = self._wanted_before
         return ask
 
-    def _begin(self, grant, version):
-        released = super()._begin(grant, version)
-        self._lease.add = {number: None for number in self._lease.add if number not in self._known}
+    def _start_lease(self, grant, version):
+        released = super()._start_lease(grant, version)
+        self._lease.to_subscribe = {
+            number: None for number in self._lease.to_subscribe if number not in self._known
+        }
         return released
 
 
 class IgnoresSequence(Session):
     """Sends each change under the sequence of the last one and believes any answer."""
 
-    def _take_changes(self, lease):
-        released = super()._take_changes(lease)
-        if lease.sent:
-            lease.sent = type(lease.sent)(lease.sequence, lease.sent.subscribe, lease.sent.unsubscribe)
+    def _collect_changes(self, lease):
+        released = super()._collect_changes(lease)
+        if lease.pending_change:
+            lease.pending_change = type(lease.pending_change)(
+                lease.sequence, lease.pending_change.subscribe, lease.pending_change.unsubscribe
+            )
         return released
 
     def _check(self, answer, places):
@@ -473,8 +477,12 @@
 
     def subscribe(self, destination):
         super().subscribe(destination)
-        if self._lease and self._lease.sent and destination in self._lease.sent.unsubscribe:
-            self._lease.add.pop(destination, None)
+        if (
+            self._lease
+            and self._lease.pending_change
+            and destination in self._lease.pending_change.unsubscribe
+        ):
+            self._lease.to_subscribe.pop(destination, None)
 
 
 class KeepsWhatWasGivenUp(Session):
