--- a/calicopin/discovery_node/catalogue.py
+++ b/calicopin/discovery_node/catalogue.py
@@ -67,9 +67,9 @@
 
     def grow(self) -> Iterator[None]:
         """Doubles the slots, a step at a time. Nothing may be added or looked for meanwhile."""
-        existing = self.slots
-        self._clear(len(existing).bit_length())
-        for at, row in enumerate(existing):
+        old_slots = self.slots
+        self._clear(len(old_slots).bit_length())
+        for at, row in enumerate(old_slots):
             if row != NO_ROW:
                 self.put(self.slot(self.keys[row], lambda _: False), row)
             if at % GROW_SLOTS_PER_STEP == 0:
--- a/calicopin/discovery_node/measure.py
+++ b/calicopin/discovery_node/measure.py
@@ -98,11 +98,11 @@
         yield tuple(numbers[at : at + each])
 
 
-def answer(catalogue: Catalogue, fields: LeaseUpdate) -> bytes:
+def answer(catalogue: Catalogue, update: LeaseUpdate) -> bytes:
     """The body that goes out."""
-    servers = [entry for destination in fields.destinations for entry in catalogue.entries(destination)]
-    grant = Grant(FLEET, "n1", fields.lease, fields.sequence, 30_000.0, fields.destinations)
-    return encode_answer(fields.full, fields.version, servers, grant)
+    servers = [entry for destination in update.destinations for entry in catalogue.entries(destination)]
+    grant = Grant(FLEET, "n1", update.lease, update.sequence, 30_000.0, update.destinations)
+    return encode_answer(update.full, update.version, servers, grant)
 
 
 def change_one(catalogue: Catalogue, table: LeaseTable, number: int) -> None:
@@ -154,8 +154,8 @@
     """A lease for each request."""
     resident_before, started_at, largest = resident_bytes(), time.process_time(), 0
     for body in requests:
-        fields = table.request(0.0, decode_request(body), None)
-        largest = max(largest, len(answer(catalogue, fields)))
+        update = table.request(0.0, decode_request(body), None)
+        largest = max(largest, len(answer(catalogue, update)))
     return LeaseOpeningCost(time.process_time() - started_at, resident_bytes() - resident_before, largest)
 
 
--- a/calicopin/discovery_node/server.py
+++ b/calicopin/discovery_node/server.py
@@ -18,12 +18,12 @@
 from calicopin.discovery_node.replies import (
     Poll,
     Reply,
+    encode_refusal_response,
     is_number,
     read_poll,
     refusal_reply,
     retry_seconds,
     unreadable_reply,
-    encode_refusal_response,
 )
 from calicopin.discovery_node.source import Source
 from calicopin.discovery_node.status import status_of
@@ -308,9 +308,9 @@
 
     def _log_chunk_reply(self, target: bytes) -> Reply:
         """A piece of the source's file for a node whose upstream this one is."""
-        update = dict(parse_qsl(target.partition(b"?")[2].decode("latin-1")))
-        offset = update.get("offset", "")
-        if len(update) != 1 or not is_number(offset):
+        query = dict(parse_qsl(target.partition(b"?")[2].decode("latin-1")))
+        offset = query.get("offset", "")
+        if len(query) != 1 or not is_number(offset):
             return unreadable_reply("query.offset: is no whole number from 0 up", last=False)
         identity = f"{self.table.prefix}{self.source.files}"
         return Reply(200, encode_log_chunk(identity, self.source.read_piece(int(offset), LOG_CHUNK_BYTES)))
@@ -462,6 +462,6 @@
             event="refused",
             requests=self._unlogged_refusals,
             reason=refusal.reason.value,
-            message=refusal.message,
+            why=refusal.message,
         )
         self._unlogged_refusals, self._refusal_logged_at = 0, now
--- a/tests/test_subscription_nodes.py
+++ b/tests/test_subscription_nodes.py
@@ -5,17 +5,17 @@
 import pytest
 
 from calicopin.subscription.nodes import (
+    FAILBACK_MIN_FRACTION,
+    FAILBACK_WINDOW_MS,
     INITIAL_BACKOFF_MS,
     MAX_BACKOFF_MS,
     MAX_RETRY_MS,
-    FAILBACK_MIN_FRACTION,
-    FAILBACK_WINDOW_MS,
     MAX_SAME_NODE_RETRY_MS,
     START_JITTER_MS,
     TRY_JITTER,
+    NextRequest,
     NodeChoice,
     NoNodesError,
-    NextRequest,
     ranking,
 )
 from calicopin.wire.asking import TOLD
