--- a/calicopin/discovery_node/catalogue.py
+++ b/calicopin/discovery_node/catalogue.py
@@ -91,12 +91,10 @@
         expected_rows = expected_bytes // TYPICAL_LINE_BYTES
         self._by_ident = RowTable(self._ident_hashes, expected_rows)
         self._by_destination = RowTable(self._destinations, expected_rows)
-        self._changed_entries: dict[
-            int, tuple[bytes, ...]
-        ] = {}  # destinations as they are now, where that is not as loaded
-        self._moved_to: dict[
-            str, int | None
-        ] = {}  # where an endpoint is now, of those of changed destinations
+        # destinations as they are now, where that is not as loaded
+        self._changed_entries: dict[int, tuple[bytes, ...]] = {}
+        # where an endpoint is now, of those of changed destinations
+        self._moved_to: dict[str, int | None] = {}
         self.destinations = self.endpoints = 0
         self.work = 0  # rows that lookups and changes looked at
 
--- a/calicopin/discovery_node/server.py
+++ b/calicopin/discovery_node/server.py
@@ -49,9 +49,8 @@
 REQUEST_TIMEOUT_MS = 2500.0  # ms for a whole request, and for its answer to be read
 LAST_ANSWER_READ_MS = 300.0  # ms for a client to read its last answer
 LEASE_EXPIRY_INTERVAL_MS = 500.0  # ms between two looks for leases that are over
-SHUTDOWN_GRACE_MS = (
-    400.0  # ms that answers have to go out after SIGTERM: with the rest of the end less than a second
-)
+# ms that answers have to go out after SIGTERM: with the rest of the end less than a second
+SHUTDOWN_GRACE_MS = 400.0
 SHUTDOWN_POLL_MS = 10.0
 NOT_READY_RETRY_MS = 1000.0  # ms
 OVERLOAD_RETRY_MS = 1000.0
@@ -111,9 +110,8 @@
         self.reserved_body_bytes = 0  # bytes that the bodies now being read may come to
         self.answers = self.changes_told = self.destinations_changed = 0
         self.stopping = False
-        self._changes_during_lookups: list[
-            set[int]
-        ] = []  # what changes while long answers are made, one set for each
+        # what changes while long answers are made, one set for each
+        self._changes_during_lookups: list[set[int]] = []
         self._unlogged_refusals, self._refusal_logged_at = 0, -FOREVER
         self.accepting = loop.keep(self._accept)
         loop.keep(self._expire)
@@ -123,9 +121,8 @@
         self.destinations_changed += len(destinations)
         for changed in self._changes_during_lookups:
             changed |= destinations
-        for name in sorted(
-            self.table.change(destinations)
-        ):  # not in the order of a set: the same in any process
+        # not in the order of a set: the same in any process
+        for name in sorted(self.table.change(destinations)):
             self.changes_told += 1
             self._wake(name)
 
--- a/calicopin/discovery_node/source.py
+++ b/calicopin/discovery_node/source.py
@@ -23,12 +23,10 @@
 TIME_SLICE_MS = 10.0  # ms of a long read in one pass of the loop
 READ_CHUNK_BYTES = 256 * 1024  # bytes of one read
 MAX_LINE_BYTES = 64 * 1024  # bytes of one line
-RELOAD_MIN_CHANGED = (
-    50_000  # destinations changed since the last load, from which on the file may be read whole again
-)
-RELOAD_CHANGED_FRACTION = (
-    1 / 8
-)  # of all destinations: what changed lies in plain maps, which take three times the memory
+# destinations changed since the last load, from which on the file may be read whole again
+RELOAD_MIN_CHANGED = 50_000
+# of all destinations: what changed lies in plain maps, which take three times the memory
+RELOAD_CHANGED_FRACTION = 1 / 8
 MAX_LOGGED_FAULTS = 20  # faults of one read that are told line by line
 
 
--- a/calicopin/subscription/__init__.py
+++ b/calicopin/subscription/__init__.py
@@ -1,3 +1,1 @@
-"""Subscriptions to parts of the list of endpoints: messages and decisions, without I/O and without a
-clock.
-"""
+"""Subscriptions of couriers to parts of the endpoint list: messages and decisions, without I/O or a clock."""
--- a/calicopin/subscription/leases.py
+++ b/calicopin/subscription/leases.py
@@ -1,11 +1,11 @@
-"""The leases of a discovery node: who is told which destinations, and when. No I/O and no clock.
+"""The leases of a discovery node: which courier is sent which destinations, and when. No I/O and no clock.
 
 A lease is one courier's subscription to a set of destinations. Every request of the courier renews it. The
-table decides what each request is answered with; the entries themselves it never sees. Times are milliseconds
-and come in as arguments. docs/subscriptions-design.md has the exchange.
+table decides how each request is answered; it does not handle the entries themselves. Times are milliseconds
+and are passed in as arguments. docs/subscriptions-design.md describes the exchange.
 
-What was told under a version stays pending until the courier comes with that version as its index: an answer
-that was lost is told again, in whatever state its destinations are by then.
+Destinations sent under a version stay in flight until the courier sends that version as its index. If the
+answer was lost, they are sent again in their current state.
 """
 
 from array import array
@@ -16,14 +16,14 @@
 from calicopin.subscription.messages import Reason, Refusal, SubscribeRequest
 
 LEAST_LEASE_BOUND = 1024
-MOST_NODE_WORD = 128  # characters of a node's name: it stands in the lease's
-MIN_CAPACITY_RETRY_MS = 1000.0  # ms, at least, after which a courier that found no room comes again
+MOST_NODE_WORD = 128  # characters of a node's name, which is part of each lease's name
+MIN_CAPACITY_RETRY_MS = 1000.0  # minimum retry time for a courier refused because all leases are taken
 NOTHING: frozenset[int] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseBounds:
-    """What a node grants at most; `requests_per_second` and `burst` are one courier's allowance."""
+    """Limits of a node; `requests_per_second` and `burst` are the rate limit of each courier."""
 
     lease_ms: float = 30_000.0
     leases: int = 4096
@@ -34,8 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseUpdate:
-    """An answer that is due now: these destinations, all of their endpoints; of a `full` one they are the
-    whole set."""
+    """An answer to send now, with all endpoints of these destinations; a `full` one covers the whole set."""
 
     lease: str
     sequence: int
@@ -46,7 +45,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing to tell yet: the request waits until `LeaseTable.change` or its end names the lease."""
+    """There is nothing to send yet: the request waits until `LeaseTable.change` returns the lease's name or
+    the lease ends."""
 
     lease: str
 
@@ -71,22 +71,20 @@
     def __init__(self, name: str, courier: str, tokens: float, tokens_updated_at: float):
         self.name, self.courier, self.sequence, self.expires_at = name, courier, 0, 0.0
         self.destinations = array("I")  # sorted
-        self.acknowledged_version: int | None = None  # the version that the courier is known to have
-        self.sent_version: int | None = (
-            None  # the version of the last answer, where that is not known to have come
-        )
-        self.in_flight: set[int] | frozenset[int] = NOTHING  # told under `sent`
-        self.changed: set[int] | frozenset[int] = NOTHING  # not told yet
+        self.acknowledged_version: int | None = None  # the version that the courier has confirmed
+        self.sent_version: int | None = None  # the version of the last answer, until it is confirmed
+        self.in_flight: set[int] | frozenset[int] = NOTHING  # sent under `sent_version`
+        self.changed: set[int] | frozenset[int] = NOTHING  # not sent yet
         self.tokens, self.tokens_updated_at = tokens, tokens_updated_at
 
     def mark_changed(self, destination: int) -> None:
-        """The destination is to be told."""
+        """Includes the destination in the next answer."""
         if not self.changed:
             self.changed = set()
         self.changed.add(destination)
 
     def acknowledge(self, index: int | None) -> bool:
-        """Takes the version in that the courier has; False where only the whole set can bring it up to
+        """Records the version that the courier has. Returns False if only a full answer can bring it up to
         date."""
         if index is None or index not in (self.sent_version, self.acknowledged_version):
             return False
@@ -99,18 +97,19 @@
 
 
 class LeaseTable:
-    """All leases of one node. `run` tells this run of the node from its earlier ones."""
+    """All leases of one node. `run` distinguishes this run of the node from earlier ones."""
 
     def __init__(self, fleet: str, node: str, run: str, bounds: LeaseBounds):
         self.fleet, self.node, self.bounds = fleet, node, bounds
         self.prefix = f"{node}-{run}-"
-        self.version = 0  # the node's count: one for each answer that tells something
-        self.serial = 0  # of the last lease granted
+        self.version = 0  # incremented for each answer that is full or has destinations
+        self.serial = 0  # number of the last lease granted
         self.subscriptions = 0
-        self.work = 0  # leases that a change, a request or an end looked at
-        self._leases: OrderedDict[str, Lease] = OrderedDict()  # by name, the next to end first
+        self.work = 0  # leases examined by changes, requests and expiry
+        self._leases: OrderedDict[str, Lease] = OrderedDict()  # by name, the next to expire first
         self._couriers: dict[str, Lease] = {}
-        self._subscribers: dict[int, Lease | set[Lease]] = {}  # mostly one: then no set is made for it
+        # a single subscriber, the common case, is stored without a set
+        self._subscribers: dict[int, Lease | set[Lease]] = {}
         self._ended: list[str] = []
 
     def __len__(self) -> int:
@@ -119,25 +118,24 @@
     def request(
         self, now: float, request: SubscribeRequest, index: int | None
     ) -> LeaseUpdate | Wait | Refusal:
-        """Decides on one request; `index` is the version that the courier says it has."""
+        """Decides on one request; `index` is the version that the courier reports."""
         self.expire(now)
         return self._open(now, request) if request.lease is None else self._renew(now, request, index)
 
     def tell(self, name: str) -> LeaseUpdate | Refusal:
-        """What a request that waited is answered with now, with or without something to tell."""
+        """The answer to a request that waited; empty if nothing changed."""
         lease = self._leases.get(name)
         if lease is None:
             return Refusal(Reason.LEASE_OVER, "the lease ended while the request waited")
         return self._pending_update(lease)
 
     def idle(self, name: str) -> LeaseUpdate | Refusal:
-        """What a request is answered with in whose place another of the same lease came: nothing is told by
-        it."""
+        """The empty answer to a request that was superseded by another one of the same lease."""
         lease = self._leases.get(name)
         return self.tell(name) if lease is None else self._empty_update(lease)
 
     def change(self, destinations: Iterable[int]) -> set[str]:
-        """These destinations changed; the names of the leases that have something to tell by it."""
+        """Records that these destinations changed, and returns the names of the leases that hold them."""
         touched = set()
         for destination in destinations:
             for lease in self._subscribers_of(destination):
@@ -147,7 +145,7 @@
         return touched
 
     def expire(self, now: float) -> None:
-        """Ends the leases that were not renewed in time; costs by those alone."""
+        """Ends the leases that were not renewed in time. The cost depends only on their number."""
         while self._leases:
             lease = next(iter(self._leases.values()))
             if lease.expires_at > now:
@@ -155,12 +153,12 @@
             self._end(lease)
 
     def take_ended(self) -> list[str]:
-        """The leases that ended since the last call, each once: whoever waits on one is to be told."""
+        """The leases that ended since the last call, each once; requests waiting on them must be answered."""
         ended, self._ended = self._ended, []
         return ended
 
     def subscribed(self) -> list[int]:
-        """Every destination that some lease holds."""
+        """Every destination that some lease subscribes to."""
         return list(self._subscribers)
 
     def _open(self, now: float, request: SubscribeRequest) -> LeaseUpdate | Refusal:
@@ -215,7 +213,7 @@
         return self._pending_update(lease)
 
     def _modify(self, lease: Lease, request: SubscribeRequest) -> Refusal | None:
-        """Takes one change of the set in, or nothing of it."""
+        """Applies one change of the set, completely or not at all."""
         added, current = set(request.subscribe), set(lease.destinations)
         wanted = (current - set(request.unsubscribe)) | added
         if len(wanted) > self.bounds.destinations:
@@ -228,7 +226,7 @@
         return None
 
     def _grant(self, courier: str, now: float, previous: Lease | None) -> Lease:
-        """A new lease; the courier's allowance goes on from its old one."""
+        """Creates a lease; the courier's rate limit state is carried over from its previous one."""
         self.serial += 1
         tokens, tokens_updated_at = (
             (previous.tokens, previous.tokens_updated_at) if previous else (self.bounds.burst - 1.0, now)
@@ -238,7 +236,7 @@
         return lease
 
     def _extend(self, lease: Lease, now: float) -> None:
-        """Renews: all leases last equally long, so the one renewed last is the last to end."""
+        """Renews the lease. All leases last equally long, so the one renewed last is the last to expire."""
         lease.expires_at = now + self.bounds.lease_ms
         self._leases[lease.name] = lease
         self._leases.move_to_end(lease.name)
@@ -251,7 +249,7 @@
         self._ended.append(lease.name)
 
     def _take_token(self, lease: Lease, now: float) -> Refusal | None:
-        """One request of the courier's allowance, a token bucket."""
+        """Takes one token from the courier's token bucket, or returns a refusal if it is empty."""
         rate = self.bounds.requests_per_second
         filled = lease.tokens + (now - lease.tokens_updated_at) * rate / 1000.0
         lease.tokens, lease.tokens_updated_at = min(self.bounds.burst, filled), now
@@ -296,7 +294,7 @@
             self._subscribers[destination] = subscribers.pop()
 
     def _full_update(self, lease: Lease) -> LeaseUpdate:
-        """The whole set; no version before this one counts any more."""
+        """The whole set; all earlier versions become invalid."""
         lease.acknowledged_version = None
         lease.changed = lease.in_flight = NOTHING
         return self._update_with_new_version(lease, True, lease.destinations)
@@ -314,7 +312,7 @@
         return LeaseUpdate(lease.name, lease.sequence, self.version, full, tuple(destinations))
 
     def _empty_update(self, lease: Lease) -> LeaseUpdate:
-        """Nothing new: the version is the one that the courier has."""
+        """An update without destinations, under the version that the courier has."""
         version = lease.sent_version if lease.acknowledged_version is None else lease.acknowledged_version
         return LeaseUpdate(lease.name, lease.sequence, version, False, ())
 
--- a/calicopin/subscription/messages.py
+++ b/calicopin/subscription/messages.py
@@ -30,9 +30,8 @@
 
     UNREADABLE = "unreadable"  # 400: an unknown field, a wrong type, a form from the future
     OTHER_FLEET = "other_fleet"  # 409: the node serves another fleet
-    LEASE_OVER = (
-        "lease_over"  # 410: the lease or its sequence is not known: subscribe anew with the whole set
-    )
+    # 410: the lease or its sequence is not known: subscribe anew with the whole set
+    LEASE_OVER = "lease_over"
     TOO_LARGE = "too_large"  # 413: a set over the node's bound
     TOO_MANY = "too_many"  # 429: the courier asks too often, or the node holds as many leases as it may
     NOT_READY = "not_ready"  # 503: the node has not read its list yet, or ends
--- a/calicopin/subscription/nodes.py
+++ b/calicopin/subscription/nodes.py
@@ -11,18 +11,15 @@
 from dataclasses import dataclass
 from itertools import count
 
-TRY_JITTER = (
-    300.0  # longest wait before the next node is tried: a lost node's couriers don't arrive in one instant
-)
+# longest wait before the next node is tried: a lost node's couriers don't arrive in one instant
+TRY_JITTER = 300.0
 START_JITTER_MS = 100.0  # the same before the first request of all
 ROUND_JITTER = 1500.0  # longest sum of these waits in one round over all nodes
 INITIAL_BACKOFF_MS = 250.0  # behind a round in which no node answered; doubled for each further one
-MAX_BACKOFF_MS = (
-    3500.0  # of that: with a round's waits the next answer is heard within 6 s of a node's return
-)
-MAX_SAME_NODE_RETRY_MS = (
-    1000.0  # a refusal of at most so long is waited for at the node that the courier keeps to
-)
+# of that: with a round's waits the next answer is heard within 6 s of a node's return
+MAX_BACKOFF_MS = 3500.0
+# a refusal of at most so long is waited for at the node that the courier keeps to
+MAX_SAME_NODE_RETRY_MS = 1000.0
 MAX_RETRY_MS = 60000.0  # a longer told time counts as this: guards couriers against a garbled one
 FAILBACK_WINDOW_MS = 300000.0  # within which couriers go back to a node that they would rather ask
 FAILBACK_MIN_FRACTION = 0.2  # part of it that passes in any case
--- a/calicopin/subscription/session.py
+++ b/calicopin/subscription/session.py
@@ -19,9 +19,8 @@
     SubscribeRequest,
 )
 
-MAX_WAIT_LEASE_FRACTION = (
-    1.0 / 3.0
-)  # of a lease: the longest a request may wait at the node, so that the lease never ends under it
+# of a lease: the longest a request may wait at the node, so that the lease never ends under it
+MAX_WAIT_LEASE_FRACTION = 1.0 / 3.0
 
 
 class Standing(Enum):
@@ -89,9 +88,8 @@
         self.fleet, self.courier = fleet, courier
         self.resyncs = 0  # full answers under a lease that went on
         self._wanted: dict[int, None] = {}
-        self._unsubscribed: dict[
-            int, None
-        ] = {}  # no longer wanted, and what is known of them not yet forgotten
+        # no longer wanted, and what is known of them not yet forgotten
+        self._unsubscribed: dict[int, None] = {}
         self._known: dict[int, dict[str, Place]] = {}  # by destination and endpoint
         self._unknown: set[int] = set()  # destinations that do not exist
         self._owner: dict[str, int] = {}  # the destination of each known endpoint
