--- a/calicopin/subscription/messages.py
+++ b/calicopin/subscription/messages.py
@@ -1,9 +1,9 @@
-"""The messages of a subscription, as types and as JSON: one field more in each message of the list exchange.
+"""The messages of a subscription, as types and as JSON: one extra field in each message of the list exchange.
 
 A courier sends `POST /api/targets?index=VERSION&wait=MILLISECONDS` with a JSON body of one field,
-`subscription`. A discovery node answers 200 with the list's own form (`full`, `version`, `servers`) and the
-field `subscription`, or another status with a `Refusal`. What cannot be read raises `MessageError`, which
-names the place. docs/subscriptions-design.md has the exchange; times are milliseconds.
+`subscription`. A discovery node answers 200 with the fields of the list (`full`, `version`, `servers`) and
+the field `subscription`, or another status with a `Refusal`. An invalid message raises `MessageError`, which
+names the field. docs/subscriptions-design.md describes the exchange; times are milliseconds.
 """
 
 import json
@@ -11,13 +11,13 @@
 from enum import StrEnum
 from typing import Any
 
-FORM_VERSION = 1  # of these messages; a later one is refused by name
+FORM_VERSION = 1  # version of these messages; any other is refused
 MOST_WORD = 256  # characters of a fleet's, courier's, node's or lease's name
-MAX_DESTINATION = 999_999_999  # as clients may name one
+MAX_DESTINATION = 999_999_999  # the largest destination number that clients may use
 
 
 class MessageError(ValueError):
-    """A message that cannot be read; `place` is the field at fault, as a path."""
+    """An invalid message; `place` is the path of the invalid field, `why` the reason."""
 
     def __init__(self, place: str, why: str):
         super().__init__(f"{place}: {why}")
@@ -28,13 +28,14 @@
 class Reason(StrEnum):
     """Why a discovery node refuses a request."""
 
-    UNREADABLE = "unreadable"  # 400: an unknown field, a wrong type, a form from the future
+    UNREADABLE = "unreadable"  # 400: an unknown field, a wrong type, an unsupported version
     OTHER_FLEET = "other_fleet"  # 409: the node serves another fleet
-    # 410: the lease or its sequence is not known: subscribe anew with the whole set
+    # 410: the lease or its sequence is unknown; the courier has to open a new lease with the whole set
     LEASE_OVER = "lease_over"
-    TOO_LARGE = "too_large"  # 413: a set over the node's bound
-    TOO_MANY = "too_many"  # 429: the courier asks too often, or the node holds as many leases as it may
-    NOT_READY = "not_ready"  # 503: the node has not read its list yet, or ends
+    TOO_LARGE = "too_large"  # 413: the set exceeds the node's limit
+    # 429: the courier exceeds its rate limit, or the node has no free lease, connection or request slot
+    TOO_MANY = "too_many"
+    NOT_READY = "not_ready"  # 503: the node has not read its list yet, or is stopping
 
 
 HTTP_STATUS = {
@@ -49,11 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeRequest:
-    """A courier's subscription: a new lease with the whole set, or a renewal with what changed in the set.
+    """A courier's subscription: a new lease with the whole set, or a renewal with the changes of the set.
 
-    `sequence` counts the modifications of the set under one lease, from 0 at its start: a renewal with the
-    sequence that the node has changes nothing (its answer may have been lost), one more applies the change,
-    any other is refused with `LEASE_OVER`.
+    `sequence` counts the changes of the set under one lease, starting at 0. A renewal with the node's current
+    sequence changes nothing (it may repeat a request whose answer was lost), the next number applies the
+    change, and any other number is refused with `LEASE_OVER`.
     """
 
     fleet: str
@@ -68,9 +69,9 @@
 class Grant:
     """The field `subscription` of an answer.
 
-    `complete` names the destinations of which `servers` holds all endpoints, so that any other known endpoint
-    of them has left; `unknown` those subscribed ones that do not exist. Of a `full` answer both together are
-    the whole set. The lease ends `lease_ms` after the last request that renewed it.
+    `complete` lists the destinations of which `servers` has all endpoints: any other known endpoint of these
+    destinations has left. `unknown` lists subscribed destinations that do not exist. In a `full` answer both
+    together are the whole set. The lease expires `lease_ms` after the last request that renewed it.
     """
 
     fleet: str
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeAnswer:
-    """An answer as a courier reads it; `servers` are entries in the list's own form."""
+    """A decoded answer; `servers` are entries of the endpoint list."""
 
     full: bool
     version: int
@@ -94,8 +95,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request was refused, in one plain line, and after how many milliseconds to come again (0: none
-    told).
+    """Why a request was refused, with a message of one line, and after how many milliseconds to retry (0: not
+    given).
     """
 
     reason: Reason
@@ -104,7 +105,7 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status that goes with the reason."""
+        """The HTTP status for the reason."""
         return HTTP_STATUS[self.reason]
 
 
@@ -178,7 +179,7 @@
 
 
 def decode_request(data: bytes) -> SubscribeRequest:
-    """Raises MessageError where it cannot be read."""
+    """Raises MessageError if the message is invalid."""
     body = _check_object(_parse_json(data, "body"), "body", ("subscription",))
     payload = _check_object(body.get("subscription"), "subscription", REQUEST_FIELDS)
     _check_form(payload, "subscription")
@@ -194,7 +195,7 @@
 
 
 def encode_answer(full: bool, version: int, servers: list[bytes], grant: Grant) -> bytes:
-    """An answer's body; `servers` are entries that are JSON already, so that many answers can share them."""
+    """An answer's body; `servers` are encoded entries, which many answers can share."""
     payload = {
         "form": FORM_VERSION,
         "fleet": grant.fleet,
@@ -210,8 +211,8 @@
 
 
 def decode_answer(data: bytes) -> SubscribeAnswer:
-    """Raises MessageError where it cannot be read; the entries themselves are checked by the list's
-    reader.
+    """Raises MessageError if the message is invalid; the entries themselves are checked by the reader of the
+    list.
     """
     body = _check_object(
         _parse_json(data, "answer"), "answer", ("full", "version", "servers", "subscription")
@@ -242,7 +243,7 @@
 
 
 def decode_refusal(data: bytes) -> Refusal:
-    """Raises MessageError where it cannot be read."""
+    """Raises MessageError if the message is invalid."""
     body = _check_object(_parse_json(data, "answer"), "answer", ("error",))
     payload = _check_object(body.get("error"), "error", ("reason", "message", "retry_ms"))
     try:
--- a/calicopin/subscription/nodes.py
+++ b/calicopin/subscription/nodes.py
@@ -1,9 +1,10 @@
-"""Which discovery node a courier asks next, and when. No I/O, no clock, chance from a seed; milliseconds.
+"""Selects the discovery node that a courier asks next, and when. No I/O, no clock, seeded randomness; times
+are milliseconds.
 
 Each courier ranks the nodes by rendezvous hashing (highest random weight of the pair of courier and node) and
-keeps to the first that answers. So the couriers of a lost node spread evenly over the rest, and nobody else
-moves. The next answer is heard within 6 s of the last one's failure where at most two nodes in a row take
-requests and never answer them; each further such node costs the time until it counts as silent.
+stays with the first that answers. The couriers of a failed node therefore spread evenly over the other nodes,
+and no other courier moves. After a node's failure the next answer arrives within 6 s if at most two nodes in
+a row accept requests without answering; each further such node adds one request time-out.
 """
 
 import hashlib
@@ -11,58 +12,58 @@
 from dataclasses import dataclass
 from itertools import count
 
-# longest wait before the next node is tried: a lost node's couriers don't arrive in one instant
+# maximum wait before the next node is tried, so that a failed node's couriers do not arrive all at once
 TRY_JITTER = 300.0
-START_JITTER_MS = 100.0  # the same before the first request of all
-ROUND_JITTER = 1500.0  # longest sum of these waits in one round over all nodes
-INITIAL_BACKOFF_MS = 250.0  # behind a round in which no node answered; doubled for each further one
-# of that: with a round's waits the next answer is heard within 6 s of a node's return
+START_JITTER_MS = 100.0  # maximum wait before the first request
+ROUND_JITTER = 1500.0  # maximum sum of the TRY_JITTER waits in one round over all nodes
+INITIAL_BACKOFF_MS = 250.0  # after a round in which no node answered; doubled after each further one
+# upper bound of the back-off: with the waits of one round, an answer arrives within 6 s of a node's return
 MAX_BACKOFF_MS = 3500.0
-# a refusal of at most so long is waited for at the node that the courier keeps to
+# after a refusal with at most this retry time the courier stays with its current node
 MAX_SAME_NODE_RETRY_MS = 1000.0
-MAX_RETRY_MS = 60000.0  # a longer told time counts as this: guards couriers against a garbled one
-FAILBACK_WINDOW_MS = 300000.0  # within which couriers go back to a node that they would rather ask
-FAILBACK_MIN_FRACTION = 0.2  # part of it that passes in any case
+MAX_RETRY_MS = 60000.0  # limit for the retry time of a refusal, in case of a corrupt value
+FAILBACK_WINDOW_MS = 300000.0  # couriers return to a preferred node within this time
+FAILBACK_MIN_FRACTION = 0.2  # share of the window that always passes before the return
 
 
 class NoNodesError(ValueError):
-    """A list of discovery nodes without an entry."""
+    """The list of discovery nodes is empty."""
 
 
 @dataclass(frozen=True, slots=True)
 class NextRequest:
-    """The next node to ask, not before `at`."""
+    """The next node to ask, not before the time `at`."""
 
     node: str
     at: float
 
 
 def weight(courier: str, node: str) -> int:
-    """The rendezvous weight of a node for a courier: evenly spread, the same in every process."""
+    """The rendezvous weight of a node for a courier: uniformly distributed, identical in every process."""
     return int.from_bytes(hashlib.blake2b(f"{courier}\0{node}".encode(), digest_size=8).digest(), "big")
 
 
 def ranking(courier: str, nodes: list[str]) -> list[str]:
-    """The nodes in the order in which this courier prefers them, each once."""
+    """The distinct nodes, ordered by this courier's preference."""
     return sorted(set(nodes), key=lambda node: (weight(courier, node), node), reverse=True)
 
 
 class NodeChoice:
-    """Told how each request ended, says whom to ask next.
+    """Selects the next node from the outcomes of the previous requests.
 
-    `turn` is asked before each request; `answered`, `failed` or `refused` follow it, about the node it named.
+    Call `turn` before each request, then `answered`, `failed` or `refused` with the outcome.
     """
 
     def __init__(self, courier: str, nodes: list[str], seed: int, now: float):
         self.courier, self.seed, self._draws = courier, seed, count()
-        self._not_before: dict[str, float] = {}  # by node, as it told with a refusal
-        self._tried: set[str] = set()  # in this round
-        self._failed_rounds = 0  # in a row
-        self._failback_at = float("inf")  # when a node that is preferred to the current one is tried
-        self.current: str | None = None  # the node that the courier keeps to; None while it looks for one
+        self._not_before: dict[str, float] = {}  # by node, from the retry time of its refusal
+        self._tried: set[str] = set()  # nodes tried in this round
+        self._failed_rounds = 0  # consecutive rounds without an answer
+        self._failback_at = float("inf")  # when to try a node that is preferred to the current one
+        self.current: str | None = None  # the node in use; None while searching for one
         self._last_current: str | None = None
-        self.asked: str | None = None  # the node of the last turn
-        self.changes = 0  # how often another node than before answered
+        self.asked: str | None = None  # the node selected by the last `turn`
+        self.changes = 0  # number of switches to another node
         self._ranked = self._ranking(nodes)
         self._at = now + START_JITTER_MS * self._random_fraction()
 
@@ -76,16 +77,16 @@
 
     @property
     def nodes(self) -> list[str]:
-        """All nodes, the most preferred first."""
+        """All nodes, most preferred first."""
         return list(self._ranked)
 
     @property
     def exhausted(self) -> bool:
-        """Whether all nodes were asked in vain since one answered last."""
+        """Whether all nodes were tried without success since the last answer."""
         return self._failed_rounds > 0
 
     def turn(self, now: float) -> NextRequest:
-        """The next request's node and earliest time."""
+        """The node and the earliest time of the next request."""
         if self.current is None:
             self.asked, at = self._next_untried(now)
         else:
@@ -93,8 +94,8 @@
         return NextRequest(self.asked, max(at, now))
 
     def _next_untried(self, now: float) -> tuple[str, float]:
-        """The most preferred node that was not tried in this round; where all asked for time, the one whose
-        time is up first."""
+        """The most preferred node not yet tried in this round; if all nodes refused with a retry time, the
+        one whose time ends first."""
         earliest = max(now, self._at)
         ready = [node for node in self._ranked if self._not_before.get(node, 0.0) <= earliest]
         if not ready:
@@ -103,7 +104,7 @@
         return next((node for node in ready if node not in self._tried), ready[0]), earliest
 
     def _failback_node(self, now: float) -> str | None:
-        """The node to return to, once that is due: the best that is not bound to be left alone."""
+        """The best preferred node without a pending retry time, once the return is due; else None."""
         if now < max(self._failback_at, self._at):
             return None
         preferred = self._ranked[: self._ranked.index(self.current)]
@@ -113,7 +114,7 @@
         return available[0] if available else None
 
     def _schedule_failback(self, now: float) -> None:
-        """Each courier goes back at a time of its own: guards a node that has just come back."""
+        """Each courier returns at a random time: a restarted node does not get all couriers at once."""
         if self.current is None or self.current == self._ranked[0]:
             self._failback_at = float("inf")
         else:
@@ -121,7 +122,7 @@
             self._failback_at = now + FAILBACK_WINDOW_MS * fraction
 
     def answered(self, now: float) -> None:
-        """The node that was asked has answered: it is kept to."""
+        """The node has answered: it becomes or stays the current node."""
         self._tried.clear()
         self._not_before.pop(self.asked, None)
         self._failed_rounds, self._at = 0, now
@@ -131,9 +132,9 @@
             self._schedule_failback(now)
 
     def failed(self, now: float) -> None:
-        """The node that was asked did not answer, or not so that it could be used."""
+        """The node did not answer, or its answer was invalid."""
         if self.current is not None and self.asked != self.current:
-            self._at = now  # a try to return: the current node serves on
+            self._at = now  # a failed return: the current node stays in use
             self._schedule_failback(now)
             return
         self.current = None
@@ -151,7 +152,7 @@
         self._at = now + pause * (0.5 + 0.5 * self._random_fraction())
 
     def refused(self, now: float, retry_ms: float) -> None:
-        """The node that was asked refused: it is not asked before the time that it told."""
+        """The node refused: it is not asked again before its retry time (ms) has passed."""
         until = now + min(retry_ms, MAX_RETRY_MS) + TRY_JITTER * self._random_fraction()
         self._not_before[self.asked] = until
         if self.asked == self.current and 0.0 < retry_ms <= MAX_SAME_NODE_RETRY_MS:
@@ -160,7 +161,7 @@
             self.failed(now)
 
     def move(self, nodes: list[str], now: float) -> None:
-        """Another list of nodes; what is known of those that stay in it is kept."""
+        """Replaces the list of nodes; the state of nodes that remain in it is kept."""
         self._ranked = self._ranking(nodes)
         self._tried.intersection_update(self._ranked)
         self._not_before = {node: at for node, at in self._not_before.items() if node in self._ranked}
--- a/calicopin/subscription/session.py
+++ b/calicopin/subscription/session.py
@@ -1,8 +1,8 @@
 """A courier's side of the subscription exchange as a state machine, without I/O and without a clock.
 
-It builds requests and takes answers in; one request is out at a time. What was learnt of a destination stays
-until it is confirmed anew or given up, whatever becomes of nodes and leases. docs/subscriptions-design.md has
-the exchange.
+It builds requests and processes answers; at most one request is outstanding. Knowledge about a destination is
+kept across nodes and leases until an answer replaces it or the destination is unsubscribed.
+docs/subscriptions-design.md describes the exchange.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,22 +19,22 @@
     SubscribeRequest,
 )
 
-# of a lease: the longest a request may wait at the node, so that the lease never ends under it
+# maximum share of the lease time that a request waits at the node, so that the lease cannot expire meanwhile
 MAX_WAIT_LEASE_FRACTION = 1.0 / 3.0
 
 
 class Standing(Enum):
-    """What is known of a destination."""
+    """What is known about a destination."""
 
-    KNOWN = "known"  # it was answered for and exists
-    UNKNOWN = "unknown"  # it was answered for and does not exist
-    WAITING = "waiting"  # it was not answered for yet
+    KNOWN = "known"  # a node confirmed that it exists
+    UNKNOWN = "unknown"  # a node answered that it does not exist
+    WAITING = "waiting"  # no answer yet
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """The next request; `index` stands in its target (None: not told). `prompt`: it is answered at once.
-    `released` were given up with it: nothing is known of them any more."""
+    """The next request; `index` is the version in its query (None: omitted). `prompt`: the node answers it
+    without waiting. `released` are the unsubscribed destinations that were forgotten with it."""
 
     node: str
     request: SubscribeRequest
@@ -45,9 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """What an answer told. Of a `whole` one `places` is all that the session knows of its set, never nothing.
-    Else it is all endpoints of the destinations in `confirmed`, with `left` those that have left. `unknown`
-    ones do not exist."""
+    """The content of an answer. If `whole`, `places` is everything that the session knows of its set and is
+    never empty. Otherwise it has all endpoints of the destinations in `confirmed` and, marked `left`, those
+    that have left. Destinations in `unknown` do not exist."""
 
     whole: bool
     places: list[Place]
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """A modification of the set under a lease, as it was sent: repeated as it is until it is answered."""
+    """A change of the set under a lease as it was sent; repeated unchanged until it is answered."""
 
     sequence: int
     subscribe: tuple[int, ...]
@@ -67,45 +67,45 @@
 
 @dataclass(slots=True)
 class _Lease:
-    """A lease at one node, as the courier knows it."""
+    """The courier's view of a lease at one node."""
 
-    address: str  # the node as it is asked
-    node: str  # as it names itself
+    address: str  # address of the node
+    node: str  # the name that the node gives itself
     name: str
     lease_ms: float
     version: int
-    node_destinations: set[int]  # the set at the node, once `sent` is answered
+    node_destinations: set[int]  # the set at the node once `pending_change` is answered
     sequence: int = 0
     pending_change: _Change | None = None  # not answered yet
-    to_subscribe: dict[int, None] = field(default_factory=dict)  # wanted and not served
-    to_unsubscribe: dict[int, None] = field(default_factory=dict)  # served and not wanted
+    to_subscribe: dict[int, None] = field(default_factory=dict)  # wanted, not in `node_destinations`
+    to_unsubscribe: dict[int, None] = field(default_factory=dict)  # in `node_destinations`, no longer wanted
 
 
 class Session:
-    """`restored`: destinations with their endpoints as a snapshot has them, subscribed to from the start."""
+    """`restored`: destinations of a snapshot with their endpoints; they are subscribed from the start."""
 
     def __init__(self, fleet: str, courier: str, restored: Mapping[int, Iterable[Place]] | None = None):
         self.fleet, self.courier = fleet, courier
-        self.resyncs = 0  # full answers under a lease that went on
+        self.resyncs = 0  # full answers under a continued lease
         self._wanted: dict[int, None] = {}
-        # no longer wanted, and what is known of them not yet forgotten
+        # no longer wanted; knowledge about them is dropped with the next request
         self._unsubscribed: dict[int, None] = {}
         self._known: dict[int, dict[str, Place]] = {}  # by destination and endpoint
         self._unknown: set[int] = set()  # destinations that do not exist
         self._owner: dict[str, int] = {}  # the destination of each known endpoint
-        self._confirmed: set[int] = set()  # by an answer, not only by a snapshot
+        self._confirmed: set[int] = set()  # by an answer, not only from a snapshot
         self._lease: _Lease | None = None
-        self._outstanding: Ask | None = None  # the request that is out
+        self._outstanding: Ask | None = None  # the request sent last
         for destination, places in (restored or {}).items():
             self._wanted[destination] = None
             if known := {place.ident: place for place in places}:
                 self._known[destination] = known
                 self._owner.update(dict.fromkeys(known, destination))
 
-    # What the courier wants.
+    # Subscribed destinations.
 
     def subscribe(self, destination: int) -> None:
-        """It belongs to the set from now on."""
+        """Adds the destination to the set."""
         self._wanted[destination] = None
         self._unsubscribed.pop(destination, None)
         if lease := self._lease:
@@ -114,7 +114,7 @@
                 lease.to_subscribe[destination] = None
 
     def unsubscribe(self, destination: int) -> None:
-        """It belongs to the set no longer; what is known of it stays until a request says so."""
+        """Removes the destination from the set; what is known of it is kept until the next request."""
         if destination not in self._wanted:
             return
         del self._wanted[destination]
@@ -125,21 +125,21 @@
                 lease.to_unsubscribe[destination] = None
 
     def wants(self, destination: int) -> bool:
-        """Whether it belongs to the set."""
+        """Whether the destination is in the set."""
         return destination in self._wanted
 
     def standing(self, destination: int) -> Standing:
-        """What is known of it; by a snapshot alone one counts as known too."""
+        """What is known about the destination; one known only from a snapshot counts as KNOWN."""
         if destination in self._known:
             return Standing.KNOWN
         return Standing.UNKNOWN if destination in self._unknown else Standing.WAITING
 
     def confirmed(self, destination: int) -> bool:
-        """Whether an answer has told of it since it was subscribed to."""
+        """Whether an answer has covered the destination since it was subscribed."""
         return destination in self._confirmed
 
     def known(self) -> dict[int, list[Place]]:
-        """The endpoints of each subscribed destination that has some."""
+        """The endpoints of each subscribed destination that has any."""
         return {
             destination: list(places.values())
             for destination, places in self._known.items()
@@ -148,25 +148,25 @@
 
     @property
     def version(self) -> int | None:
-        """The node's count under the lease; None without one."""
+        """The version of the last answer under the lease; None without a lease."""
         return self._lease.version if self._lease else None
 
     @property
     def pressing(self) -> bool:
-        """Whether a destination waits to be subscribed that no request has named yet."""
+        """Whether a destination was added that no request has included yet."""
         return bool(self._lease and self._lease.to_subscribe)
 
     # The exchange.
 
     def longest_wait(self, node: str, wait_ms: float) -> float:
-        """How long the next request may wait at the node."""
+        """How long (ms) the next request may wait at the node."""
         lease = self._lease
         return (
             min(wait_ms, MAX_WAIT_LEASE_FRACTION * lease.lease_ms) if lease and lease.address == node else 0.0
         )
 
     def next(self, node: str) -> Ask:
-        """The next request to that node: under its lease where there is one, else for a new one."""
+        """The next request to the node, under the lease held there, or for a new lease."""
         lease = self._lease
         if lease is None or lease.address != node:
             request = SubscribeRequest(self.fleet, self.courier, subscribe=tuple(self._wanted))
@@ -183,7 +183,7 @@
         return self._outstanding
 
     def _collect_changes(self, lease: _Lease) -> tuple[int, ...]:
-        """What changed goes with the next request, and what was given up is forgotten."""
+        """Moves the changes of the set into the next request and forgets unsubscribed destinations."""
         if lease.to_subscribe or lease.to_unsubscribe:
             lease.pending_change = _Change(
                 lease.sequence + 1, tuple(lease.to_subscribe), tuple(lease.to_unsubscribe)
@@ -202,14 +202,14 @@
         return destinations
 
     def _remove_owner(self, destination: int, places: Iterable[str]) -> None:
-        """The endpoints no longer count as the destination's, unless another one has them already."""
+        """Removes the endpoints' assignment to the destination, unless they moved to another one already."""
         for ident in places:
             if self._owner.get(ident) == destination:
                 del self._owner[ident]
 
     def answered(self, answer: SubscribeAnswer, places: list[Place]) -> News:
-        """Takes the answer to the last request in; `places` are its entries as the list's reader has them.
-        Raises MessageError where it cannot be right: then the lease is given up, what is known stays."""
+        """Processes the answer to the last request; `places` are its decoded entries. Raises MessageError if
+        the answer is inconsistent; the lease is then abandoned and the known state kept."""
         try:
             self._check(answer, places)
         except MessageError:
@@ -226,7 +226,7 @@
         return self._learn(answer, places, released)
 
     def _start_lease(self, grant: Grant, version: int) -> tuple[int, ...]:
-        """A new lease: what changed since its request goes with the next one."""
+        """Records a new lease; changes since its request go with the next request."""
         node_destinations = set(self._outstanding.request.subscribe)
         self._lease = _Lease(
             self._outstanding.node, grant.node, grant.lease, grant.lease_ms, version, node_destinations
@@ -243,12 +243,12 @@
 
     @staticmethod
     def _acknowledge(lease: _Lease) -> None:
-        """The change that was out has been applied."""
+        """The node has applied the pending change."""
         if lease.pending_change:
             lease.sequence, lease.pending_change = lease.pending_change.sequence, None
 
     def _learn(self, answer: SubscribeAnswer, places: list[Place], released: tuple[int, ...]) -> News:
-        """Of a destination told as complete, what is not in the answer has left."""
+        """Updates the known state; endpoints of a complete destination that the answer lacks have left."""
         node_destinations = self._lease.node_destinations
         complete = tuple(
             destination for destination in answer.grant.complete if destination in node_destinations
@@ -273,7 +273,7 @@
         return News(False, left + current, complete, unknown, released)
 
     def _remove(self, destinations: tuple[int, ...]) -> list[Place]:
-        """What was known of them until now."""
+        """Removes the endpoints known of the destinations, and returns them."""
         before = []
         for destination in destinations:
             known = self._known.pop(destination, {})
@@ -283,25 +283,25 @@
         return before
 
     def _add_place(self, place: Place) -> None:
-        """An endpoint belongs to one destination, the one that it was told of last."""
+        """Adds an endpoint; it belongs to one destination only, the last one reported."""
         if (owner := self._owner.get(place.ident)) is not None:
             del self._known[owner][place.ident]
         self._owner[place.ident] = place.dest
         self._known[place.dest][place.ident] = place
 
     def refused(self, refusal: Refusal) -> bool:
-        """Takes a refusal of the last request in; whether the same node is asked at once, for a new lease."""
+        """Processes a refusal. Returns whether to ask the same node for a new lease at once."""
         renewal = self._outstanding.request.lease is not None
         if renewal and refusal.reason in (Reason.LEASE_OVER, Reason.UNREADABLE, Reason.TOO_LARGE):
             self.abandon()
         return renewal and refusal.reason is Reason.LEASE_OVER
 
     def abandon(self) -> None:
-        """The next request asks for a new lease with the whole set; all that is known stays."""
+        """Drops the lease: the next request asks for a new one. The known state is kept."""
         if self._lease is not None and self._lease.address == self._outstanding.node:
             self._lease = None
 
-    # What an answer may say.
+    # Checks of an answer.
 
     def _check(self, answer: SubscribeAnswer, places: list[Place]) -> None:
         grant, request, lease = answer.grant, self._outstanding.request, self._lease
@@ -309,7 +309,7 @@
             raise MessageError("subscription.fleet", f"{grant.fleet[:40]!r} is another fleet")
         if grant.sequence != request.sequence:
             raise MessageError(
-                "subscription.sequence", f"{grant.sequence} is not {request.sequence}, as asked"
+                "subscription.sequence", f"{grant.sequence} differs from {request.sequence} in the request"
             )
         if request.lease is not None:
             self._check_renewal(answer, lease)
@@ -325,15 +325,17 @@
         if answer.grant.lease != lease.name:
             raise MessageError("subscription.lease", f"{answer.grant.lease[:40]!r} is another lease")
         if answer.version < lease.version:
-            raise MessageError("version", f"{answer.version} is before {lease.version}, as told last")
+            raise MessageError(
+                "version", f"{answer.version} is lower than {lease.version} in the last answer"
+            )
 
     def _check_destinations(self, answer: SubscribeAnswer) -> None:
-        """Each is named once, and all that are owed are there: the whole set in a full answer, else those
-        just subscribed to."""
+        """Each destination is listed once, and the required ones are present: the whole set in a full answer,
+        otherwise those just subscribed."""
         grant, request = answer.grant, self._outstanding.request
         listed = set(grant.complete).union(grant.unknown)
         if len(listed) < len(grant.complete) + len(grant.unknown):
-            raise MessageError("subscription.complete", "names a destination twice")
+            raise MessageError("subscription.complete", "lists a destination twice")
         resync = answer.full and request.lease is not None
         required = set(self._lease.node_destinations if resync else request.subscribe)
         if missing := required.difference(listed):
@@ -341,13 +343,11 @@
 
     @staticmethod
     def _check_entries(grant: Grant, places: list[Place]) -> None:
-        """Each endpoint once, and of destinations that are complete."""
+        """Each endpoint is listed once and belongs to a complete destination."""
         complete, seen = set(grant.complete), set()
         for position, place in enumerate(places):
             if place.dest not in complete:
-                raise MessageError(
-                    f"servers[{position}].cell", f"{place.dest} is not among the complete ones"
-                )
+                raise MessageError(f"servers[{position}].cell", f"{place.dest} is not listed as complete")
             if place.ident in seen:
-                raise MessageError(f"servers[{position}].id", f"{place.ident[:40]!r} stands there twice")
+                raise MessageError(f"servers[{position}].id", f"{place.ident[:40]!r} is listed twice")
             seen.add(place.ident)
