--- a/calicopin/discovery_node/catalogue.py
+++ b/calicopin/discovery_node/catalogue.py
@@ -1,8 +1,8 @@
-"""The whole list in memory, compactly: each entry as the JSON bytes that answers send. No I/O and no clock.
+"""The whole list in compact memory, each entry as the JSON bytes that answers send. No I/O and no clock.
 
-A load appends entries to one block of bytes; two open-addressing tables of row numbers find them by endpoint
-and by destination. What changes after the load lies over it in plain maps, and the load's part stays as it
-is. A change costs by its own destination, whatever else is known.
+A load appends entries to one block of bytes; two open-addressing tables of row numbers index them by endpoint
+and by destination. Later changes are kept in dictionaries that override the loaded rows, which are not
+modified. The cost of a change depends only on its own destination, not on the size of the list.
 """
 
 from array import array
@@ -13,19 +13,20 @@
 
 STATE_LEFT = "left"
 NO_ROW = 0xFFFF_FFFF
-MIN_TABLE_BITS = 10  # a table begins with 2 ** 10 slots
-MAX_LOAD_FACTOR = 2 / 3  # of a table's slots
-GROW_SLOTS_PER_STEP = 4096  # slots that a growing table takes over between two pauses
-LOAD_LINES_PER_STEP = 64  # lines that a load takes between two pauses
-TYPICAL_LINE_BYTES = 110  # bytes
+MIN_TABLE_BITS = 10  # the initial table has 2 ** 10 slots
+MAX_LOAD_FACTOR = 2 / 3  # of a hash table
+GROW_SLOTS_PER_STEP = 4096  # slots rehashed between two pauses
+LOAD_LINES_PER_STEP = 64  # lines loaded between two pauses
+TYPICAL_LINE_BYTES = 110
 KEY_BITS = 32
 KEY_MASK = 0xFFFF_FFFF
-FIBONACCI_MULTIPLIER = 2_654_435_769  # 2 ** 32 over the golden ratio: spreads keys that lie near each other
+# 2 ** 32 divided by the golden ratio: Fibonacci hashing spreads adjacent keys
+FIBONACCI_MULTIPLIER = 2_654_435_769
 
 
 @dataclass(frozen=True, slots=True)
 class CatalogueStats:
-    """What a catalogue holds, in numbers."""
+    """Sizes of a catalogue."""
 
     destinations: int
     endpoints: int
@@ -34,12 +35,12 @@
 
 
 def hash_endpoint_id(ident: str) -> int:
-    """An endpoint's key."""
+    """The 32-bit hash of an endpoint's id."""
     return hash(ident) & KEY_MASK
 
 
 class RowTable:
-    """Row numbers by a 32-bit key, open addressing with linear probing. `keys` has the key of each row."""
+    """A hash table of row numbers with linear probing. `keys` has the 32-bit key of each row."""
 
     def __init__(self, keys: array, expected_rows: int = 0):
         self.keys = keys
@@ -50,7 +51,7 @@
         self._shift, self._mask = KEY_BITS - bits, (1 << bits) - 1
 
     def slot(self, key: int, matches: Callable[[int], bool] | None = None) -> int:
-        """Where the row of that key stands, or would stand; `matches` tells rows apart that share a key."""
+        """The slot of the row with that key, or a free slot; `matches` distinguishes rows with equal keys."""
         slots, keys, mask = self.slots, self.keys, self._mask
         at = (key * FIBONACCI_MULTIPLIER & KEY_MASK) >> self._shift
         while (row := slots[at]) != NO_ROW:
@@ -60,13 +61,13 @@
         return at
 
     def put(self, slot: int, row: int) -> None:
-        """Sets a slot that `slot` told."""
+        """Stores the row in a slot returned by `slot`."""
         if self.slots[slot] == NO_ROW:
             self.free_slots -= 1
         self.slots[slot] = row
 
     def grow(self) -> Iterator[None]:
-        """Doubles the slots, a step at a time. Nothing may be added or looked for meanwhile."""
+        """Doubles the table in steps. The table must not be read or written meanwhile."""
         old_slots = self.slots
         self._clear(len(old_slots).bit_length())
         for at, row in enumerate(old_slots):
@@ -77,30 +78,30 @@
 
 
 class Catalogue:
-    """Destinations and their endpoints. `load` takes the lines of a first read, `apply` each later one.
+    """Destinations and their endpoints. `load` takes the lines of the initial read, `apply` each later line.
 
-    `expected_bytes` is the size of what is to be loaded, a hint that spares the tables their growth.
+    `expected_bytes` is the size of the data to load, a hint that avoids growing the tables.
     """
 
     def __init__(self, expected_bytes: int = 0):
-        self._block = bytearray()  # the loaded entries, a line each
-        # of each row: where its line begins, whether a later one replaced or removed it, the next of its
+        self._block = bytearray()  # the loaded entries, one line each
+        # per row: the offset of its line, whether a later line replaced or removed it, the next row of its
         # destination
         self._offsets, self._is_removed, self._next_row = array("Q"), bytearray(), array("I")
         self._destinations, self._ident_hashes = array("I"), array("I")
         expected_rows = expected_bytes // TYPICAL_LINE_BYTES
         self._by_ident = RowTable(self._ident_hashes, expected_rows)
         self._by_destination = RowTable(self._destinations, expected_rows)
-        # destinations as they are now, where that is not as loaded
+        # current entries of destinations that changed since the load
         self._changed_entries: dict[int, tuple[bytes, ...]] = {}
-        # where an endpoint is now, of those of changed destinations
+        # current destination of endpoints that changed since the load
         self._moved_to: dict[str, int | None] = {}
         self.destinations = self.endpoints = 0
-        self.work = 0  # rows that lookups and changes looked at
+        self.work = 0  # rows examined by lookups and changes
 
     def load(self, lines: Iterable[Line]) -> Iterator[None]:
-        """Takes the lines of a first read, pausing now and then; a later line of an endpoint replaces the
-        earlier."""
+        """Loads the lines of the initial read, yielding at intervals. A later line of an endpoint replaces an
+        earlier one."""
         for line in lines:
             for table in (self._by_ident, self._by_destination):
                 if not table.free_slots:
@@ -111,7 +112,7 @@
                 yield
 
     def apply(self, entry: Entry, data: bytes) -> set[int]:
-        """Takes one line; the destinations that are not as before."""
+        """Applies one line and returns the destinations that changed."""
         previous = self._destination_of(entry.id)
         current = None if entry.state == STATE_LEFT else entry.cell
         if previous is None and current is None:
@@ -126,17 +127,17 @@
         return changed_destinations
 
     def entries(self, destination: int) -> tuple[bytes, ...]:
-        """The destination's endpoints as JSON; empty where it does not exist."""
+        """The destination's endpoints as JSON; empty if it does not exist."""
         changed = self._changed_entries.get(destination)
         return self._loaded_entries(destination) if changed is None else changed
 
     @property
     def changed(self) -> int:
-        """Destinations that changed since the load."""
+        """The number of destinations that changed since the load."""
         return len(self._changed_entries)
 
     def stats(self) -> CatalogueStats:
-        """What it holds, in numbers."""
+        """The sizes of the catalogue."""
         return CatalogueStats(self.destinations, self.endpoints, self.changed, len(self._block))
 
     def _load_line(self, entry: Entry, data: bytes) -> None:
@@ -159,7 +160,7 @@
         self.endpoints += 1
 
     def _link_row(self, row: int, destination: int) -> None:
-        """The row is one more of its destination."""
+        """Adds the row to the linked list of its destination."""
         slot = self._by_destination.slot(destination)
         head = self._by_destination.slots[slot]
         if head == NO_ROW:
@@ -177,20 +178,20 @@
         self.destinations -= not self._live_rows(self._head(self._destinations[row]))
 
     def _head(self, destination: int) -> int:
-        """The first row of the destination, whether that still counts or not."""
+        """The first row of the destination, which may be removed already."""
         return self._by_destination.slots[self._by_destination.slot(destination)]
 
     def _ident_slot(self, ident: str, ident_hash: int) -> int:
-        """Where the endpoint's row stands or would stand."""
+        """The slot of the endpoint's row, or a free slot."""
         return self._by_ident.slot(ident_hash, lambda row: self._row_has_ident(row, ident))
 
     def _row_has_ident(self, row: int, ident: str) -> bool:
-        """Whether the row is the endpoint's, and not just of the same hash."""
+        """Whether the row belongs to the endpoint rather than to another one with the same hash."""
         self.work += 1
         return decode_entry(self._row_line(row)).id == ident
 
     def _live_rows(self, row: int) -> list[int]:
-        """From a destination's first row on those that count."""
+        """The rows of a destination, from its first row, that were not removed."""
         found = []
         while row != NO_ROW:
             self.work += 1
@@ -207,14 +208,14 @@
         return bytes(self._block[offset : self._block.index(b"\n", offset)])
 
     def _destination_of(self, ident: str) -> int | None:
-        """The destination that an endpoint belongs to now."""
+        """The current destination of an endpoint, or None."""
         if ident in self._moved_to:
             return self._moved_to[ident]
         row = self._by_ident.slots[self._ident_slot(ident, hash_endpoint_id(ident))]
         return None if row == NO_ROW or self._is_removed[row] else self._destinations[row]
 
     def _replace(self, destination: int, ident: str, data: bytes | None) -> None:
-        """The destination without the endpoint, or with it as told now."""
+        """Removes the endpoint from the destination, or sets it to `data`."""
         previous = self.entries(destination)
         others = [entry for entry in previous if decode_entry(entry).id != ident]
         current = tuple(others if data is None else [*others, data])
--- a/calicopin/discovery_node/entry.py
+++ b/calicopin/discovery_node/entry.py
@@ -1,5 +1,4 @@
-"""One line of the source: its header, or an entry in the list's own form, checked before anything is made of
-it."""
+"""One line of the source: its header or an entry of the list, validated on decoding."""
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -8,7 +7,7 @@
 
 from calicopin.subscription.messages import MAX_DESTINATION
 
-SOURCE_FORM_VERSION = 1  # of the source's lines
+SOURCE_FORM_VERSION = 1  # version of the line format
 MAX_FIELD_LENGTH = 256  # characters of an endpoint's id, address, kind or zone
 
 RequiredText = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_FIELD_LENGTH)]
@@ -18,11 +17,11 @@
 
 
 class EntryError(ValueError):
-    """A line that cannot be read, with the place in it."""
+    """An invalid line; the message names the position in it."""
 
 
 class Entry(msgspec.Struct, forbid_unknown_fields=True):
-    """One endpoint as the list tells it; `cell` is its destination."""
+    """One endpoint of the list; `cell` is its destination."""
 
     id: RequiredText
     addr: RequiredText
@@ -34,7 +33,7 @@
 
 
 class Header(msgspec.Struct, forbid_unknown_fields=True):
-    """The first line: the form of the lines that follow, and the fleet whose list it is."""
+    """The first line: the version of the line format and the fleet of the list."""
 
     form: int
     fleet: RequiredText
@@ -42,7 +41,7 @@
 
 @dataclass(slots=True)
 class Line:
-    """A line of the source, counted from 1: an entry with its bytes, or a fault."""
+    """A line of the source, numbered from 1: an entry and its bytes, or a fault."""
 
     number: int
     data: bytes
@@ -55,7 +54,7 @@
 
 
 def decode_entry(data: bytes) -> Entry:
-    """Raises EntryError where the line is none."""
+    """Raises EntryError if the line is not a valid entry."""
     try:
         return _entry_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
@@ -63,7 +62,7 @@
 
 
 def read_line(number: int, data: bytes) -> Line:
-    """The line as an entry, or with its fault."""
+    """Decodes the line into an entry or a fault."""
     try:
         return Line(number, data, decode_entry(data))
     except EntryError as fault:
@@ -71,7 +70,7 @@
 
 
 def check_header(data: bytes, fleet: str) -> None:
-    """Raises EntryError where the header is none, of another fleet or of a form that is not known here."""
+    """Raises EntryError if the header is invalid, of another fleet or of an unsupported version."""
     try:
         header = _header_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
@@ -79,6 +78,6 @@
             f'the header is not {{"form":{SOURCE_FORM_VERSION},"fleet":"..."}}: {fault}'
         ) from None
     if header.form != SOURCE_FORM_VERSION:
-        raise EntryError(f"form {header.form} is not form {SOURCE_FORM_VERSION}, the only one known here")
+        raise EntryError(f"form {header.form} is not form {SOURCE_FORM_VERSION}, the only supported one")
     if header.fleet != fleet:
         raise EntryError(f"the list is of the fleet {header.fleet[:40]!r}, this node serves {fleet!r}")
--- a/calicopin/discovery_node/measure.py
+++ b/calicopin/discovery_node/measure.py
@@ -1,7 +1,7 @@
-"""What a node's parts cost, in one process and without sockets: `python -m calicopin.discovery_node.measure`.
+"""Measures a node's components in one process without sockets: `python -m calicopin.discovery_node.measure`.
 
-A made list is loaded, couriers subscribe to disjoint sets of it, destinations change one after the other.
-Processor time is this process's own; memory is what its resident size grew by.
+A generated list is loaded, couriers subscribe to disjoint sets, and destinations change one by one.
+Processor time is that of this process; memory is the growth of its resident size.
 """
 
 import json
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """The figures of one run."""
+    """The results of one run."""
 
     destinations: int
     couriers: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseOpeningCost:
-    """What it took to grant all leases."""
+    """The cost of granting all leases."""
 
     cpu_s: float
     resident_bytes: int
@@ -60,7 +60,7 @@
 
 
 def make_entry(number: int, state: str = "active") -> bytes:
-    """An endpoint of the destination of the same number."""
+    """An entry of an endpoint for the destination of the same number."""
     fields = {
         "id": f"s-{number}",
         "addr": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080",
@@ -74,7 +74,7 @@
 
 
 def write_source(path: str, destinations: int) -> None:
-    """A list log with one endpoint for each destination."""
+    """Writes a source file with one endpoint for each destination."""
     with open(path, "wb") as file:
         file.write(json.dumps({"form": 1, "fleet": FLEET}).encode() + b"\n")
         for number in range(destinations):
@@ -82,7 +82,7 @@
 
 
 def load(path: str) -> Catalogue:
-    """The list as a node holds it."""
+    """Loads the file as a node does."""
     file = open_source(path, FLEET)
     catalogue = Catalogue(file.size_at_open)
     for _ in catalogue.load(file.lines(file.size_at_open)):
@@ -92,28 +92,28 @@
 
 
 def disjoint_sets(destinations: int, couriers: int, each: int, seed: int) -> Iterator[tuple[int, ...]]:
-    """Disjoint sets by chance."""
+    """Random disjoint sets of destinations."""
     numbers = random.Random(seed).sample(range(destinations), couriers * each)
     for at in range(0, len(numbers), each):
         yield tuple(numbers[at : at + each])
 
 
 def answer(catalogue: Catalogue, update: LeaseUpdate) -> bytes:
-    """The body that goes out."""
+    """The encoded body of the answer."""
     servers = [entry for destination in update.destinations for entry in catalogue.entries(destination)]
     grant = Grant(FLEET, "n1", update.lease, update.sequence, 30_000.0, update.destinations)
     return encode_answer(update.full, update.version, servers, grant)
 
 
 def change_one(catalogue: Catalogue, table: LeaseTable, number: int) -> None:
-    """One destination's endpoint is announced as leaving, and all that hold it are answered."""
+    """Marks one destination's endpoint as leaving and answers every lease that subscribes to it."""
     data = make_entry(number, "leaving")
     for name in table.change(catalogue.apply(decode_entry(data), data)):
         answer(catalogue, table.tell(name))
 
 
 def measure(destinations: int, couriers: int, each: int, changes: int, seed: int) -> Cost:
-    """One run."""
+    """Runs one measurement."""
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "list.log")
         write_source(path, destinations)
@@ -151,7 +151,7 @@
 
 
 def open_all(catalogue: Catalogue, table: LeaseTable, requests: list[bytes]) -> LeaseOpeningCost:
-    """A lease for each request."""
+    """Grants a lease for each request."""
     resident_before, started_at, largest = resident_bytes(), time.process_time(), 0
     for body in requests:
         update = table.request(0.0, decode_request(body), None)
--- a/calicopin/discovery_node/node.py
+++ b/calicopin/discovery_node/node.py
@@ -1,5 +1,4 @@
-"""A discovery node from its settings: its parts put together, run until SIGTERM, or its source checked
-alone."""
+"""Builds a discovery node from its settings and runs it until SIGTERM, or only checks its source."""
 
 import os
 import resource
@@ -19,30 +18,30 @@
 from calicopin.system import HERE, System
 from calicopin.wire.loop import FOREVER, READ, Loop, Until
 
-SPARE_DESCRIPTORS = 64  # beside the connections: files, the log, those just being turned away
+SPARE_DESCRIPTORS = 64  # besides connections: files, the log, connections being refused
 
 
 class SettingsError(ValueError):
-    """A setting that the machine does not allow."""
+    """A setting that the limits of the machine do not allow."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What the command line tells."""
+    """The settings of the command line."""
 
     source: str
     host: str
     port: int
     fleet: str
     node: str
-    upstream: str = ""  # the address of a node whose list is copied to `source`
+    upstream: str = ""  # address of a node whose list is copied to `source`
     leases: LeaseBounds = field(default_factory=LeaseBounds)
     server: ServerBounds = field(default_factory=ServerBounds)
 
 
 @dataclass(frozen=True, slots=True)
 class SourceReport:
-    """What a check of a source found."""
+    """The result of checking a source."""
 
     figures: CatalogueStats
     lines: int
@@ -51,11 +50,11 @@
 
 
 class Node:
-    """The parts of a node, put together on a loop."""
+    """A node with its components on one event loop."""
 
     def __init__(self, settings: NodeSettings, system: System = HERE):
         self.loop = Loop(system=system)
-        run = system.token(4)  # no lease of an earlier run is one of this run
+        run = system.token(4)  # distinguishes the leases of this run from those of earlier runs
         self.table = LeaseTable(settings.fleet, settings.node, run, settings.leases)
         listener = system.listen(settings.host, settings.port)
         self.server = NodeServer(self.loop, listener, self.table, settings.server)
@@ -67,41 +66,41 @@
         self.server.source = self.source
 
     def stop_on_signal(self, signal_reader: SignalReader) -> None:
-        """SIGTERM and SIGINT end it."""
+        """Stops the node on SIGTERM or SIGINT."""
         self.loop.spawn(self._wait_for_stop(signal_reader), ahead=True)
 
     def _wait_for_stop(self, signal_reader: SignalReader) -> Iterator[Until]:
         while not signal_reader.heard().intersection(SignalReader.STOPS):
             yield Until(FOREVER, signal_reader.fd, READ)
-        logger.info("the node ends", event="stopping")
+        logger.info("stopping", event="stopping")
         yield from self.server.stop()
 
 
 def raise_descriptor_limit(connections: int) -> None:
-    """As many descriptors as the connections take; SettingsError where the machine allows fewer."""
+    """Raises the limit to what the connections need; SettingsError if the hard limit is lower."""
     needed = connections + SPARE_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     unlimited = resource.RLIM_INFINITY
     if hard != unlimited and hard < needed:
         raise SettingsError(
-            f"--connections {connections}: this process may have {hard} descriptors, {needed} are needed"
+            f"--connections {connections}: needs {needed} file descriptors, the hard limit is {hard}"
         )
     if soft != unlimited and soft < needed:
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
 
 def serve(settings: NodeSettings, signal_reader: SignalReader) -> None:
-    """Runs a node until it is told to end; raises ValueError or OSError where it cannot start."""
+    """Runs a node until it is stopped; raises ValueError or OSError if it cannot start."""
     raise_descriptor_limit(settings.server.connections)
     if not settings.upstream or os.path.exists(settings.source):
-        open_source(settings.source, settings.fleet).close()  # before the address is taken
+        open_source(settings.source, settings.fleet).close()  # fails before the listening socket is opened
     logger.remove()
     logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level.name} {message}", level="INFO", backtrace=False)
     run(settings, signal_reader)
 
 
 def run(settings: NodeSettings, signal_reader: SignalReader, system: System = HERE) -> None:
-    """A node on that system, from its first look at the source until it is told to end."""
+    """Runs a node on that system until it is stopped."""
     node = Node(settings, system)
     node.stop_on_signal(signal_reader)
     system.settle()
@@ -117,11 +116,11 @@
 
 
 def check_source(path: str, fleet: str) -> SourceReport:
-    """Reads a source whole; raises SourceError where there is none for this fleet."""
+    """Reads a whole source; raises SourceError if it is not a source for this fleet."""
     file = open_source(path, fleet)
     try:
         if file.offset == 0:
-            raise SourceError(f"{path}:1: has no whole header yet")
+            raise SourceError(f"{path}:1: the header line is incomplete")
         catalogue, faults = Catalogue(file.size_at_open), []
 
         def record_faults(lines: Iterator[Line]) -> Iterator[Line]:
--- a/calicopin/discovery_node/replies.py
+++ b/calicopin/discovery_node/replies.py
@@ -1,4 +1,4 @@
-"""What a request's query says, and the replies that a discovery node gives: each refusal is one typed
+"""Parses the query of a request and builds the replies of a discovery node; each refusal is one typed
 message."""
 
 import math
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """What the query of a request says."""
+    """The query of a request; `wait` in ms."""
 
     index: int | None
     wait: float
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer's status and body; `last` ends the connection, `refusal` is why it is no other."""
+    """An HTTP status and body; `last` closes the connection, `refusal` is set if the request was refused."""
 
     status: int
     body: bytes
@@ -29,17 +29,17 @@
 
 
 def refusal_reply(refusal: Refusal, status: int = 0, last: bool = False) -> Reply:
-    """A refusal as an answer; `status` where none of its reason's own fits better."""
+    """The reply for a refusal; `status` replaces the status of its reason."""
     return Reply(status or refusal.status, encode_refusal(refusal), refusal, last)
 
 
 def retry_seconds(refusal: Refusal) -> int:
-    """Of the header Retry-After, which knows whole seconds only."""
+    """The value of the Retry-After header, in whole seconds."""
     return math.ceil(refusal.retry_ms / 1000.0)
 
 
 def encode_refusal_response(refusal: Refusal) -> bytes:
-    """A refusal with its head, as the last message on a connection that nothing else is said on."""
+    """A complete HTTP response with a refusal that closes the connection."""
     body = encode_refusal(refusal)
     head = [
         f"HTTP/1.1 {refusal.status} {refusal.reason.value}",
@@ -52,17 +52,17 @@
 
 
 def unreadable_reply(message: str, status: int = 400, last: bool = True) -> Reply:
-    """The answer to what cannot be read."""
+    """The reply to an unreadable request."""
     return refusal_reply(Refusal(Reason.UNREADABLE, message), status, last)
 
 
 def is_number(text: str) -> bool:
-    """Whether a word of a query is a whole number from 0 up."""
+    """Whether a query value is a non-negative integer."""
     return text.isascii() and text.isdigit() and len(text) <= MAX_INDEX_DIGITS
 
 
 def read_poll(target: bytes, max_wait_ms: float) -> Poll:
-    """The query of a request; raises MessageError."""
+    """Parses the query of a request; raises MessageError."""
     fields = {}
     for name, value in parse_qsl(target.partition(b"?")[2].decode("latin-1"), keep_blank_values=True):
         if name not in ("index", "wait"):
--- a/calicopin/discovery_node/server.py
+++ b/calicopin/discovery_node/server.py
@@ -1,8 +1,7 @@
-"""The discovery node on sockets: HTTP/1.1 with long polls, one process, one thread, one loop.
+"""The discovery node's HTTP/1.1 server with long polling: one process, one thread, one event loop.
 
-Each connection is a coroutine. A request that has nothing to be told waits, and is answered at once when a
-change touches its lease. Every refusal is one typed message; what cannot be read any further ends its
-connection.
+Each connection is a coroutine. A request without news is parked, and is answered as soon as a change affects
+its lease. Every refusal is one typed message. A connection whose input cannot be parsed further is closed.
 """
 
 import json
@@ -46,34 +45,34 @@
 STATUS_PATH = b"/-/status"
 READY_PATH = b"/-/ready"
 LOG_TARGET = LOG_PATH.encode()
-REQUEST_TIMEOUT_MS = 2500.0  # ms for a whole request, and for its answer to be read
-LAST_ANSWER_READ_MS = 300.0  # ms for a client to read its last answer
-LEASE_EXPIRY_INTERVAL_MS = 500.0  # ms between two looks for leases that are over
-# ms that answers have to go out after SIGTERM: with the rest of the end less than a second
+REQUEST_TIMEOUT_MS = 2500.0  # to receive a whole request, and to send its answer
+LAST_ANSWER_READ_MS = 300.0  # for a client to read its last answer
+LEASE_EXPIRY_INTERVAL_MS = 500.0  # between two checks for expired leases
+# to send answers after SIGTERM; the whole shutdown takes less than a second
 SHUTDOWN_GRACE_MS = 400.0
 SHUTDOWN_POLL_MS = 10.0
-NOT_READY_RETRY_MS = 1000.0  # ms
+NOT_READY_RETRY_MS = 1000.0
 OVERLOAD_RETRY_MS = 1000.0
-REFUSAL_LOG_INTERVAL_MS = 1000.0  # ms between two lines on requests turned away
-ANSWER_DESTINATIONS_PER_STEP = 1000  # destinations of an answer that are looked up in one pass
-ACCEPT_BATCH_SIZE = 32  # connections accepted in one pass
-REQUEST_BYTES_PER_DESTINATION = 11  # bytes of a request: nine digits, a comma, a space
+REFUSAL_LOG_INTERVAL_MS = 1000.0  # between two log lines on refused requests
+ANSWER_DESTINATIONS_PER_STEP = 1000  # looked up in one pass of the event loop
+ACCEPT_BATCH_SIZE = 32  # connections accepted in one pass of the event loop
+REQUEST_BYTES_PER_DESTINATION = 11  # nine digits, a comma, a space
 REQUEST_BASE_BYTES = 4096
-MAX_BUFFERED_BODY_BYTES = 64 << 20  # bytes of bodies that are read at once, all connections together
+MAX_BUFFERED_BODY_BYTES = 64 << 20  # of all connections together
 
 
 @dataclass(frozen=True, slots=True)
 class ServerBounds:
-    """Of connections and of the requests on them."""
+    """Limits of connections and parked requests."""
 
     connections: int = 8192
     parked: int = 4096
-    idle_ms: float = 60_000.0  # a connection that says nothing so long between two requests is closed
+    idle_ms: float = 60_000.0  # an idle connection is closed after this time
 
 
 @dataclass(slots=True)
 class Parked:
-    """A request that waits."""
+    """A waiting long-poll request."""
 
     line: Line
     event: Event
@@ -81,13 +80,13 @@
     superseded: bool = False
 
     def wake(self) -> None:
-        """It is to be answered now."""
+        """Lets the request be answered now."""
         self.woken = True
         self.event.set()
 
 
 class Connection:
-    """One connection of a courier's."""
+    """A connection from a courier."""
 
     __slots__ = ("line", "task", "idle")
 
@@ -101,27 +100,27 @@
     def __init__(self, loop: Loop, listener: socket.socket, table: LeaseTable, bounds: ServerBounds):
         self.loop, self.listener, self.table, self.bounds = loop, listener, table, bounds
         self.source: Source | None = None
-        self.upstream: Upstream | None = None  # where the source is a copy of another node's
+        self.upstream: Upstream | None = None  # set if the source is a copy of another node's
         self.max_body_bytes = REQUEST_BASE_BYTES + REQUEST_BYTES_PER_DESTINATION * table.bounds.destinations
         self.max_wait_ms = table.bounds.lease_ms / 2.0
         self.connections: dict[Connection, None] = {}
         self.parked: dict[str, Parked] = {}
         self.refused: Counter[Reason] = Counter()
-        self.reserved_body_bytes = 0  # bytes that the bodies now being read may come to
+        self.reserved_body_bytes = 0  # maximum total size of the bodies being read
         self.answers = self.changes_told = self.destinations_changed = 0
         self.stopping = False
-        # what changes while long answers are made, one set for each
+        # per answer being built: the destinations that changed meanwhile
         self._changes_during_lookups: list[set[int]] = []
         self._unlogged_refusals, self._refusal_logged_at = 0, -FOREVER
         self.accepting = loop.keep(self._accept)
         loop.keep(self._expire)
 
     def change(self, destinations: set[int]) -> None:
-        """These destinations are not as before: whoever holds them and waits is answered."""
+        """Answers the parked requests that subscribe to these changed destinations."""
         self.destinations_changed += len(destinations)
         for changed in self._changes_during_lookups:
             changed |= destinations
-        # not in the order of a set: the same in any process
+        # sorted: set order differs between processes
         for name in sorted(self.table.change(destinations)):
             self.changes_told += 1
             self._wake(name)
@@ -131,7 +130,7 @@
         return not self.stopping and self.source is not None and self.source.catalogue is not None
 
     def stop(self) -> Iterator[Until]:
-        """Answers what waits and ends the loop, within a second."""
+        """Answers parked requests and ends the event loop within a second."""
         self.stopping = True
         self.loop.cancel(self.accepting)
         self.loop.close(self.listener)
@@ -142,8 +141,8 @@
         self.loop.running = False
 
     def _close_waiting(self) -> None:
-        """Thousands of requests may wait: all are answered by the same bytes, and connections between two
-        closed."""
+        """Answers all parked requests, with one shared response as there may be thousands, and closes idle
+        connections."""
         refusal = self._not_ready_refusal()
         data, waiting = encode_refusal_response(refusal), {parked.line for parked in self.parked.values()}
         self.refused[refusal.reason] += len(waiting)
@@ -166,7 +165,7 @@
             yield Until(self.loop.now()) if more else Until(FOREVER, self.listener.fileno(), READ)
 
     def _accept_some(self) -> bool:
-        """Whether more may wait to be accepted."""
+        """Accepts a batch. Returns whether more connections may be pending."""
         for _ in range(ACCEPT_BATCH_SIZE):
             sock = accept_next(self.listener)
             if sock is None:
@@ -175,8 +174,8 @@
         return True
 
     def _admit(self, line: Line) -> None:
-        """Serves the connection; with no room left the one that is idle longest gives way, or this one is
-        turned away."""
+        """Serves the connection. At the connection limit the longest idle one is closed; if none is idle, the
+        new one is rejected."""
         if len(self.connections) >= self.bounds.connections:
             idle = next((other for other in self.connections if other.idle and other.line.quiet()), None)
             if idle is not None:
@@ -189,14 +188,14 @@
         self._reject_connection(line)
 
     def _reject_connection(self, line: Line) -> None:
-        """Answers without having read: the connection gets no coroutine."""
+        """Refuses the connection without reading from it or starting a coroutine."""
         refusal = Refusal(Reason.TOO_MANY, "no room for another connection", OVERLOAD_RETRY_MS)
         self._log_refusal(refusal)
         line.part(encode_refusal_response(refusal))
         line.close()
 
     def _hang_up(self, connection: Connection) -> None:
-        """Closed here too: a coroutine that was ended before its first step runs no part of its own."""
+        """Closes the connection here too: a coroutine cancelled before its first step runs no `finally`."""
         self.connections.pop(connection, None)
         self.loop.cancel(connection.task)
         connection.line.close()
@@ -207,7 +206,7 @@
             more = True
             while more:
                 more = yield from self._exchange(connection)
-                # one after the other: a client that never pauses does not hold up the rest
+                # a client that sends requests without a pause must not block the others
                 yield Until(self.loop.now())
             if not line.ended and line.h11.our_state is not h11.IDLE:
                 yield from line.linger(self.loop.now() + LAST_ANSWER_READ_MS)
@@ -216,7 +215,7 @@
             line.close()
 
     def _exchange(self, connection: Connection) -> Iterator[Until]:
-        """One request and its answer; False where the connection ends."""
+        """Handles one request. Returns False if the connection ends."""
         line = connection.line
         if not (yield from self._wait_for_request(connection)):
             return False
@@ -230,14 +229,14 @@
         return (yield from self._send_reply(line, reply))
 
     def _wait_for_request(self, connection: Connection) -> Iterator[Until]:
-        """Whether a request comes; an idle connection that stays silent is closed."""
+        """Waits for a request. Returns False if the idle time-out passes or the connection ends."""
         line = connection.line
         if self.stopping:
             return False
         if line.unread() or line.peek() is not None:
             return not line.left() or bool(line.unread())
         connection.idle = True
-        del self.connections[connection]  # the one idle longest comes first
+        del self.connections[connection]  # keeps the longest idle connection first
         self.connections[connection] = None
         readable = yield Until(self.loop.now() + self.bounds.idle_ms, line.sock.fileno(), READ)
         connection.idle = False
@@ -245,7 +244,7 @@
 
     @staticmethod
     def _head_error_reply(line: Line, head) -> Reply | None:
-        """The answer where a request's head did not come or cannot be read."""
+        """The reply if a request head is incomplete or invalid, else None."""
         if head is None and line.unread():
             return unreadable_reply("a head that does not come", 408)
         if isinstance(head, h11.RemoteProtocolError):
@@ -253,7 +252,7 @@
         return None
 
     def _read_request(self, line: Line, head: h11.Request, until: float) -> Iterator[Until]:
-        """The request's body, and the answer to it; None where nobody is there to hear one."""
+        """Reads the body and returns the reply; None if the client has left."""
         lengths = dict(head.headers)
         if b"content-length" in lengths and b"transfer-encoding" in lengths:
             return unreadable_reply("both Content-Length and Transfer-Encoding")
@@ -276,7 +275,7 @@
         return (yield from self._route(line, head, body))
 
     def _body_error_reply(self, line: Line, until: float) -> Reply | None:
-        """The answer where a body did not come whole."""
+        """The reply to an incomplete or invalid body; None if the client has left."""
         if line.ended:
             return None
         if self.loop.now() >= until:
@@ -304,7 +303,7 @@
         return (yield from self._subscribe(line, head.target, body))
 
     def _log_chunk_reply(self, target: bytes) -> Reply:
-        """A piece of the source's file for a node whose upstream this one is."""
+        """A chunk of the source file for a node that uses this one as its upstream."""
         query = dict(parse_qsl(target.partition(b"?")[2].decode("latin-1")))
         offset = query.get("offset", "")
         if len(query) != 1 or not is_number(offset):
@@ -320,7 +319,7 @@
             request = decode_request(body)
         except MessageError as fault:
             return unreadable_reply(str(fault), last=False)
-        if line.left():  # nobody would hear the answer, and it would count as told
+        if line.left():  # the answer would be lost but count as sent
             return None
         return (yield from self._decide(line, request, poll))
 
@@ -334,7 +333,7 @@
         return (yield from self._build_reply(decision))
 
     def _park(self, line: Line, lease: str, wait: float) -> Iterator[Until]:
-        """Waits for a change of the lease; None where the client has left meanwhile."""
+        """Waits for a change of the lease; None if the client leaves meanwhile."""
         if wait > 0.0 and len(self.parked) >= self.bounds.parked:
             message = "no room for another request that waits"
             return refusal_reply(Refusal(Reason.TOO_MANY, message, OVERLOAD_RETRY_MS))
@@ -350,14 +349,14 @@
         return (yield from self._build_reply(update))
 
     def _wait_parked(self, line: Line, parked: Parked, until: float) -> Iterator[Until]:
-        """Until it is woken or its time is up; False where the client has left before."""
+        """Waits until the request is woken or times out. Returns False if the client leaves before."""
         descriptor = line.sock.fileno()
         while not parked.woken:
             if not (yield Until(until, descriptor, READ, parked.event)):
                 break
             if not parked.woken and line.left():
                 return False
-            descriptor = -1  # the next request lies there already: its turn comes after this answer
+            descriptor = -1  # a pipelined request is already readable: it is served after this answer
         return True
 
     def _wake(self, lease: str) -> None:
@@ -366,7 +365,7 @@
             parked.wake()
 
     def _supersede(self, lease: str) -> None:
-        """Another request of the same lease has come: the one that waits is most likely lost."""
+        """Answers a parked request, most likely lost, as another one of the same lease has arrived."""
         parked = self.parked.pop(lease)
         parked.superseded = True
         parked.wake()
@@ -382,8 +381,8 @@
             self._wake_ended()
 
     def _build_reply(self, decision: LeaseUpdate | Refusal) -> Iterator[Until]:
-        """The reply; a long one is made in several passes. What changes meanwhile is told by the next one
-        again."""
+        """Builds the reply, a long one in several passes. Changes that occur meanwhile are repeated in the
+        next reply."""
         if isinstance(decision, Refusal):
             return refusal_reply(decision)
         entries = yield from self._look_up(decision.destinations)
@@ -404,8 +403,8 @@
         return Reply(200, encode_answer(decision.full, decision.version, servers, grant))
 
     def _look_up(self, destinations: tuple[int, ...]) -> Iterator[Until]:
-        """The entries of each destination, all as of one moment: an endpoint that moves must not stand in
-        two."""
+        """The entries of each destination as a consistent snapshot: an endpoint that moves must not appear
+        twice."""
         catalogue, changed, entries = self.source.catalogue, set(), {}
         self._changes_during_lookups.append(changed)
         try:
@@ -432,7 +431,7 @@
     # Answers.
 
     def _send_reply(self, line: Line, reply: Reply) -> Iterator[Until]:
-        """Whether the connection may serve another request."""
+        """Sends the reply. Returns whether the connection can serve another request."""
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(reply.body)))]
         if reply.refusal:
             self._log_refusal(reply.refusal)
@@ -442,13 +441,13 @@
             headers.append(("Connection", "close"))
         try:
             data = line.encode(h11.Response(status_code=reply.status, headers=headers), reply.body)
-        except h11.LocalProtocolError:  # it spoke no HTTP, or is gone
+        except h11.LocalProtocolError:  # the client did not use HTTP, or has left
             return False
         done = yield from line.write(data, self.loop.now() + REQUEST_TIMEOUT_MS)
         return done == len(data) and line.again()
 
     def _log_refusal(self, refusal: Refusal) -> None:
-        """One line a second at the most: those that come at full speed are counted."""
+        """Counts the refusal, and logs at most one line per REFUSAL_LOG_INTERVAL_MS."""
         self.refused[refusal.reason] += 1
         self._unlogged_refusals += 1
         now = self.loop.now()
--- a/calicopin/discovery_node/source.py
+++ b/calicopin/discovery_node/source.py
@@ -1,10 +1,8 @@
-"""The source of the list: an append-only file that the node reads whole once and then follows.
+"""The source of the list: an append-only file that the node reads in full once and then follows.
 
-The first line is a header, each later one an entry; a later line of the same endpoint replaces the earlier,
-and
-`state` left removes it. A line that cannot be read is passed over and told by its number. A file that was
-replaced is
-read into a new catalogue in slices while the last one serves on.
+The first line is a header, each later one an entry. A later line of an endpoint replaces the earlier one, and
+the state `left` removes the endpoint. An invalid line is skipped and logged with its number. A replaced file
+is read into a new catalogue in slices while the previous one is still served.
 """
 
 import copy
@@ -19,33 +17,33 @@
 from calicopin.system_errors import of_a_moment
 from calicopin.wire.loop import Loop, Until
 
-LOOK = 250.0  # ms between two looks at the file
-TIME_SLICE_MS = 10.0  # ms of a long read in one pass of the loop
-READ_CHUNK_BYTES = 256 * 1024  # bytes of one read
-MAX_LINE_BYTES = 64 * 1024  # bytes of one line
-# destinations changed since the last load, from which on the file may be read whole again
+LOOK = 250.0  # ms between two polls of the file
+TIME_SLICE_MS = 10.0  # time of a long read in one pass of the event loop
+READ_CHUNK_BYTES = 256 * 1024
+MAX_LINE_BYTES = 64 * 1024
+# minimum number of destinations changed since the last load before the file is reloaded
 RELOAD_MIN_CHANGED = 50_000
-# of all destinations: what changed lies in plain maps, which take three times the memory
+# the same as a share of all destinations: changed ones are kept in dictionaries of three times the memory
 RELOAD_CHANGED_FRACTION = 1 / 8
-MAX_LOGGED_FAULTS = 20  # faults of one read that are told line by line
+MAX_LOGGED_FAULTS = 20  # faults of one read that are logged individually
 
 
 class SourceError(ValueError):
-    """The source cannot be used; the message names the file."""
+    """The source is unusable; the message names the file."""
 
 
 class UnreadableNowError(SourceError):
-    """It cannot be read just now: the system had no room for that, and the file may be sound."""
+    """The source is temporarily unreadable, as the system lacked resources; the file may be valid."""
 
 
 class LineSplitter:
-    """Lines of a text that comes in pieces; what follows the last newline waits for its rest."""
+    """Splits chunks of data into lines; data after the last newline is kept for the next chunk."""
 
     def __init__(self):
         self.number, self._rest, self._skipping_long_line = 0, b"", False
 
     def feed(self, data: bytes) -> Iterator[Line]:
-        """The lines that the piece completes. Of one that is too long only the fault is kept."""
+        """The lines completed by this chunk. A line that is too long yields only a fault."""
         *complete_lines, rest = (self._rest + data).split(b"\n")
         self._rest = rest
         for text in complete_lines:
@@ -55,18 +53,18 @@
             self._rest, self._skipping_long_line = b"", True
 
     def has_partial_line(self) -> bool:
-        """Whether a half line waits for its rest."""
+        """Whether an incomplete line is buffered or being skipped."""
         return bool(self._rest) or self._skipping_long_line
 
     def _line(self, text: bytes) -> Line:
         too_long, self._skipping_long_line = self._skipping_long_line or len(text) > MAX_LINE_BYTES, False
         if too_long:
-            return Line(self.number, b"", None, f"a line of more than {MAX_LINE_BYTES} bytes")
+            return Line(self.number, b"", None, f"longer than {MAX_LINE_BYTES} bytes")
         return read_line(self.number, text)
 
 
 class SourceFile:
-    """One file under the source's path, held open: its name may go to another one."""
+    """A file opened at the source's path; it stays open if the path is replaced by another file."""
 
     def __init__(self, path: str, system: System = HERE):
         self.path, self.offset, self.splitter, self.system = path, 0, LineSplitter(), system
@@ -75,7 +73,7 @@
         self.identity, self.size_at_open = (file_status.st_dev, file_status.st_ino), file_status.st_size
 
     def read_header(self, fleet: str) -> bool:
-        """Whether the header is there; SourceError where it is none for this node."""
+        """Whether the header is complete; raises SourceError if it is not valid for this node."""
         text, newline, _ = self.read(MAX_LINE_BYTES, 0).partition(b"\n")
         if not newline and len(text) < MAX_LINE_BYTES:
             return False
@@ -87,19 +85,18 @@
         return True
 
     def reader_from_end(self) -> "SourceFile":
-        """The same open file from its end on, as far as that is whole lines: read beside this one."""
+        """A second reader of the open file that starts after its last complete line."""
         other, before = copy.copy(self), max(0, self.size_at_open - MAX_LINE_BYTES)
         last = self.read(self.size_at_open - before, before)
         other.splitter, other.offset = LineSplitter(), before + last.rfind(b"\n") + 1
         return other
 
     def size(self) -> int:
-        """Bytes of the open file, whatever its name."""
+        """The current size of the open file in bytes."""
         return self.system.open_status(self.descriptor).st_size
 
     def lines(self, end_offset: int) -> Iterator[Line]:
-        """The lines from where the last read ended up to that offset, or to the end where that comes
-        first."""
+        """The lines from the end of the last read up to `end_offset` or the end of the file."""
         while self.offset < end_offset:
             data = self.read(min(READ_CHUNK_BYTES, end_offset - self.offset), self.offset)
             if not data:
@@ -108,33 +105,33 @@
             yield from self.splitter.feed(data)
 
     def read(self, size: int, offset: int) -> bytes:
-        """Bytes of it, whatever was read before."""
+        """Up to `size` bytes at `offset`, independent of earlier reads."""
         return self.system.read_at(self.descriptor, size, offset)
 
     def close(self) -> None:
-        """The file is not needed any more."""
+        """Closes the file."""
         self.system.close(self.descriptor)
 
 
 class FaultReport:
-    """Tells the faults of one read: the first ones line by line, the rest as a count."""
+    """Logs the faults of one read: the first ones individually, then the total."""
 
     def __init__(self, path: str):
         self.path, self.count = path, 0
 
     def log_faults(self, lines: Iterable[Line]) -> Iterator[Line]:
-        """The lines as they come, faults told on the way."""
+        """Passes the lines through and logs the invalid ones."""
         for line in lines:
             if line.entry is None:
                 self.log_fault(line)
             yield line
 
     def log_fault(self, line: Line) -> None:
-        """One line that cannot be read."""
+        """Counts and logs an invalid line."""
         self.count += 1
         if self.count <= MAX_LOGGED_FAULTS:
             logger.warning(
-                "{path}:{line}: passed over: {fault}",
+                "{path}:{line}: skipped: {fault}",
                 event="source.line",
                 path=self.path,
                 line=line.number,
@@ -142,10 +139,10 @@
             )
 
     def log_total(self) -> None:
-        """The read is over."""
+        """Logs the total after the read, if not every fault was logged."""
         if self.count > MAX_LOGGED_FAULTS:
             logger.warning(
-                "{path}: {count} lines in all were passed over",
+                "{path}: {count} lines skipped in total",
                 event="source.lines",
                 path=self.path,
                 count=self.count,
@@ -153,7 +150,7 @@
 
 
 def open_source(path: str, fleet: str, system: System = HERE) -> SourceFile:
-    """The file, its header checked as far as it is there; raises SourceError."""
+    """Opens the file and checks its header if that is complete; raises SourceError."""
     try:
         file = SourceFile(path, system)
     except OSError as fault:
@@ -175,8 +172,8 @@
 
 
 class Source:
-    """Follows the file in `loop`. `changed` takes the destinations that are not as before, `subscribed` tells
-    those that anybody holds: after a replaced file only these are compared."""
+    """Follows the file in `loop`. `changed` is called with the destinations that changed; `subscribed`
+    returns the subscribed destinations, the only ones compared after the file was replaced."""
 
     def __init__(
         self,
@@ -188,38 +185,38 @@
     ):
         self.loop, self.path, self.fleet = loop, path, fleet
         self.changed, self.subscribed = changed, subscribed
-        self.catalogue: Catalogue | None = None  # none until the first load is over
+        self.catalogue: Catalogue | None = None  # None until the first load is complete
         self.file = open_source(path, fleet, loop.system)
-        self.read_at: float | None = None  # wall time of the last read that found something, ms
+        self.read_at: float | None = None  # wall-clock time of the last read with new data, ms
         self.polls = self.faults = self.loads = 0
-        self.files = 0  # how often another file took the place of the one that was followed
-        self._rejected_stamp: tuple | None = None  # the stamp of a file that could not be taken
-        self._must_reload = False  # the file that was followed is no longer what its offset says
-        self._last_logged = ""  # the trouble that was told last: it may come at every look
+        self.files = 0  # how often the followed file was replaced or truncated
+        self._rejected_stamp: tuple | None = None  # the stat values of the file that was rejected last
+        self._must_reload = False  # the offset into the followed file is no longer valid
+        self._last_logged = ""  # the last message logged: a fault may recur at every poll
         self.task = loop.keep(self.follow)
 
     @property
     def offset(self) -> int:
-        """Bytes of the file that were read."""
+        """The number of bytes read from the file."""
         return self.file.offset
 
     def read_piece(self, offset: int, size: int) -> bytes:
-        """Bytes of the file as far as this node has read it."""
+        """Bytes of the file, limited to what this node has read."""
         return self.file.read(max(0, min(size, self.file.offset - offset)), offset)
 
     def follow(self) -> Iterator[Until]:
-        """For ever: a look, a pause."""
+        """Polls the file forever."""
         while True:
             yield from self.look()
             self.polls += 1
             yield Until(self.loop.now() + LOOK)
 
     def look(self) -> Iterator[Until]:
-        """Reads what is new under the path."""
+        """Reads what is new at the path."""
         try:
             file_status = self.loop.system.status(self.path)
         except OSError as fault:
-            self._log_once(f"{self.path}: {fault.strerror}; the last good list serves on")
+            self._log_once(f"{self.path}: {fault.strerror}; still serving the last valid list")
             return
         stamp = (file_status.st_dev, file_status.st_ino, file_status.st_size, file_status.st_mtime_ns)
         if stamp == self._rejected_stamp:
@@ -235,12 +232,12 @@
         return self._must_reload or other or file_status.st_size < self.file.offset
 
     def _should_reload(self) -> bool:
-        """Whether enough has changed for a whole read of the same file."""
+        """Whether enough destinations changed to reload the same file."""
         catalogue = self.catalogue
         return catalogue.changed > max(RELOAD_MIN_CHANGED, RELOAD_CHANGED_FRACTION * catalogue.destinations)
 
     def _take_appended(self, size: int) -> Iterator[Until]:
-        """Applies the appended lines, a slice in each pass of the loop."""
+        """Applies the appended lines, one time slice per pass of the event loop."""
         report, changed_destinations, slice_started = FaultReport(self.path), set(), self.loop.now()
         try:
             for line in report.log_faults(self.file.lines(size)):
@@ -252,25 +249,26 @@
                     yield Until(self.loop.now())
                     slice_started = self.loop.now()
         except OSError as fault:
-            self._log_once(f"{self.path}: {fault.strerror}; the last good list serves on")
+            self._log_once(f"{self.path}: {fault.strerror}; still serving the last valid list")
         finally:
             self._notify_changed(changed_destinations)
         self._finish_read(report)
 
     def _reload(self, stamp: tuple) -> Iterator[Until]:
-        """Reads a file whole, and serves from it where that can be done; else the last good list serves
-        on."""
+        """Reads the whole file and serves it if it is valid; else the last valid list is still served."""
         try:
             file = open_source(self.path, self.fleet, self.loop.system)
         except UnreadableNowError as fault:
-            self._log_once(f"{fault}; the last good list serves on" if self.catalogue else str(fault))
+            self._log_once(f"{fault}; still serving the last valid list" if self.catalogue else str(fault))
             return
         except SourceError as fault:
-            self._reject(stamp, f"{fault}; the last good list serves on" if self.catalogue else str(fault))
+            self._reject(
+                stamp, f"{fault}; still serving the last valid list" if self.catalogue else str(fault)
+            )
             return
         if file.offset == 0:
             file.close()
-            self._reject(stamp, f"{self.path}: waits for its header")
+            self._reject(stamp, f"{self.path}: the header line is incomplete")
             return
         report, catalogue, appended_reader = (
             FaultReport(self.path),
@@ -285,20 +283,20 @@
             for line in report.log_faults(file.lines(appended_reader.offset)):
                 if line.entry is not None:
                     catalogue.apply(line.entry, line.data)
-        except OSError as fault:  # the next look tries again: the file itself may be sound
+        except OSError as fault:  # the next poll retries: the file itself may be valid
             file.close()
             self._log_once(f"{self.path}: {fault.strerror}")
             return
         self._finish_read(report)
         if self.catalogue is not None and self.catalogue.endpoints and not catalogue.endpoints:
             file.close()
-            self._reject(stamp, f"{self.path}: holds no endpoint; the last good list serves on")
+            self._reject(stamp, f"{self.path}: contains no endpoint; still serving the last valid list")
             return
         yield from self._switch_to(file, catalogue)
 
     def _apply_appended_during_load(self, file: SourceFile) -> None:
-        """What is appended while the file is read whole is told by the last good list already: a load may
-        last longer than a change may take. Its faults are told when the load comes to them."""
+        """Applies lines appended during a load to the list still being served, as a load may take longer
+        than the time allowed for a change. Invalid lines are logged when the load reads them."""
         if self.catalogue is None:
             return
         changed_destinations = set()
@@ -308,7 +306,7 @@
         self._notify_changed(changed_destinations)
 
     def _switch_to(self, file: SourceFile, catalogue: Catalogue) -> Iterator[Until]:
-        """Serves from the new catalogue at once, then tells what differs to those who hold it."""
+        """Switches to the new catalogue at once, then reports the subscribed destinations that differ."""
         old_file, self.file = self.file, file
         old, self.catalogue = self.catalogue, catalogue
         old_file.close()
@@ -325,8 +323,8 @@
         if old is not None:
             yield from self._run_in_slices(self._notify_differences(old, catalogue, self.subscribed()))
 
-    def _notify_differences(self, old: Catalogue, new: Catalogue, held: list[int]) -> Iterator[None]:
-        for destination in held:
+    def _notify_differences(self, old: Catalogue, new: Catalogue, subscribed: list[int]) -> Iterator[None]:
+        for destination in subscribed:
             if sorted(old.entries(destination)) != sorted(new.entries(destination)):
                 self._notify_changed({destination})
             yield
@@ -334,8 +332,8 @@
     def _run_in_slices(
         self, steps: Iterator[None], poll: Callable[[], None] | None = None
     ) -> Iterator[Until]:
-        """Long work a slice in each pass of the loop, so that requests are served meanwhile; a look now and
-        then."""
+        """Runs long work in one time slice per pass of the event loop, so that requests are served meanwhile;
+        calls `poll` at the polling interval."""
         slice_started = polled_at = self.loop.now()
         for _ in steps:
             if self.loop.now() - slice_started < TIME_SLICE_MS:
@@ -356,7 +354,7 @@
         self.read_at = self.loop.system.wall()
 
     def _reject(self, stamp: tuple, why: str) -> None:
-        """Not looked at again until it is another file or was written to."""
+        """Ignores the file until it is replaced or written to."""
         self._rejected_stamp, self._must_reload = stamp, True
         self._log_once(why)
 
--- a/calicopin/discovery_node/status.py
+++ b/calicopin/discovery_node/status.py
@@ -1,4 +1,4 @@
-"""The figures of a running discovery node, for operators."""
+"""The status of a running discovery node, for operators."""
 
 import os
 import time
@@ -12,13 +12,13 @@
 
 
 def resident_bytes() -> int:
-    """Of this process."""
+    """The resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def status_of(server: "NodeServer") -> dict:
-    """Figures for operators, as JSON has them."""
+    """The fields of the status document."""
     source, catalogue = server.source, server.source.catalogue
     stats = asdict(catalogue.stats()) if catalogue else {}
     return {
--- a/calicopin/discovery_node/upstream.py
+++ b/calicopin/discovery_node/upstream.py
@@ -1,9 +1,8 @@
-"""An upstream node as the source: its list log is copied to a file of this node's own, which the node then
-follows.
+"""An upstream node as the source: its source file is copied to a local file, which this node follows.
 
-The copy is asked for from where it ends, again and again. Where the upstream node began another file, or is
-another run, a new copy is made beside the old one and takes its place once it is whole: the last good copy
-serves on.
+The node polls for bytes after the end of its copy. If the upstream node switched to another file or was
+restarted, a new copy is written next to the old one and replaces it once complete; until then the old copy
+is served.
 """
 
 import os
@@ -17,44 +16,44 @@
 from calicopin.wire.loop import Loop, Until
 
 LOG_PATH = "/api/log"
-LOG_CHUNK_BYTES = 1 << 20  # bytes of the log in one answer
-MAX_IDENTITY_BYTES = 512  # bytes in front of them
-POLL_INTERVAL_MS = 250.0  # ms between two requests where nothing was new
-RETRY_INTERVAL_MS = 1000.0  # ms after one that failed
-REJECTED_COPY_RETRY_MS = 30_000.0  # ms after a copy that could not be used: it is made whole again
-ANSWER_TIMEOUT_MS = 5000.0  # ms for one answer
-PARTIAL_SUFFIX = ".part"  # of a copy that is not whole yet
+LOG_CHUNK_BYTES = 1 << 20  # maximum size of the log data in one answer
+MAX_IDENTITY_BYTES = 512  # maximum size of the identity line before the data
+POLL_INTERVAL_MS = 250.0  # between two requests when there was no new data
+RETRY_INTERVAL_MS = 1000.0  # after a failed request
+REJECTED_COPY_RETRY_MS = 30_000.0  # after an unusable copy, before a complete new one is made
+ANSWER_TIMEOUT_MS = 5000.0  # for one answer
+PARTIAL_SUFFIX = ".part"  # of an incomplete copy
 
 
 def encode_log_chunk(identity: str, data: bytes) -> bytes:
-    """A piece of the log: a line that names the file, and the bytes."""
+    """A chunk of the log: a line with the identity of the file, then the data."""
     return identity.encode() + b"\n" + data
 
 
 def write_all(descriptor: int, data: bytes, offset: int) -> None:
-    """All of it, or OSError; once more does no harm."""
+    """Writes all of the data at the offset, or raises OSError; may be repeated."""
     done = 0
     while done < len(data):
         done += os.pwrite(descriptor, data[done:], offset + done)
 
 
 class Upstream(Agent):
-    """Copies the log of the node at `address` to `path`. The list that is there serves from the first moment
-    on."""
+    """Copies the log of the node at `address` to `path`. A list that exists there is served from the
+    start."""
 
     def __init__(self, loop: Loop, address: str, path: str, fleet: str):
         self.path, self.fleet = path, fleet
-        self.heard_at: float | None = None  # wall time of the last answer, ms
-        self.copies = 0  # made whole
+        self.heard_at: float | None = None  # wall-clock time of the last answer, ms
+        self.copies = 0  # completed copies
         self._identity, self._offset, self._descriptor = "", 0, -1
-        self._is_published = False  # whether the copy has taken its place
+        self._is_published = False  # whether the copy has replaced the file at `path`
         self._last_logged = ""
         if not os.path.exists(path):
             os.close(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o644))
         super().__init__(loop, address)
 
     def talk(self) -> Iterator[Until]:
-        """For ever: one request after the other on one connection, a new one after a fault."""
+        """Sends one request after another on one connection, forever; reconnects after a failure."""
         self.hang_up()
         while True:
             pause = POLL_INTERVAL_MS
@@ -66,12 +65,12 @@
                 elif self._append(chunk):
                     pause = 0.0
             except (OSError, SourceError) as fault:
-                self._log_once(f"no copy of the list of the upstream node {self.address}: {fault}")
+                self._log_once(f"cannot copy the list of the upstream node {self.address}: {fault}")
                 self._identity, pause = "", REJECTED_COPY_RETRY_MS
             yield Until(self.loop.now() + pause)
 
     def _request_chunk(self) -> Iterator[Until]:
-        """The next piece; None where none came."""
+        """The next chunk, or None if the request failed."""
         until = self.loop.now() + ANSWER_TIMEOUT_MS
         line = yield from self.connect(until)
         if not line:
@@ -87,7 +86,7 @@
         return body if status == 200 else None
 
     def _append(self, chunk: bytes) -> bool:
-        """Takes one piece in; whether there may be more at once."""
+        """Processes one chunk. Returns whether more data may be available at once."""
         self.heard_at = self.loop.system.wall()
         name, _, data = chunk.partition(b"\n")
         identity = name.decode("latin-1")
@@ -104,7 +103,7 @@
         return False
 
     def _start_copy(self, identity: str) -> None:
-        """A new copy, from the log's first byte on."""
+        """Starts a new copy from the first byte of the log."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
@@ -113,11 +112,11 @@
         self._identity, self._offset, self._is_published = identity, 0, False
 
     def _publish(self) -> None:
-        """The copy is whole: it is the source from now on, if it is one of this fleet."""
+        """Replaces the source with the complete copy; raises SourceError if that is invalid."""
         file = open_source(self.path + PARTIAL_SUFFIX, self.fleet)
         file.close()
         if file.offset == 0:
-            raise SourceError("it has no whole header yet")
+            raise SourceError("its header line is incomplete")
         os.replace(self.path + PARTIAL_SUFFIX, self.path)
         self._is_published = True
         self.copies += 1
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -283,16 +283,16 @@
     assert following.entries(1) and following.entries(3) and not following.entries(2)
     following.append(damaged + b"\n" + entry("a", 1, "leaving") + b"\n")
     assert following.heard.all() == {1} and following.source.faults == 2
-    told = [line for line in lines if "passed over" in line]
-    assert [line.split(": passed over")[0] for line in told] == [f"{path}:3", f"{path}:5"]
+    told = [line for line in lines if "skipped" in line]
+    assert [line.split(": skipped")[0] for line in told] == [f"{path}:3", f"{path}:5"]
 
 
 def test_many_faults_are_told_as_a_count(path, lines):
     path.write_bytes(log(*([b"{"] * 100), entry("a", 1)))
     following = Following(path)
     assert following.entries(1)
-    told = [line for line in lines if "passed over" in line]
-    assert len(told) == MAX_LOGGED_FAULTS + 1 and "100 lines in all" in told[-1]
+    told = [line for line in lines if "skipped" in line]
+    assert len(told) == MAX_LOGGED_FAULTS + 1 and "100 lines skipped in total" in told[-1]
 
 
 def test_a_replaced_file_is_read_whole_and_only_differences_are_told(path):
@@ -321,10 +321,10 @@
         (b'{"form":1,"fleet":"other"}\n' + entry("a", 9) + b"\n", "the fleet 'other'"),
         (b'{"form":1,"fleet":"fleet","more":1}\n' + entry("a", 9) + b"\n", "more"),
         (entry("a", 9) + b"\n", "the header is not"),
-        (b"", "waits for its header"),
-        (b'{"form":1', "waits for its header"),
-        (HEADER, "holds no endpoint"),
-        (HEADER + b"{\n", "holds no endpoint"),
+        (b"", "the header line is incomplete"),
+        (b'{"form":1', "the header line is incomplete"),
+        (HEADER, "contains no endpoint"),
+        (HEADER + b"{\n", "contains no endpoint"),
     ],
 )
 def test_a_replaced_file_that_cannot_be_used_changes_nothing(path, lines, content, why):
@@ -335,7 +335,7 @@
     following.look()
     assert following.entries(1) and following.heard.all() == set()
     assert len([line for line in lines if why in line]) == 1
-    following.append(b"more of it" * 100)  # longer than the last good one: still not to be followed
+    following.append(b"more of it" * 100)  # longer than the last valid file: still must not be followed
     assert following.entries(1) and following.heard.all() == set()
     following.replace(log(entry("a", 1, "leaving")))
     assert following.heard.all() == {1}
