--- a/calicopin/discovery_node/node.py
+++ b/calicopin/discovery_node/node.py
@@ -83,7 +83,7 @@
     unlimited = resource.RLIM_INFINITY
     if hard != unlimited and hard < needed:
         raise SettingsError(
-            f"--connections {connections}: needs {needed} file descriptors, the hard limit is {hard}"
+            f"--connections {connections}: the hard limit is {hard} file descriptors, {needed} are needed"
         )
     if soft != unlimited and soft < needed:
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
