--- a/calicopin/discovery_node/measure.py
+++ b/calicopin/discovery_node/measure.py
@@ -109,7 +109,7 @@
     """Marks one destination's endpoint as leaving and answers every lease that subscribes to it."""
     data = make_entry(number, "leaving")
     for name in table.change(catalogue.apply(decode_entry(data), data)):
-        answer(catalogue, table.tell(name))
+        answer(catalogue, table.answer_waiting(name))
 
 
 def measure(destinations: int, couriers: int, each: int, changes: int, seed: int) -> Cost:
--- a/calicopin/discovery_node/server.py
+++ b/calicopin/discovery_node/server.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class Parked:
+class ParkedRequest:
     """A waiting long-poll request."""
 
     line: Line
@@ -104,7 +104,7 @@
         self.max_body_bytes = REQUEST_BASE_BYTES + REQUEST_BYTES_PER_DESTINATION * table.bounds.destinations
         self.max_wait_ms = table.bounds.lease_ms / 2.0
         self.connections: dict[Connection, None] = {}
-        self.parked: dict[str, Parked] = {}
+        self.parked: dict[str, ParkedRequest] = {}
         self.refused: Counter[Reason] = Counter()
         self.reserved_body_bytes = 0  # maximum total size of the bodies being read
         self.answers = self.changes_told = self.destinations_changed = 0
@@ -308,7 +308,7 @@
         offset = query.get("offset", "")
         if len(query) != 1 or not is_number(offset):
             return unreadable_reply("query.offset: is no whole number from 0 up", last=False)
-        identity = f"{self.table.prefix}{self.source.files}"
+        identity = f"{self.table.prefix}{self.source.replacements}"
         return Reply(200, encode_log_chunk(identity, self.source.read_piece(int(offset), LOG_CHUNK_BYTES)))
 
     # Subscriptions.
@@ -337,7 +337,7 @@
         if wait > 0.0 and len(self.parked) >= self.bounds.parked:
             message = "no room for another request that waits"
             return refusal_reply(Refusal(Reason.TOO_MANY, message, OVERLOAD_RETRY_MS))
-        parked = self.parked[lease] = Parked(line, Event(self.loop))
+        parked = self.parked[lease] = ParkedRequest(line, Event(self.loop))
         try:
             answerable = yield from self._wait_parked(line, parked, self.loop.now() + wait)
         finally:
@@ -345,10 +345,12 @@
                 del self.parked[lease]
         if not answerable:
             return None
-        update = self.table.idle(lease) if parked.superseded else self.table.tell(lease)
+        update = (
+            self.table.answer_superseded(lease) if parked.superseded else self.table.answer_waiting(lease)
+        )
         return (yield from self._build_reply(update))
 
-    def _wait_parked(self, line: Line, parked: Parked, until: float) -> Iterator[Until]:
+    def _wait_parked(self, line: Line, parked: ParkedRequest, until: float) -> Iterator[Until]:
         """Waits until the request is woken or times out. Returns False if the client leaves before."""
         descriptor = line.sock.fileno()
         while not parked.woken:
--- a/calicopin/discovery_node/source.py
+++ b/calicopin/discovery_node/source.py
@@ -32,7 +32,7 @@
     """The source is unusable; the message names the file."""
 
 
-class UnreadableNowError(SourceError):
+class TemporarilyUnreadableError(SourceError):
     """The source is temporarily unreadable, as the system lacked resources; the file may be valid."""
 
 
@@ -167,7 +167,7 @@
 
 
 def _unreadable(path: str, fault: OSError) -> "SourceError":
-    kind = UnreadableNowError if of_a_moment(fault) else SourceError
+    kind = TemporarilyUnreadableError if of_a_moment(fault) else SourceError
     return kind(f"{path}: {fault.strerror}")
 
 
@@ -189,7 +189,7 @@
         self.file = open_source(path, fleet, loop.system)
         self.read_at: float | None = None  # wall-clock time of the last read with new data, ms
         self.polls = self.faults = self.loads = 0
-        self.files = 0  # how often the followed file was replaced or truncated
+        self.replacements = 0  # how often the followed file was replaced or truncated
         self._rejected_stamp: tuple | None = None  # the stat values of the file that was rejected last
         self._must_reload = False  # the offset into the followed file is no longer valid
         self._last_logged = ""  # the last message logged: a fault may recur at every poll
@@ -258,7 +258,7 @@
         """Reads the whole file and serves it if it is valid; else the last valid list is still served."""
         try:
             file = open_source(self.path, self.fleet, self.loop.system)
-        except UnreadableNowError as fault:
+        except TemporarilyUnreadableError as fault:
             self._log_once(f"{fault}; still serving the last valid list" if self.catalogue else str(fault))
             return
         except SourceError as fault:
@@ -310,7 +310,7 @@
         old_file, self.file = self.file, file
         old, self.catalogue = self.catalogue, catalogue
         old_file.close()
-        self.files += file.identity != old_file.identity or file.size_at_open < old_file.offset
+        self.replacements += file.identity != old_file.identity or file.size_at_open < old_file.offset
         self.loads += 1
         self._rejected_stamp, self._must_reload, self._last_logged = None, False, ""
         logger.info(
--- a/calicopin/subscription/leases.py
+++ b/calicopin/subscription/leases.py
@@ -122,17 +122,17 @@
         self.expire(now)
         return self._open(now, request) if request.lease is None else self._renew(now, request, index)
 
-    def tell(self, name: str) -> LeaseUpdate | Refusal:
+    def answer_waiting(self, name: str) -> LeaseUpdate | Refusal:
         """The answer to a request that waited; empty if nothing changed."""
         lease = self._leases.get(name)
         if lease is None:
             return Refusal(Reason.LEASE_OVER, "the lease ended while the request waited")
         return self._pending_update(lease)
 
-    def idle(self, name: str) -> LeaseUpdate | Refusal:
+    def answer_superseded(self, name: str) -> LeaseUpdate | Refusal:
         """The empty answer to a request that was superseded by another one of the same lease."""
         lease = self._leases.get(name)
-        return self.tell(name) if lease is None else self._empty_update(lease)
+        return self.answer_waiting(name) if lease is None else self._empty_update(lease)
 
     def change(self, destinations: Iterable[int]) -> set[str]:
         """Records that these destinations changed, and returns the names of the leases that hold them."""
--- a/calicopin/subscription/nodes.py
+++ b/calicopin/subscription/nodes.py
@@ -62,7 +62,7 @@
         self._failback_at = float("inf")  # when to try a node that is preferred to the current one
         self.current: str | None = None  # the node in use; None while searching for one
         self._last_current: str | None = None
-        self.asked: str | None = None  # the node selected by the last `turn`
+        self.selected: str | None = None  # the node selected by the last `turn`
         self.changes = 0  # number of switches to another node
         self._ranked = self._ranking(nodes)
         self._at = now + START_JITTER_MS * self._random_fraction()
@@ -88,10 +88,10 @@
     def turn(self, now: float) -> NextRequest:
         """The node and the earliest time of the next request."""
         if self.current is None:
-            self.asked, at = self._next_untried(now)
+            self.selected, at = self._next_untried(now)
         else:
-            self.asked, at = self._failback_node(now) or self.current, self._at
-        return NextRequest(self.asked, max(at, now))
+            self.selected, at = self._failback_node(now) or self.current, self._at
+        return NextRequest(self.selected, max(at, now))
 
     def _next_untried(self, now: float) -> tuple[str, float]:
         """The most preferred node not yet tried in this round; if all nodes refused with a retry time, the
@@ -124,21 +124,21 @@
     def answered(self, now: float) -> None:
         """The node has answered: it becomes or stays the current node."""
         self._tried.clear()
-        self._not_before.pop(self.asked, None)
+        self._not_before.pop(self.selected, None)
         self._failed_rounds, self._at = 0, now
-        if self.asked != self.current:
-            self.changes += self._last_current not in (None, self.asked)
-            self.current = self._last_current = self.asked
+        if self.selected != self.current:
+            self.changes += self._last_current not in (None, self.selected)
+            self.current = self._last_current = self.selected
             self._schedule_failback(now)
 
     def failed(self, now: float) -> None:
         """The node did not answer, or its answer was invalid."""
-        if self.current is not None and self.asked != self.current:
+        if self.current is not None and self.selected != self.current:
             self._at = now  # a failed return: the current node stays in use
             self._schedule_failback(now)
             return
         self.current = None
-        self._tried.add(self.asked)
+        self._tried.add(self.selected)
         at = now + self._random_fraction() * min(TRY_JITTER, ROUND_JITTER / len(self._ranked))
         if any(node not in self._tried and self._not_before.get(node, 0.0) <= at for node in self._ranked):
             self._at = at
@@ -154,8 +154,8 @@
     def refused(self, now: float, retry_ms: float) -> None:
         """The node refused: it is not asked again before its retry time (ms) has passed."""
         until = now + min(retry_ms, MAX_RETRY_MS) + TRY_JITTER * self._random_fraction()
-        self._not_before[self.asked] = until
-        if self.asked == self.current and 0.0 < retry_ms <= MAX_SAME_NODE_RETRY_MS:
+        self._not_before[self.selected] = until
+        if self.selected == self.current and 0.0 < retry_ms <= MAX_SAME_NODE_RETRY_MS:
             self._at = until
         else:
             self.failed(now)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -44,7 +44,7 @@
     table = table_of()
     told = opened(table)
     assert renewed(table, told, told.version) == Wait(told.lease)
-    assert table.tell(told.lease) == LeaseUpdate(told.lease, 0, told.version, False, ())
+    assert table.answer_waiting(told.lease) == LeaseUpdate(told.lease, 0, told.version, False, ())
     assert renewed(table, told, told.version) == Wait(told.lease)
 
 
@@ -201,7 +201,7 @@
     refused(renewed(table, told, told.version, now=2998.0), Reason.LEASE_OVER)
     assert (len(table), table.subscriptions, table.subscribed()) == (0, 0, [])
     assert table.take_ended() == [told.lease] and table.take_ended() == []
-    refused(table.tell(told.lease), Reason.LEASE_OVER)
+    refused(table.answer_waiting(told.lease), Reason.LEASE_OVER)
 
 
 def test_a_lease_that_was_renewed_does_not_keep_one_that_was_not():
@@ -250,7 +250,7 @@
     assert new.lease != old.lease and (len(table), table.subscriptions) == (1, 2)
     assert table.take_ended() == [old.lease]
     refused(renewed(table, old, old.version), Reason.LEASE_OVER)
-    refused(table.idle(old.lease), Reason.LEASE_OVER)
+    refused(table.answer_superseded(old.lease), Reason.LEASE_OVER)
     assert table.change({1}) == set() and table.change({2}) == {new.lease}
 
 
@@ -258,7 +258,7 @@
     table = table_of()
     told = opened(table)
     table.change({1})
-    assert table.idle(told.lease).destinations == ()
+    assert table.answer_superseded(told.lease).destinations == ()
     assert renewed(table, told, told.version).destinations == (1,)
 
 
--- a/tests/test_subscription_nodes.py
+++ b/tests/test_subscription_nodes.py
@@ -145,7 +145,7 @@
         while chosen.turn(now).node == second:
             chosen.answered(now)
             now += WAIT
-        assert chosen.asked == best
+        assert chosen.selected == best
         returns.append(now)
         chosen.failed(now)
         assert chosen.turn(now) == NextRequest(second, now) and chosen.current == second
--- a/tests/test_subscription_properties.py
+++ b/tests/test_subscription_properties.py
@@ -122,7 +122,7 @@
     def request(self, now, request, index):
         told = self.table.request(now, request, index)
         if isinstance(told, Wait):
-            told = self.table.tell(told.lease)
+            told = self.table.answer_waiting(told.lease)
         if not isinstance(told, LeaseUpdate):
             return told
         return answered(self, told.lease, told.sequence, told.version, told.full, told.destinations)
@@ -164,7 +164,7 @@
         """The next request."""
         for destination in self.interest.sweep(now):
             self.session.unsubscribe(destination)
-        ask = self.session.next(self.nodes.asked)
+        ask = self.session.next(self.nodes.selected)
         self.release(ask.released)
         return ask
 
