--- a/calicopin/discovery_node/source.py
+++ b/calicopin/discovery_node/source.py
@@ -207,11 +207,11 @@
     def follow(self) -> Iterator[Until]:
         """Polls the file forever."""
         while True:
-            yield from self.look()
+            yield from self.poll()
             self.polls += 1
             yield Until(self.loop.now() + LOOK)
 
-    def look(self) -> Iterator[Until]:
+    def poll(self) -> Iterator[Until]:
         """Reads what is new at the path."""
         try:
             file_status = self.loop.system.status(self.path)
--- a/calicopin/subscription/interest.py
+++ b/calicopin/subscription/interest.py
@@ -27,14 +27,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class UseResult:
     """The effect of one use: whether the destination is new in the set, and which one was evicted for it."""
 
     fresh: bool
     given_up: int | None = None
 
 
-ALREADY_TRACKED = Use(fresh=False)
+ALREADY_TRACKED = UseResult(fresh=False)
 
 
 class Interest:
@@ -56,7 +56,7 @@
     def __contains__(self, destination: int) -> bool:
         return destination in self._last_used
 
-    def use(self, destination: int, now: float) -> Use:
+    def use(self, destination: int, now: float) -> UseResult:
         """Records a use. Raises InterestFullError if there is no room for a new destination."""
         if destination in self._last_used:
             self._last_used[destination] = now
@@ -65,7 +65,7 @@
         evicted = self._evict_least_recently_used(now) if len(self._last_used) >= self.most else None
         self._last_used[destination] = now
         self._schedule(destination, now + self._idle_timeout(destination, now))
-        return Use(True, evicted)
+        return UseResult(True, evicted)
 
     def sweep(self, now: float) -> list[int]:
         """Removes destinations whose idle time has passed, and returns them."""
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -182,10 +182,10 @@
     def __init__(self, path, subscribed=()):
         self.path, self.heard, self.loop = path, Heard(), Loop(now=Clock())
         self.source = Source(self.loop, str(path), "fleet", self.heard.take, lambda: list(subscribed))
-        self.look()
+        self.poll()
 
-    def look(self):
-        """As long as the next look takes."""
+    def poll(self):
+        """Runs the loop until the next poll is complete."""
         polls = self.source.polls
         self.loop.now.now += LOOK
         spin(self.loop, lambda: self.source.polls > polls)
@@ -193,13 +193,13 @@
     def append(self, data):
         with open(self.path, "ab") as file:
             file.write(data)
-        self.look()
+        self.poll()
 
     def replace(self, data):
         beside = self.path.with_suffix(".new")
         beside.write_bytes(data)
         os.replace(beside, self.path)
-        self.look()
+        self.poll()
 
     def entries(self, destination):
         return self.source.catalogue.entries(destination)
@@ -242,7 +242,7 @@
 
     monkeypatch.setattr(os, "pread", counted)
     following.append(entry("a", 1) + b"\n")
-    following.look()
+    following.poll()
     assert sum(read) == len(entry("a", 1)) + 1
 
 
@@ -310,7 +310,7 @@
     path.write_bytes(log(entry("a", 1), entry("b", 2)))
     following = Following(path, subscribed=(1, 2))
     path.write_bytes(log(entry("b", 2)))
-    following.look()
+    following.poll()
     assert following.heard.all() == {1} and following.entries(1) == ()
 
 
@@ -331,8 +331,8 @@
     path.write_bytes(log(entry("a", 1)))
     following = Following(path, subscribed=(1,))
     following.replace(content)
-    following.look()
-    following.look()
+    following.poll()
+    following.poll()
     assert following.entries(1) and following.heard.all() == set()
     assert len([line for line in lines if why in line]) == 1
     following.append(b"more of it" * 100)  # longer than the last valid file: still must not be followed
@@ -345,7 +345,7 @@
     path.write_bytes(log(entry("a", 1)))
     following = Following(path, subscribed=(1, 2))
     path.write_bytes(b'{"form":2,"fleet":"fleet"}\n')
-    following.look()
+    following.poll()
     following.append((entry("a", 1, "left") + b"\n" + entry("b", 2) + b"\n") * 3)
     following.append(entry("c", 2) + b"\n")
     assert following.heard.all() == set()
@@ -358,11 +358,11 @@
     path.write_bytes(log(entry("a", 1)))
     following = Following(path, subscribed=(1,))
     path.unlink()
-    following.look()
-    following.look()
+    following.poll()
+    following.poll()
     assert following.entries(1) and len([line for line in lines if "No such file" in line]) == 1
     path.write_bytes(log(entry("a", 1, "leaving")))
-    following.look()
+    following.poll()
     assert following.heard.all() == {1}
 
 
@@ -432,7 +432,7 @@
     beside.write_bytes(log(entry("s-1", 1, "leaving"), *entries[2:]) + half[:9])
     opened = source.file
     os.replace(beside, path)
-    stepping = source.look()
+    stepping = source.poll()
     next(stepping)  # the load has begun and waits in its first slice
     with open(path, "ab") as file:
         file.write(half[9:] + b"\n" + entry("s-2", 2, "leaving") + b"\n")
@@ -453,8 +453,8 @@
     for number in range(3):
         following.append(entry(f"s-{number}", number, "leaving") + b"\n")
     assert (following.heard.all(), following.source.loads) == ({0, 1, 2}, 1)
-    following.look()
-    following.look()
+    following.poll()
+    following.poll()
     assert (following.heard.all(), following.source.loads) == (set(), 2)
     assert following.source.catalogue.changed == 0
     assert following.entries(2) == (entry("s-2", 2, "leaving"),)
--- a/tests/test_subscription_messages.py
+++ b/tests/test_subscription_messages.py
@@ -1,4 +1,4 @@
-"""Messages of a subscription: read back as written, and each fault named by its place."""
+"""Tests of the subscription messages: round trips, and errors that name the invalid field."""
 
 import json
 
@@ -23,19 +23,19 @@
 GRANT = Grant("fleet", "node", "lease", 3, 30000.0, (1,), (2,))
 
 
-def test_request_is_read_back_as_written():
+def test_request_round_trip():
     assert decode_request(encode_request(REQUEST)) == REQUEST
     first = SubscribeRequest("fleet", "courier", subscribe=(7,))
     assert decode_request(encode_request(first)) == first
 
 
-def test_answer_is_read_back_as_written():
+def test_answer_round_trip():
     answer = decode_answer(encode_answer(True, 9, [b'{"id":"a"}', b'{"id":"b"}'], GRANT))
     assert (answer.full, answer.version, answer.servers) == (True, 9, ({"id": "a"}, {"id": "b"}))
     assert answer.grant == GRANT
 
 
-def test_refusal_is_read_back_as_written():
+def test_refusal_round_trip():
     refusal = Refusal(Reason.TOO_MANY, "too many", 1500.0)
     assert decode_refusal(encode_refusal(refusal)) == refusal
     assert refusal.status == 429
@@ -58,23 +58,23 @@
         ({"subscribe": [10**9]}, "subscription.subscribe[0]"),
     ],
 )
-def test_request_at_fault_is_refused_by_place(change, place):
-    told = json.loads(encode_request(REQUEST))
-    told["subscription"] |= change
+def test_invalid_request_is_refused_with_the_field_path(change, place):
+    payload = json.loads(encode_request(REQUEST))
+    payload["subscription"] |= change
     with pytest.raises(MessageError) as fault:
-        decode_request(json.dumps(told).encode())
+        decode_request(json.dumps(payload).encode())
     assert fault.value.place == place
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{", b'{"subscription": null}', b"\xff", b"[" * 100000])
-def test_what_is_no_message_is_refused(data):
+def test_invalid_data_is_refused(data):
     for decode in (decode_request, decode_answer, decode_refusal):
         with pytest.raises(MessageError):
             decode(data)
 
 
-def test_each_cut_of_an_answer_is_refused():
-    whole = encode_answer(False, 9, [b'{"id":"a"}'], GRANT)
-    for length in range(len(whole)):
+def test_every_truncated_answer_is_refused():
+    complete = encode_answer(False, 9, [b'{"id":"a"}'], GRANT)
+    for length in range(len(complete)):
         with pytest.raises(MessageError):
-            decode_answer(whole[:length])
+            decode_answer(complete[:length])
--- a/tests/test_subscription_nodes.py
+++ b/tests/test_subscription_nodes.py
@@ -1,4 +1,4 @@
-"""The choice of a discovery node: evenly spread, never in one instant, and never given up."""
+"""Tests of the selection of a discovery node: distribution of couriers, jitter, back-off and return."""
 
 from collections import Counter
 
@@ -21,43 +21,47 @@
 from calicopin.wire.asking import TOLD
 from calicopin.wire.subscriber import CONNECT, PROMPT, SILENCE, WAIT
 
-CONTROL = [f"10.0.0.{number}:7000" for number in range(31)]
+NODES = [f"10.0.0.{number}:7000" for number in range(31)]
 
 
-def choice(nodes=CONTROL[:3], seed=1, courier="c-1", now=0.0):
+def node_choice(nodes=NODES[:3], seed=1, courier="c-1", now=0.0):
     return NodeChoice(courier, list(nodes), seed, now)
 
 
-def kept(chosen):
-    """Asks once, with an answer: the node that is kept to."""
-    turn = chosen.turn(0.0)
-    chosen.answered(turn.at)
+def current_node(choice):
+    """Completes one request and returns its node, which becomes the current one."""
+    turn = choice.turn(0.0)
+    choice.answered(turn.at)
     return turn.node
 
 
-def test_couriers_of_a_lost_node_spread_evenly_over_the_rest_and_no_other_courier_moves():
-    """613 couriers on one of 31 nodes: each of the other 30 gets 20.4 on average, 4.4 is chance's."""
-    homes = {f"c-{number}": ranking(f"c-{number}", CONTROL) for number in range(19000)}
-    lost = CONTROL[7]
-    theirs = [courier for courier, nodes in homes.items() if nodes[0] == lost][:613]
-    assert len(theirs) > 550
-    spread = Counter(homes[courier][1] for courier in theirs)
+def test_couriers_of_a_failed_node_spread_evenly_and_no_other_courier_moves():
+    """613 couriers of one of 31 nodes: the other 30 get 20.4 each on average, standard deviation 4.4."""
+    rankings = {f"c-{number}": ranking(f"c-{number}", NODES) for number in range(19000)}
+    failed_node = NODES[7]
+    affected = [courier for courier, nodes in rankings.items() if nodes[0] == failed_node][:613]
+    assert len(affected) > 550
+    spread = Counter(rankings[courier][1] for courier in affected)
     assert len(spread) == 30 and min(spread.values()) >= 8 and max(spread.values()) <= 36
-    rest = [node for node in CONTROL if node != lost]
-    assert all(ranking(courier, rest)[0] == nodes[0] for courier, nodes in homes.items() if nodes[0] != lost)
-    assert ranking("c-1", CONTROL[::-1] + CONTROL) == ranking("c-1", CONTROL), (
-        "neither order nor repeats matter"
+    remaining = [node for node in NODES if node != failed_node]
+    assert all(
+        ranking(courier, remaining)[0] == nodes[0]
+        for courier, nodes in rankings.items()
+        if nodes[0] != failed_node
+    )
+    assert ranking("c-1", NODES[::-1] + NODES) == ranking("c-1", NODES), (
+        "the order of the list and duplicates do not matter"
     )
 
 
-def test_couriers_of_a_lost_node_do_not_arrive_in_one_instant():
+def test_couriers_of_a_failed_node_do_not_arrive_all_at_once():
     waits = []
     for number in range(613):
-        chosen = choice(courier=f"c-{number}", seed=number)
-        first = kept(chosen)
-        chosen.turn(5000.0)
-        chosen.failed(5000.0)
-        turn = chosen.turn(5000.0)
+        choice = node_choice(courier=f"c-{number}", seed=number)
+        first = current_node(choice)
+        choice.turn(5000.0)
+        choice.failed(5000.0)
+        turn = choice.turn(5000.0)
         assert turn.node != first
         waits.append(turn.at - 5000.0)
     assert 0.0 <= min(waits) and max(waits) <= TRY_JITTER
@@ -66,94 +70,94 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 5, 31])
-def test_all_nodes_down_are_tried_for_ever_and_the_next_answer_is_heard_within_6_s(nodes):
-    chosen, now, tries = choice(CONTROL[:nodes]), 0.0, []
+def test_failed_nodes_are_retried_forever_and_a_returning_node_is_asked_within_6_s(nodes):
+    choice, now, tries = node_choice(NODES[:nodes]), 0.0, []
     for _ in range(20 * nodes):
-        turn = chosen.turn(now)
+        turn = choice.turn(now)
         assert turn.at >= now
         now = turn.at
         tries.append((now, turn.node))
-        chosen.failed(now)
-    assert {node for _, node in tries[-nodes:]} == set(CONTROL[:nodes]), "each round asks every node"
+        choice.failed(now)
+    assert {node for _, node in tries[-nodes:]} == set(NODES[:nodes]), "each round tries every node"
     times = [at for at, _ in tries]
     assert max(after - before for before, after in zip(times, times[1:], strict=False)) <= MAX_BACKOFF_MS
-    for node in CONTROL[:nodes]:
+    for node in NODES[:nodes]:
         asked = [at for at, name in tries if name == node]
         gaps = [after - before for before, after in zip(asked, asked[1:], strict=False)]
-        assert max(gaps) + CONNECT <= TOLD, "a node that is back is asked in time"
-        assert min(gaps[6:], default=MAX_BACKOFF_MS) >= MAX_BACKOFF_MS / 2.0, "and not over and over"
+        assert max(gaps) + CONNECT <= TOLD, "a returning node is asked in time"
+        assert min(gaps[6:], default=MAX_BACKOFF_MS) >= MAX_BACKOFF_MS / 2.0, "and not too often"
 
 
-def test_answer_of_the_next_node_is_heard_within_6_s_also_behind_another_half_open_one():
-    silence = WAIT + SILENCE  # the parked poll at a node that fell silent
-    tries = TRY_JITTER + CONNECT + PROMPT  # a node that takes a connection and answers nothing
+def test_an_answer_arrives_within_6_s_if_the_next_node_does_not_answer_either():
+    silence = WAIT + SILENCE  # the parked request at a node that stopped answering
+    tries = TRY_JITTER + CONNECT + PROMPT  # a node that accepts a connection and never answers
     assert silence + tries + TRY_JITTER + CONNECT < TOLD
 
 
-def test_a_refusing_node_is_not_asked_before_its_time_and_others_are():
-    chosen = choice()
-    first = kept(chosen)
-    chosen.turn(1000.0)
-    chosen.refused(1000.0, 20000.0)
-    assert chosen.current is None
+def test_a_refusing_node_is_not_asked_before_its_retry_time_while_others_are():
+    choice = node_choice()
+    first = current_node(choice)
+    choice.turn(1000.0)
+    choice.refused(1000.0, 20000.0)
+    assert choice.current is None
     tries = []
     now = 1000.0
     while now < 40000.0:
-        turn = chosen.turn(now)
+        turn = choice.turn(now)
         now = turn.at
         tries.append(turn)
-        chosen.failed(now)
+        choice.failed(now)
     assert tries[0].node != first and tries[0].at <= 1000.0 + TRY_JITTER
     before = [turn.node for turn in tries if turn.at < 21000.0]
     after = [turn.node for turn in tries if turn.at >= 21000.0]
-    assert first not in before and first in after and set(before) == set(CONTROL[:3]) - {first}
+    assert first not in before and first in after and set(before) == set(NODES[:3]) - {first}
 
 
-def test_all_nodes_that_ask_for_time_are_asked_once_it_is_up():
-    chosen = choice()
+def test_if_all_nodes_refuse_the_next_request_waits_for_the_retry_time():
+    choice = node_choice()
     for _ in range(3):
-        turn = chosen.turn(0.0)
-        chosen.refused(0.0, 9000.0)
-    turn = chosen.turn(100.0)
+        turn = choice.turn(0.0)
+        choice.refused(0.0, 9000.0)
+    turn = choice.turn(100.0)
     assert 9000.0 <= turn.at <= 9000.0 + TRY_JITTER
-    assert choice().turn(0.0).at <= START_JITTER_MS
+    assert node_choice().turn(0.0).at <= START_JITTER_MS
 
 
-def test_a_short_refusal_is_waited_for_at_the_same_node_and_a_garbled_time_is_bounded():
-    chosen = choice()
-    first = kept(chosen)
-    chosen.turn(1000.0)
-    chosen.refused(1000.0, MAX_SAME_NODE_RETRY_MS)
-    turn = chosen.turn(1000.0)
+def test_a_short_retry_time_keeps_the_node_and_a_corrupt_one_is_limited():
+    choice = node_choice()
+    first = current_node(choice)
+    choice.turn(1000.0)
+    choice.refused(1000.0, MAX_SAME_NODE_RETRY_MS)
+    turn = choice.turn(1000.0)
     assert turn.node == first and 2000.0 <= turn.at <= 2000.0 + TRY_JITTER
-    lone = choice(CONTROL[:1])
+    lone = node_choice(NODES[:1])
     lone.turn(0.0)
     lone.refused(0.0, 1e15)
     assert lone.turn(0.0).at <= MAX_RETRY_MS + TRY_JITTER
 
 
-def test_return_to_a_better_node_is_spread_over_minutes_and_a_failed_one_costs_the_current_nothing():
+def test_returns_to_a_preferred_node_are_spread_and_a_failed_return_keeps_the_current_node():
     returns = []
     for number in range(400):
-        chosen = choice(courier=f"c-{number}", seed=number)
-        best = chosen.nodes[0]
-        chosen.turn(0.0)
-        chosen.failed(0.0)
-        second = chosen.turn(TRY_JITTER).node
-        chosen.answered(TRY_JITTER)
+        choice = node_choice(courier=f"c-{number}", seed=number)
+        best = choice.nodes[0]
+        choice.turn(0.0)
+        choice.failed(0.0)
+        second = choice.turn(TRY_JITTER).node
+        choice.answered(TRY_JITTER)
         now = TRY_JITTER
-        while chosen.turn(now).node == second:
-            chosen.answered(now)
+        while choice.turn(now).node == second:
+            choice.answered(now)
             now += WAIT
-        assert chosen.selected == best
+        assert choice.selected == best
         returns.append(now)
-        chosen.failed(now)
-        assert chosen.turn(now) == NextRequest(second, now) and chosen.current == second
+        choice.failed(now)
+        assert choice.turn(now) == NextRequest(second, now) and choice.current == second
         again = now + FAILBACK_WINDOW_MS + WAIT
-        assert chosen.turn(again).node == best, "it is tried again"
-        chosen.answered(again)
-        assert chosen.current == best and chosen.changes == 1
-        assert chosen.turn(again + 10 * FAILBACK_WINDOW_MS).node == best
+        assert choice.turn(again).node == best, "the return is tried again"
+        choice.answered(again)
+        assert choice.current == best and choice.changes == 1
+        assert choice.turn(again + 10 * FAILBACK_WINDOW_MS).node == best
     assert (
         min(returns) >= FAILBACK_MIN_FRACTION * FAILBACK_WINDOW_MS
         and max(returns) <= FAILBACK_WINDOW_MS + 2.0 * WAIT
@@ -162,33 +166,35 @@
     assert min(halves.values()) > 150
 
 
-def test_another_list_of_nodes_keeps_the_rest_of_the_state():
-    chosen = choice(CONTROL[:3])
-    first = kept(chosen)
-    chosen.move(CONTROL[:3] + CONTROL[5:9], 1000.0)
-    assert chosen.turn(1000.0).node == first, "no better one is gone to at once"
-    chosen.move([node for node in CONTROL if node != first], 2000.0)
-    assert chosen.current is None
-    turn = chosen.turn(2000.0)
-    assert turn.node == ranking("c-1", [node for node in CONTROL if node != first])[0]
+def test_a_new_list_of_nodes_keeps_the_state_of_remaining_nodes():
+    choice = node_choice(NODES[:3])
+    first = current_node(choice)
+    choice.move(NODES[:3] + NODES[5:9], 1000.0)
+    assert choice.turn(1000.0).node == first, "no immediate switch to a preferred node"
+    choice.move([node for node in NODES if node != first], 2000.0)
+    assert choice.current is None
+    turn = choice.turn(2000.0)
+    assert turn.node == ranking("c-1", [node for node in NODES if node != first])[0]
     assert turn.at <= 2000.0 + TRY_JITTER
-    chosen.refused(2000.0, 30000.0)
+    choice.refused(2000.0, 30000.0)
     refusing = turn.node
-    chosen.move(CONTROL, 3000.0)
-    assert all(chosen.turn(3000.0).node != refusing for _ in range(3)), "a told time outlasts the change"
+    choice.move(NODES, 3000.0)
+    assert all(choice.turn(3000.0).node != refusing for _ in range(3)), (
+        "the retry time is kept across the change"
+    )
     with pytest.raises(NoNodesError):
-        chosen.move([], 4000.0)
+        choice.move([], 4000.0)
 
 
-def test_pauses_grow_by_round_and_start_anew_after_an_answer():
-    chosen, now, pauses = choice(CONTROL[:1]), 0.0, []
+def test_pauses_grow_with_each_round_and_reset_after_an_answer():
+    choice, now, pauses = node_choice(NODES[:1]), 0.0, []
     for _ in range(8):
-        now = chosen.turn(now).at
-        chosen.failed(now)
-        pauses.append(chosen.turn(now).at - now)
+        now = choice.turn(now).at
+        choice.failed(now)
+        pauses.append(choice.turn(now).at - now)
     assert pauses[0] <= INITIAL_BACKOFF_MS and max(pauses) > MAX_BACKOFF_MS / 2.0
-    now = chosen.turn(now).at
-    chosen.answered(now)
-    chosen.turn(now)
-    chosen.failed(now)
-    assert chosen.turn(now).at - now <= INITIAL_BACKOFF_MS
+    now = choice.turn(now).at
+    choice.answered(now)
+    choice.turn(now)
+    choice.failed(now)
+    assert choice.turn(now).at - now <= INITIAL_BACKOFF_MS
--- a/tests/test_subscription_properties.py
+++ b/tests/test_subscription_properties.py
@@ -1,9 +1,10 @@
-"""Generated interleavings in virtual time: once all is quiet, a courier knows what the source has of its set.
+"""Generated interleavings in virtual time: once the system is quiet, each courier has the source's state of
+its set.
 
-Couriers (session, choice of node, interest) talk to nodes without sockets: to a small model of them, and to
-the real table of leases. Requests and answers get lost, nodes fall silent, end and begin anew, leases end,
-destinations and endpoints come and go. Each property is shown to fail on a variant that breaks one rule of
-the exchange. The draws are the same in each run.
+Couriers (session, choice of node, interest set) talk to nodes without sockets: to a small model, and to the
+real lease table. Requests and answers get lost, nodes stop answering, stop and restart, leases expire, and
+destinations and endpoints are added and removed. Each property is shown to fail on a variant that breaks one
+rule of the exchange. The generated examples are the same in each run.
 """
 
 from collections import Counter
@@ -26,12 +27,12 @@
 FLEET, ADDRESSES, COURIERS, DESTINATIONS = "fleet", ("a", "b"), 2, 4
 LEASE_MS, IDLE = 30000.0, 5000.0
 ENDPOINTS = 2  # of each destination at most
-TRIPS = 400  # requests of one courier within a quiet time, far more than it may need
+MAX_REQUESTS = 400  # requests of one courier in a quiet period, far more than it needs
 FATES = ["answered"] * 3 + ["request lost", "answer lost", "cut off unheard", "cut off"]
 
 
 class Source:
-    """What the operators' list says: destination, endpoint, whether it may be called."""
+    """The operators' list: whether an endpoint may be called, by destination and endpoint."""
 
     def __init__(self):
         self.destinations = {number: {f"e-{number}-0": True} for number in range(DESTINATIONS - 1)}
@@ -45,7 +46,7 @@
 
 @dataclass
 class ModelLease:
-    """One courier's lease, as the design note words it."""
+    """One courier's lease, as the design document describes it."""
 
     courier: str
     wanted: set
@@ -53,7 +54,7 @@
     sent: int
     sequence: int = 0
     acknowledged: int | None = None
-    told: set = field(default_factory=set)  # under `sent`
+    told: set = field(default_factory=set)  # sent under version `sent`
     changed: set = field(default_factory=set)
 
 
@@ -109,7 +110,7 @@
 
 
 class TableNode:
-    """The same with the node's own table of leases."""
+    """A node with the real lease table."""
 
     def __init__(self, name, run, source):
         self.name, self.source = name, source
@@ -129,7 +130,7 @@
 
 
 def answered(node, lease, sequence, version, full, destinations):
-    """An answer with what the source has of the destinations."""
+    """An answer with the source's state of the destinations."""
     there = tuple(sorted(number for number in destinations if number in node.source.destinations))
     gone = tuple(sorted(set(destinations).difference(there)))
     grant = Grant(FLEET, node.name, lease, sequence, LEASE_MS, there, gone)
@@ -138,7 +139,7 @@
 
 @dataclass(frozen=True)
 class Parts:
-    """What a courier is made of."""
+    """The classes that a courier consists of."""
 
     session: type = Session
     nodes: type = NodeChoice
@@ -146,7 +147,7 @@
 
 
 class Courier:
-    """A session at work as `wire.subscriber` drives it, and the list as the rest of the courier has it."""
+    """A session driven as by `wire.subscriber`, and the list as seen by the rest of the courier."""
 
     def __init__(self, number, parts):
         name = f"c-{number}"
@@ -161,7 +162,7 @@
         self.used[destination] = now
 
     def begin(self, now):
-        """The next request."""
+        """Builds the next request."""
         for destination in self.interest.sweep(now):
             self.session.unsubscribe(destination)
         ask = self.session.next(self.nodes.selected)
@@ -172,7 +173,7 @@
         self.view = {ident: place for ident, place in self.view.items() if place.dest not in destinations}
 
     def take(self, answer, source, now):
-        """An answer or a refusal."""
+        """Processes an answer or a refusal."""
         if isinstance(answer, Refusal):
             if not self.session.refused(answer):
                 self.nodes.refused(now, answer.retry_ms)
@@ -181,7 +182,7 @@
         try:
             news = self.session.answered(answer, places)
         except MessageError as fault:
-            raise AssertionError(f"the answer of a sound node was not believed: {fault}") from fault
+            raise AssertionError(f"a valid answer was refused: {fault}") from fault
         self.nodes.answered(now)
         if news.whole:
             self.view = {}
@@ -193,7 +194,7 @@
 
 
 class Exchange(RuleBasedStateMachine):
-    """Couriers, nodes and a source; `parts` are what the couriers are made of, `node` the kind of nodes."""
+    """Couriers, nodes and a source; `parts` are the courier's classes, `node` the class of the nodes."""
 
     parts, node = Parts(), ModelNode
 
@@ -204,10 +205,10 @@
         self.down, self.silent = (
             set(),
             None,
-        )  # addresses that refuse, and the one that takes and never answers
+        )  # addresses that refuse connections, and the one that accepts and never answers
         self.couriers = [Courier(number, self.parts) for number in range(COURIERS)]
 
-    # What happens.
+    # Events.
 
     @rule(number=st.integers(0, COURIERS - 1), destination=st.integers(0, DESTINATIONS - 1))
     def use(self, number, destination):
@@ -217,7 +218,7 @@
         number=st.integers(0, COURIERS - 1), destination=st.integers(0, DESTINATIONS - 1), held=st.booleans()
     )
     def hold(self, number, destination, held):
-        """A message waits for the destination, or none any more."""
+        """A message waits for the destination, or no longer does."""
         courier = self.couriers[number]
         if held:
             courier.use(destination, self.now)
@@ -236,7 +237,7 @@
         fate=st.sampled_from(FATES),
     )
     def use_and_request(self, number, destination, fate):
-        """A use and the request that follows from it."""
+        """A use and the request that it causes."""
         self.use(number, destination)
         self.trip(self.couriers[number], fate)
 
@@ -246,7 +247,7 @@
         again=st.lists(st.integers(0, DESTINATIONS - 1), max_size=2),
     )
     def idle_and_request(self, number, fate, again):
-        """What is not held is given up with the request that follows; some of it is used again at once."""
+        """Idle destinations are unsubscribed with the next request; some are used again at once."""
         self.now += IDLE * (1.0 + IDLE_JITTER_FRACTION)
         self.trip(self.couriers[number], fate)
         for destination in again:
@@ -258,7 +259,7 @@
         state=st.sampled_from(["active", "leaving", "left"]),
     )
     def change(self, destination, endpoint, state):
-        """Of an endpoint; a destination without one does not exist."""
+        """Changes an endpoint; a destination without endpoints does not exist."""
         endpoints, ident = self.source.destinations.setdefault(destination, {}), f"e-{destination}-{endpoint}"
         if state == "left":
             endpoints.pop(ident, None)
@@ -275,7 +276,7 @@
         state=st.sampled_from(["leaving", "left"]),
     )
     def change_known(self, number, choice, state):
-        """An endpoint that the courier knows leaves, announced or not."""
+        """An endpoint known to the courier leaves, with or without an announcement."""
         known = sorted(self.couriers[number].view)
         if known:
             _, destination, endpoint = known[choice % len(known)].split("-")
@@ -283,24 +284,24 @@
 
     @rule(address=st.sampled_from(ADDRESSES), back=st.booleans())
     def end_node(self, address, back):
-        """Its leases end with it; begun anew at once it knows none of them."""
+        """Stops a node, which loses its leases, or restarts it at once."""
         self.runs[address] += 1
         self.nodes[address] = self.node(address, self.runs[address], self.source)
         (self.down.discard if back else self.down.add)(address)
 
     @rule(address=st.sampled_from([*ADDRESSES, None]))
     def silence(self, address):
-        """It takes connections and never answers; all others do."""
+        """One node accepts connections and never answers; all others answer."""
         self.silent = address
 
     @rule(milliseconds=st.sampled_from([50.0, 2000.0, 31000.0]))
     def wait(self, milliseconds):
-        """Nobody asks anything; leases may end meanwhile."""
+        """Time passes without requests; leases may expire."""
         self.now += milliseconds
 
     @rule()
     def quiet(self):
-        """With a node that can be reached, each courier is told within the time allowed."""
+        """If a node is reachable, each courier is up to date within the time allowed."""
         if self.down.union([self.silent]).issuperset(ADDRESSES):
             return
         until = self.now + TOLD
@@ -313,19 +314,19 @@
         self.down, self.silent = set(), None
         self.quiet()
 
-    # How it goes on.
+    # Helpers.
 
     def tell_within(self, courier, until):
-        """Requests of one courier until then; the clock of the others stands still."""
+        """Runs the requests of one courier until then; the clock of the others does not advance."""
         began = self.now
-        for _ in range(TRIPS):
+        for _ in range(MAX_REQUESTS):
             if self.now >= until or courier.nodes.turn(self.now).at >= until:
                 break
             self.trip(courier, "answered")
         self.now = began
 
     def trip(self, courier, fate):
-        """One request at its time, with what becomes of it."""
+        """Runs one request at its scheduled time, with the given outcome."""
         self.now = courier.nodes.turn(self.now).at
         prompt_until = self.now + AGAIN
         ask = courier.begin(self.now)
@@ -333,7 +334,7 @@
         if node in self.down or fate == "request lost":
             courier.nodes.failed(self.now)
         elif fate == "cut off unheard":
-            return  # the courier closed the connection for a fresh subscription, before its request was read
+            return  # the courier closed the connection for a new subscription before the request was read
         elif node == self.silent:
             self.now += PROMPT if ask.prompt else WAIT + SILENCE
             courier.nodes.failed(self.now)
@@ -352,34 +353,34 @@
         elif fate == "answer lost":
             courier.nodes.failed(self.now)
 
-    # What has to hold.
+    # Properties.
 
     def compare(self, courier):
-        """What it has is what the source has of its set: nothing that left, or is about to, may be called."""
+        """The courier has the source's state of its set: no endpoint that left or leaves is callable."""
         wanted = {number for number in range(DESTINATIONS) if courier.session.wants(number)}
         for destination in wanted:
             exists = destination in self.source.destinations
             expected = Standing.KNOWN if exists else Standing.UNKNOWN
-            assert courier.session.standing(destination) is expected, (
-                "a destination is not known for what it is"
-            )
+            assert courier.session.standing(destination) is expected, "a destination has the wrong state"
         expected = {place for number in wanted for place in map(plain, self.source.places(number))}
         had = {plain(place) for place in courier.view.values()}
-        assert not {ready for ready in had - expected if ready[2]}, "an endpoint may be called too long"
-        assert had == expected, "the list is not the source's"
+        assert not {ready for ready in had - expected if ready[2]}, (
+            "an endpoint may still be called after it left"
+        )
+        assert had == expected, "the list differs from the source"
         known = {plain(place) for places in courier.session.known().values() for place in places}
-        assert known == expected, "the session is not the source's"
+        assert known == expected, "the session differs from the source"
 
     @invariant()
     def sets_are_kept(self):
-        """What is used or held is subscribed to, and the two sets are one."""
+        """Destinations that are used or held are subscribed, and session and interest set agree."""
         for courier in self.couriers:
             for destination in range(DESTINATIONS):
                 wants = courier.session.wants(destination)
                 assert wants == (destination in courier.interest)
                 idle = self.now - courier.used.get(destination, -1e9)
                 needed = destination in courier.held or idle < IDLE
-                assert wants or not needed, "what is needed was given up"
+                assert wants or not needed, "a destination that is needed was unsubscribed"
 
 
 def plain(place):
@@ -402,7 +403,7 @@
     run_state_machine_as_test(sound, settings=settings(max_examples=250, **STEADY))
 
 
-# Variants that break one rule each: the properties must notice.
+# Variants that each break one rule: the properties must fail.
 
 
 class DropsWhatWasNotAnswered(Session):
@@ -532,26 +533,28 @@
     return place.ident, place.address, place.dest, place.kind, place.zone, ready, place.agreed, place.left
 
 
-STALE = "not known for what it is|called too long|list is not the source's|session is not the source's"
-GIVEN_UP, UNBELIEVED = "needed was given up", "not believed"
+STALE = (
+    "has the wrong state|called after it left|list differs from the source|session differs from the source"
+)
+UNSUBSCRIBED, REFUSED_ANSWER = "needed was unsubscribed", "valid answer was refused"
 BROKEN = {
-    DropsWhatWasNotAnswered: f"{UNBELIEVED}|{STALE}",
+    DropsWhatWasNotAnswered: f"{REFUSED_ANSWER}|{STALE}",
     IgnoresLeaseOver: STALE,
     ForgetsResync: STALE,
     IgnoresSequence: STALE,
-    KeepsWhatHasLeft: "called too long",
-    TakesLeavingForActive: "called too long",
+    KeepsWhatHasLeft: "called after it left",
+    TakesLeavingForActive: "called after it left",
     ForgetsSecondSubscription: STALE,
     KeepsWhatWasGivenUp: STALE,
-    ForgetsUnknown: "not known for what it is",
+    ForgetsUnknown: "has the wrong state",
     NeverLeavesItsNode: STALE,
     PausesTooLong: STALE,
-    GivesUpWhatIsHeld: GIVEN_UP,
+    GivesUpWhatIsHeld: UNSUBSCRIBED,
 }
 
 
 def parts_with(variant):
-    """A courier's parts, one of them broken."""
+    """A courier's classes, one of them replaced by the variant."""
     names = {Session: "session", NodeChoice: "nodes", Interest: "interest"}
     return Parts(**{names[variant.__base__]: variant})
 
