--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -1,5 +1,4 @@
-"""A courier that subscribes to the destinations it uses: whole couriers on loopback against a node that the
-test plays."""
+"""Tests of whole subscribing couriers on loopback, against a discovery node scripted by the test."""
 
 import json
 import os
@@ -23,13 +22,15 @@
 from calicopin.wire.subscriber import AGAIN, PROMPT
 
 DAY = 24 * 3_600_000.0
-DISK = 3_000_000
+DISK_BYTES = 3_000_000
 
 
 class SubscribedCourierFixture:
-    """A courier with nodes, on a loop and a clock that the test moves; `kill` leaves just its folder."""
+    """A subscribing courier on a loop whose clock the test advances; `kill` leaves only its folder."""
 
-    def __init__(self, folder, node, clock=None, system=None, nodes=None, disk=DISK, max_age=DAY, **settings):
+    def __init__(
+        self, folder, node, clock=None, system=None, nodes=None, disk=DISK_BYTES, max_age=DAY, **settings
+    ):
         self.loop = Loop(now=clock or Clock(), system=system or Rebooted())
         self.node, self.platform = node, Listener(self.loop)
         if node:
@@ -42,20 +43,20 @@
             Post(*told, known, terms(**settings), nodes=nodes, fleet=FLEET, max_age=max_age, status=True)
         ]
         self.runtime = build(self.posts[0], self.loop, SignalReader(), lambda: self.posts[-1])
-        self.pass_some()
-        self.loop.now.now += 100.0  # the first request is spread by chance
+        self.run_passes()
+        self.loop.now.now += 100.0  # the first request has a random delay
 
-    def pass_some(self, count=5):
+    def run_passes(self, count=5):
         for _ in range(count):
             self.loop.once(self.loop.now())
 
-    def go_on(self, milliseconds=AGAIN):
-        self.pass_some()
+    def advance(self, milliseconds=AGAIN):
+        self.run_passes()
         self.loop.now.now += milliseconds
-        self.pass_some()
+        self.run_passes()
 
-    def ask(self, ident, dest=7, left=20.0, product="notice"):
-        """A client's request; its connection."""
+    def send_message(self, ident, dest=7, left=20.0, product="notice"):
+        """Sends a client's request and returns its connection."""
         peer = client(self.loop, self.listen)
         peer.say(
             f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: {left}\r\n"
@@ -68,7 +69,7 @@
         return peer.wait(b"\r\n\r\n").split()[1]
 
     def post(self, ident, **other):
-        return self.status_of(self.ask(ident, **other))
+        return self.status_of(self.send_message(ident, **other))
 
     def kill(self):
         self.loop.once = self.loop.turn = None
@@ -77,14 +78,14 @@
     def awaited(self):
         return self.runtime.facade.awaited
 
-    def begin(self, *destinations):
-        """The first request of a courier that is started with those."""
+    def first_request(self, *destinations):
+        """The first request of a courier started with these destinations."""
         _, asked = self.node.hear()
         assert asked["lease"] is None and sorted(asked["subscribe"]) == sorted(destinations)
         return asked
 
-    def fresh(self, destination):
-        """The request that subscribes to it; one that was parked is given up for it."""
+    def subscribe_request(self, destination):
+        """The request that subscribes to the destination; a parked request is abandoned for it."""
         _, asked = self.node.hear()
         while asked["subscribe"] != [destination]:
             _, asked = self.node.hear()
@@ -95,7 +96,7 @@
     return entry(ident, dest, state) | {"addr": endpoint.address, "kind": "one"}
 
 
-def lines_told():
+def capture_log():
     told = []
     return told, logger.add(told.append, format="{message}", level="INFO")
 
@@ -111,292 +112,296 @@
 
 
 def started(folder, node, endpoint, **other):
-    """A courier that has a lease and knows destination 7, its next request parked."""
-    house = SubscribedCourierFixture(folder, node, **other)
-    endpoint.loop = house.loop
-    house.node.tell(house.begin(), 1, full=True)
-    house.go_on()
-    peer = house.ask("first")
-    asked = house.fresh(7)
-    house.node.tell(asked, 2, [served(endpoint)])
-    assert house.status_of(peer) == b"202"
+    """A courier with a lease that knows destination 7 and whose next request is parked."""
+    courier = SubscribedCourierFixture(folder, node, **other)
+    endpoint.loop = courier.loop
+    courier.node.tell(courier.first_request(), 1, full=True)
+    courier.advance()
+    peer = courier.send_message("first")
+    asked = courier.subscribe_request(7)
+    courier.node.tell(asked, 2, [served(endpoint)])
+    assert courier.status_of(peer) == b"202"
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
     call.say(answer(200))
-    spin(house.loop, lambda: not house.runtime.journal.texts)
-    house.go_on()
-    return house
+    spin(courier.loop, lambda: not courier.runtime.journal.texts)
+    courier.advance()
+    return courier
 
 
 def test_a_message_waits_for_the_first_answer_and_is_delivered(tmp_path, node, endpoint):
-    house = SubscribedCourierFixture(tmp_path, node)
-    endpoint.loop = house.loop
-    house.node.tell(house.begin(), 1, full=True)
-    house.go_on()
-    peer = house.ask("a")
-    spin(house.loop, lambda: house.awaited)
-    assert not house.runtime.journal.texts and not house.runtime.journal.buffer and not peer.hear()
-    asked = house.fresh(7)
-    assert not house.runtime.journal.texts and not peer.hear()
-    house.node.tell(asked, 2, [served(endpoint)])
-    assert house.status_of(peer) == b"202" and not house.awaited
+    courier = SubscribedCourierFixture(tmp_path, node)
+    endpoint.loop = courier.loop
+    courier.node.tell(courier.first_request(), 1, full=True)
+    courier.advance()
+    peer = courier.send_message("a")
+    spin(courier.loop, lambda: courier.awaited)
+    assert not courier.runtime.journal.texts and not courier.runtime.journal.buffer and not peer.hear()
+    asked = courier.subscribe_request(7)
+    assert not courier.runtime.journal.texts and not peer.hear()
+    courier.node.tell(asked, 2, [served(endpoint)])
+    assert courier.status_of(peer) == b"202" and not courier.awaited
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
     call.say(answer(200))
-    spin(house.loop, lambda: not house.runtime.journal.texts and not house.runtime.out)
+    spin(courier.loop, lambda: not courier.runtime.journal.texts and not courier.runtime.out)
     with pytest.raises(BlockingIOError):
         endpoint.sock.accept()
-    with pytest.raises(BlockingIOError):  # no watch of the platform's agent beside it
-        house.platform.sock.accept()
-    assert house.post("b") == b"202", "known now: taken on at once"
-
-
-def test_an_unknown_destination_is_refused_and_kept_nowhere(tmp_path, node, endpoint):
-    house = started(tmp_path, node, endpoint)
-    peer = house.ask("x", dest=9)
-    asked = house.fresh(9)
-    house.node.tell(asked, 3, unknown=[9])
-    assert house.status_of(peer) == b"404" and house.post("y", dest=9) == b"404"
-    assert list(house.runtime.facade.dests.index) == [7]
-
-
-def test_a_destination_that_no_node_tells_of_is_refused_when_the_time_is_up(tmp_path, node):
-    house = SubscribedCourierFixture(tmp_path, node)
-    peer = house.ask("a", left=5.0)
-    spin(house.loop, lambda: house.awaited)
-    house.go_on(4900.0)
-    assert house.awaited and not peer.hear()
-    house.go_on(81.0)
-    assert house.status_of(peer) == b"503" and not house.awaited and not house.runtime.journal.texts
-    assert not house.runtime.subscribed.subscriber._settled, "nothing is kept for it while no node answers"
-
-
-def test_a_client_that_leaves_while_it_waits_costs_nothing_more(tmp_path, node, endpoint):
-    house = SubscribedCourierFixture(tmp_path, node)
-    gone, stays = house.ask("a"), house.ask("b")
-    spin(house.loop, lambda: house.awaited == 2)
+    with pytest.raises(BlockingIOError):  # the platform's agent is not watched as well
+        courier.platform.sock.accept()
+    assert courier.post("b") == b"202", "known now: accepted at once"
+
+
+def test_an_unknown_destination_is_refused_and_not_stored(tmp_path, node, endpoint):
+    courier = started(tmp_path, node, endpoint)
+    peer = courier.send_message("x", dest=9)
+    asked = courier.subscribe_request(9)
+    courier.node.tell(asked, 3, unknown=[9])
+    assert courier.status_of(peer) == b"404" and courier.post("y", dest=9) == b"404"
+    assert list(courier.runtime.facade.dests.index) == [7]
+
+
+def test_a_message_is_refused_when_no_node_answers_for_its_destination_in_time(tmp_path, node):
+    courier = SubscribedCourierFixture(tmp_path, node)
+    peer = courier.send_message("a", left=5.0)
+    spin(courier.loop, lambda: courier.awaited)
+    courier.advance(4900.0)
+    assert courier.awaited and not peer.hear()
+    courier.advance(81.0)
+    assert courier.status_of(peer) == b"503" and not courier.awaited and not courier.runtime.journal.texts
+    assert not courier.runtime.subscribed.subscriber._settled, "no state is kept for it while no node answers"
+
+
+def test_a_client_that_leaves_while_waiting_is_forgotten(tmp_path, node, endpoint):
+    courier = SubscribedCourierFixture(tmp_path, node)
+    gone, stays = courier.send_message("a"), courier.send_message("b")
+    spin(courier.loop, lambda: courier.awaited == 2)
     gone.sock.close()
-    spin(house.loop, lambda: house.awaited == 1)
-    stays.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")  # the next request already: it waits its turn
-    house.pass_some(50)
-    endpoint.loop = house.loop
-    house.node.tell(house.begin(), 1, full=True)
-    house.go_on()
-    house.node.tell(house.fresh(7), 2, [served(endpoint)])
-    assert house.status_of(stays) == b"202"
-    spin(house.loop, lambda: b"200" in stays.hear())
-    assert [text.ident for text in house.runtime.journal.texts.values()] == ["b"]
-
-
-def test_no_more_wait_than_may_be_held_and_the_rest_are_told_when_to_come_again(tmp_path, node):
-    house = SubscribedCourierFixture(tmp_path, node)
-    waiting = [house.ask(f"a-{number}", dest=number) for number in range(40)]
-    spin(house.loop, lambda: house.awaited == 40)
-    peer = house.ask("b", dest=99)
+    spin(courier.loop, lambda: courier.awaited == 1)
+    stays.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")  # a pipelined request, served after the first
+    courier.run_passes(50)
+    endpoint.loop = courier.loop
+    courier.node.tell(courier.first_request(), 1, full=True)
+    courier.advance()
+    courier.node.tell(courier.subscribe_request(7), 2, [served(endpoint)])
+    assert courier.status_of(stays) == b"202"
+    spin(courier.loop, lambda: b"200" in stays.hear())
+    assert [text.ident for text in courier.runtime.journal.texts.values()] == ["b"]
+
+
+def test_waiting_messages_are_limited_and_the_rest_are_refused_with_retry_after(tmp_path, node):
+    courier = SubscribedCourierFixture(tmp_path, node)
+    waiting = [courier.send_message(f"a-{number}", dest=number) for number in range(40)]
+    spin(courier.loop, lambda: courier.awaited == 40)
+    peer = courier.send_message("b", dest=99)
     heard = peer.wait(b"\r\n\r\n")
     assert heard.split()[1] == b"503" and b"Retry-After: 2.000" in heard
-    assert not house.runtime.facade.dests.index and not house.runtime.facade.module.dests
+    assert not courier.runtime.facade.dests.index and not courier.runtime.facade.module.dests
     waiting[0].sock.close()
-    spin(house.loop, lambda: house.awaited == 39)
-    waiting.append(house.ask("c", dest=99))
-    spin(house.loop, lambda: house.awaited == 40)
-
-
-def test_a_stop_refuses_what_waits(tmp_path, node):
-    house = SubscribedCourierFixture(tmp_path, node)
-    peer = house.ask("a")
-    spin(house.loop, lambda: house.awaited)
-    house.runtime.refusing = True
-    house.runtime.stop_waiting()
-    assert house.status_of(peer) == b"503" and not house.awaited
-
-
-def test_an_id_that_is_known_does_not_wait_and_of_two_that_wait_one_is_taken_on(tmp_path, node, endpoint):
-    house = started(tmp_path, node, endpoint)
-    assert house.post("first", dest=8) == b"409"
-    two = [house.ask("same", dest=8), house.ask("same", dest=8)]
-    spin(house.loop, lambda: house.awaited == 2)
-    asked = house.fresh(8)
-    house.node.tell(asked, 3, [served(endpoint, 8, "s-8")])
-    assert sorted(house.status_of(peer) for peer in two) == [b"202", b"409"]
-
-
-def test_an_endpoint_announced_as_leaving_is_called_no_more(tmp_path, node, endpoint):
-    house, other = started(tmp_path, node, endpoint), Listener(Loop())
-    other.loop = house.loop
-    _, asked = house.node.hear()
-    house.node.tell(asked, 3, [served(endpoint, state="leaving"), served(other, ident="s-2")])
-    house.go_on()
-    assert house.post("b") == b"202"
+    spin(courier.loop, lambda: courier.awaited == 39)
+    waiting.append(courier.send_message("c", dest=99))
+    spin(courier.loop, lambda: courier.awaited == 40)
+
+
+def test_a_stop_refuses_waiting_messages(tmp_path, node):
+    courier = SubscribedCourierFixture(tmp_path, node)
+    peer = courier.send_message("a")
+    spin(courier.loop, lambda: courier.awaited)
+    courier.runtime.refusing = True
+    courier.runtime.stop_waiting()
+    assert courier.status_of(peer) == b"503" and not courier.awaited
+
+
+def test_a_known_id_is_refused_at_once_and_one_of_two_waiting_duplicates_is_accepted(
+    tmp_path, node, endpoint
+):
+    courier = started(tmp_path, node, endpoint)
+    assert courier.post("first", dest=8) == b"409"
+    two = [courier.send_message("same", dest=8), courier.send_message("same", dest=8)]
+    spin(courier.loop, lambda: courier.awaited == 2)
+    asked = courier.subscribe_request(8)
+    courier.node.tell(asked, 3, [served(endpoint, 8, "s-8")])
+    assert sorted(courier.status_of(peer) for peer in two) == [b"202", b"409"]
+
+
+def test_an_endpoint_announced_as_leaving_gets_no_more_messages(tmp_path, node, endpoint):
+    courier, other = started(tmp_path, node, endpoint), Listener(Loop())
+    other.loop = courier.loop
+    _, asked = courier.node.hear()
+    courier.node.tell(asked, 3, [served(endpoint, state="leaving"), served(other, ident="s-2")])
+    courier.advance()
+    assert courier.post("b") == b"202"
     assert b"\xfe\xfe\xfe" in other.meet().wait(b"\xfe\xfe\xfe")
     with pytest.raises(BlockingIOError):
         endpoint.sock.accept()
 
 
-def test_a_start_calls_nobody_before_the_first_answer_of_its_node(tmp_path, node, endpoint):
-    """A journalled message, an endpoint that left while the courier was down, and the list in its folder."""
-    house = started(tmp_path, node, endpoint)
-    house.go_on(LOOK)
-    house.pass_some()
-    assert house.post("b") == b"202"
+def test_a_restarted_courier_sends_nothing_before_the_first_answer_of_its_node(tmp_path, node, endpoint):
+    """A courier restarts with a journalled message and a stored list; an endpoint left meanwhile."""
+    courier = started(tmp_path, node, endpoint)
+    courier.advance(LOOK)
+    courier.run_passes()
+    assert courier.post("b") == b"202"
     assert b"\xfe\xfe\xfe" in endpoint.meet().wait(b"\xfe\xfe\xfe")
-    house.kill()
+    courier.kill()
     other = Listener(Loop())
-    again = SubscribedCourierFixture(tmp_path, node, clock=house.loop.now)
-    other.loop = again.loop
-    assert set(again.runtime.facade.places_of) == {7} and again.post("c") == b"202", "taken on at once"
-    for door in (endpoint, other):
+    restarted = SubscribedCourierFixture(tmp_path, node, clock=courier.loop.now)
+    other.loop = restarted.loop
+    assert set(restarted.runtime.facade.places_of) == {7} and restarted.post("c") == b"202", (
+        "accepted at once"
+    )
+    for listener in (endpoint, other):
         with pytest.raises(BlockingIOError):
-            door.sock.accept()
-    asked = again.begin(7)
-    again.node.tell(asked, 1, [served(endpoint, state="leaving"), served(other, ident="s-2")], full=True)
+            listener.sock.accept()
+    asked = restarted.first_request(7)
+    restarted.node.tell(asked, 1, [served(endpoint, state="leaving"), served(other, ident="s-2")], full=True)
     bodies, calls = b"", []
     while bodies.count(b"\xfe\xfe\xfe") < 2:
         calls.append(other.meet())
         bodies += calls[-1].wait(b"\xfe\xfe\xfe")
     for call in calls:
         call.say(answer(200))
-    spin(again.loop, lambda: not again.runtime.journal.texts)
-    for door in (endpoint, other):
+    spin(restarted.loop, lambda: not restarted.runtime.journal.texts)
+    for listener in (endpoint, other):
         with pytest.raises(BlockingIOError):
-            door.sock.accept()
+            listener.sock.accept()
 
 
-def test_restored_messages_subscribe_their_destinations_from_the_start(tmp_path, node, endpoint):
-    house = started(tmp_path, node, endpoint)
-    assert house.post("b") == b"202"
+def test_destinations_of_restored_messages_are_subscribed_from_the_start(tmp_path, node, endpoint):
+    courier = started(tmp_path, node, endpoint)
+    assert courier.post("b") == b"202"
     endpoint.meet().wait(b"\xfe\xfe\xfe")
-    house.kill()
+    courier.kill()
     os.unlink(tmp_path / "known-list") if (tmp_path / "known-list").exists() else None
-    again = SubscribedCourierFixture(tmp_path, node, clock=house.loop.now)
-    endpoint.loop = again.loop
-    again.node.tell(again.begin(7), 1, [served(endpoint)], full=True)
+    restarted = SubscribedCourierFixture(tmp_path, node, clock=courier.loop.now)
+    endpoint.loop = restarted.loop
+    restarted.node.tell(restarted.first_request(7), 1, [served(endpoint)], full=True)
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
     call.say(answer(200))
-    spin(again.loop, lambda: not again.runtime.journal.texts)
+    spin(restarted.loop, lambda: not restarted.runtime.journal.texts)
 
 
-def test_with_all_nodes_gone_a_restarted_courier_serves_what_its_folder_knows(tmp_path, node, endpoint):
-    house = started(tmp_path, node, endpoint)
-    house.go_on(LOOK)
-    house.pass_some()
+def test_without_nodes_a_restarted_courier_uses_the_list_in_its_folder(tmp_path, node, endpoint):
+    courier = started(tmp_path, node, endpoint)
+    courier.advance(LOOK)
+    courier.run_passes()
     assert decode((tmp_path / "known-list").read_bytes()).places.keys() == {7}
-    house.kill()
+    courier.kill()
     node.sock.close()
-    again = SubscribedCourierFixture(tmp_path, None, clock=house.loop.now, nodes=[node.address])
-    endpoint.loop = again.loop
-    assert again.post("b") == b"202"
-    peer = again.ask("c", dest=8, left=5.0)
+    restarted = SubscribedCourierFixture(tmp_path, None, clock=courier.loop.now, nodes=[node.address])
+    endpoint.loop = restarted.loop
+    assert restarted.post("b") == b"202"
+    peer = restarted.send_message("c", dest=8, left=5.0)
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
     call.say(answer(200))
-    spin(again.loop, lambda: not again.runtime.journal.texts)
+    spin(restarted.loop, lambda: not restarted.runtime.journal.texts)
     for _ in range(20):
-        again.go_on(250.0)
-    assert again.status_of(peer) == b"503"
-
-
-def test_a_node_that_hangs_holds_a_start_back_for_a_bounded_time(tmp_path, node, endpoint):
-    house = started(tmp_path, node, endpoint)
-    house.go_on(LOOK)
-    house.pass_some()
-    house.kill()
-    again = SubscribedCourierFixture(tmp_path, node, clock=house.loop.now)
-    endpoint.loop = again.loop
-    assert again.post("b") == b"202"
-    again.begin(7)
-    again.go_on(PROMPT - 10.0)
+        restarted.advance(250.0)
+    assert restarted.status_of(peer) == b"503"
+
+
+def test_a_node_that_does_not_answer_delays_a_start_for_a_limited_time(tmp_path, node, endpoint):
+    courier = started(tmp_path, node, endpoint)
+    courier.advance(LOOK)
+    courier.run_passes()
+    courier.kill()
+    restarted = SubscribedCourierFixture(tmp_path, node, clock=courier.loop.now)
+    endpoint.loop = restarted.loop
+    assert restarted.post("b") == b"202"
+    restarted.first_request(7)
+    restarted.advance(PROMPT - 10.0)
     with pytest.raises(BlockingIOError):
         endpoint.sock.accept()
-    again.go_on(11.0)
+    restarted.advance(11.0)
     assert b"\xfe\xfe\xfe" in endpoint.meet().wait(b"\xfe\xfe\xfe")
 
 
-def test_what_is_not_used_is_given_up_and_forgotten(tmp_path, node, endpoint):
-    house = started(tmp_path, node, endpoint)
-    house.go_on(LOOK)
-    facade, passed = house.runtime.facade, 0.0
+def test_unused_destinations_are_unsubscribed_and_forgotten(tmp_path, node, endpoint):
+    courier = started(tmp_path, node, endpoint)
+    courier.advance(LOOK)
+    facade, passed = courier.runtime.facade, 0.0
     while passed < IDLE * (1.0 + IDLE_JITTER_FRACTION) + 3.0 * Route.IDLE:
-        _, asked = house.node.hear()
-        house.node.tell(asked, 3)
-        house.go_on(2000.0)
+        _, asked = courier.node.hear()
+        courier.node.tell(asked, 3)
+        courier.advance(2000.0)
         passed += 2000.0
     assert not facade.places and not facade.dests.index and not facade.module.dests
-    assert not facade.module.endpoints and not house.runtime.lines.listed
+    assert not facade.module.endpoints and not courier.runtime.lines.listed
     for number in range(2):
-        _, asked = house.node.hear()
-        house.node.tell(asked, 4 + number)
-        house.go_on(LOOK / 2.0)
+        _, asked = courier.node.hear()
+        courier.node.tell(asked, 4 + number)
+        courier.advance(LOOK / 2.0)
     assert not decode((tmp_path / "known-list").read_bytes()).places
-    peer = house.ask("b")
-    asked = house.fresh(7)
-    house.node.tell(asked, 6, [served(endpoint)])
-    assert house.status_of(peer) == b"202"
+    peer = courier.send_message("b")
+    asked = courier.subscribe_request(7)
+    courier.node.tell(asked, 6, [served(endpoint)])
+    assert courier.status_of(peer) == b"202"
     assert b"\xfe\xfe\xfe" in endpoint.meet().wait(b"\xfe\xfe\xfe")
 
 
 def test_a_reload_moves_the_subscription_to_other_nodes(tmp_path, node, endpoint):
-    house = started(tmp_path, node, endpoint)
-    other = Node(house.loop, "n2", "n2-1")
-    house.posts.append(replace(house.posts[0], nodes=(other.address,)))
-    told, sink = lines_told()
-    renewal(house).renew()
-    house.go_on(TRY_JITTER)
+    courier = started(tmp_path, node, endpoint)
+    other = Node(courier.loop, "n2", "n2-1")
+    courier.posts.append(replace(courier.posts[0], nodes=(other.address,)))
+    told, sink = capture_log()
+    renewal(courier).renew()
+    courier.advance(TRY_JITTER)
     _, asked = other.hear()
     assert asked["lease"] is None and asked["subscribe"] == [7]
     other.tell(asked, 1, [served(endpoint)], full=True)
-    house.posts.append(replace(house.posts[0], nodes=(), fleet="other", disk=1_000_000))
-    renewal(house).renew()
+    courier.posts.append(replace(courier.posts[0], nodes=(), fleet="other", disk=1_000_000))
+    renewal(courier).renew()
     logger.remove(sink)
     assert any("fleet, nodes changed and needs a restart" in line for line in told)
-    assert house.runtime.journal.most == journal_bytes(1_000_000) // 2
-    assert house.runtime.subscribed.known_list.most == 50_000
-    house.go_on()
-    assert house.post("b") == b"202"
+    assert courier.runtime.journal.most == journal_bytes(1_000_000) // 2
+    assert courier.runtime.subscribed.known_list.most == 50_000
+    courier.advance()
+    assert courier.post("b") == b"202"
 
 
-def renewal(house):
+def renewal(courier):
     from calicopin.lifecycle.renewal import Renewal
 
     return Renewal(
-        house.loop,
+        courier.loop,
         SignalReader(),
-        house.posts[0],
-        lambda: house.posts[-1],
+        courier.posts[0],
+        lambda: courier.posts[-1],
         None,
-        house.runtime.subscribed.subscriber,
+        courier.runtime.subscribed.subscriber,
         None,
-        house.runtime,
+        courier.runtime,
     )
 
 
-def test_status_tells_of_the_subscription(tmp_path, node, endpoint):
-    house = started(tmp_path, node, endpoint)
-    told = json.loads(house.runtime.status())["subscription"]
+def test_the_status_reports_the_subscription(tmp_path, node, endpoint):
+    courier = started(tmp_path, node, endpoint)
+    told = json.loads(courier.runtime.status())["subscription"]
     assert told["node"] == node.address and told["destinations"] == 1 and told["lease"]
     assert told["heard_ms"] >= 0.0 and told["waiting"] == 0
 
 
-# The list in the folder.
+# The stored list.
 
 
-class Wall(Rebooted):
-    """A wall clock that the test sets, and a disk that may refuse."""
+class WallClockSystem(Rebooted):
+    """A system with a wall clock set by the test, and a disk that can be full."""
 
-    at, refuses = 1.8e12, False
+    at, disk_full = 1.8e12, False
 
     def wall(self):
         return self.at
 
     def create(self, path):
-        if self.refuses:
+        if self.disk_full:
             raise OSError(28, "No space left on device")
         return Rebooted.create(path)
 
 
-def known_list(tmp_path, system=None, disk=DISK, fleet=FLEET):
-    return KnownList(Loop(now=Clock(), system=system or Wall()), str(tmp_path), fleet, DAY, disk)
+def known_list(tmp_path, system=None, disk=DISK_BYTES, fleet=FLEET):
+    return KnownList(Loop(now=Clock(), system=system or WallClockSystem()), str(tmp_path), fleet, DAY, disk)
 
 
 def places(count, each=1):
@@ -406,23 +411,23 @@
 
 
 def written(tmp_path, table, system=None, **other):
-    kept = known_list(tmp_path, system, **other)
-    kept.known = lambda: table
-    kept.confirmed()
-    kept.changed()
-    passes = sum(1 for _ in kept.write())
-    return kept, passes
+    kept_list = known_list(tmp_path, system, **other)
+    kept_list.known = lambda: table
+    kept_list.confirmed()
+    kept_list.changed()
+    passes = sum(1 for _ in kept_list.write())
+    return kept_list, passes
 
 
-def test_the_list_comes_back_as_it_was_and_a_long_one_is_written_in_many_passes(tmp_path):
+def test_the_stored_list_round_trips_and_a_long_one_is_written_in_many_passes(tmp_path):
     _, passes = written(tmp_path, places(1000, 2), disk=100_000_000)
     assert known_list(tmp_path).read() == places(1000, 2) and passes >= 10
     assert not (tmp_path / "known-list.new").exists()
 
 
-def test_what_is_old_damaged_cut_short_or_of_another_fleet_is_passed_over_with_one_line(tmp_path):
+def test_an_old_damaged_truncated_or_foreign_list_is_ignored_with_one_log_line(tmp_path):
     written(tmp_path, places(3))
-    path, told, system = tmp_path / "known-list", [], Wall()
+    path, told, system = tmp_path / "known-list", [], WallClockSystem()
     sink = logger.add(told.append, format="{message}", level="INFO")
     sound = path.read_bytes()
     for data in (sound[:-1], sound[:40], b"", sound.replace(b"s-1", b"s-9"), b"\xff" * 100):
@@ -440,48 +445,48 @@
     assert known_list(tmp_path).read() == {}
 
 
-def test_it_stays_within_its_share_of_the_disk(tmp_path):
+def test_the_stored_list_stays_within_its_share_of_the_disk(tmp_path):
     written(tmp_path, places(5000), disk=1_000_000)
     size = (tmp_path / "known-list").stat().st_size
     assert 40_000 < size <= 50_000 and 0 < len(known_list(tmp_path).read()) < 5000
     assert journal_bytes(1_000_000) + 2 * 50_000 <= 1_000_000
 
 
-def test_it_is_written_only_where_something_changed_and_dated_anew_now_and_then(tmp_path):
-    system = Wall()
-    kept, _ = written(tmp_path, places(3), system)
-    kept.confirmed()
-    assert not kept.due()
-    kept.changed()
-    assert kept.due()
-    list(kept.write())
+def test_the_list_is_written_only_after_changes_and_its_date_is_refreshed(tmp_path):
+    system = WallClockSystem()
+    kept_list, _ = written(tmp_path, places(3), system)
+    kept_list.confirmed()
+    assert not kept_list.due()
+    kept_list.changed()
+    assert kept_list.due()
+    list(kept_list.write())
     system.at += REFRESH
-    assert not kept.due(), "no node has confirmed it since: it keeps its date"
-    kept.confirmed()
-    assert kept.due()
-
-
-def test_a_disk_that_refuses_leaves_the_last_file_and_is_tried_again(tmp_path):
-    system = Wall()
-    kept, _ = written(tmp_path, places(3), system)
-    before, system.refuses = (tmp_path / "known-list").read_bytes(), True
-    kept.known = lambda: places(4)
-    kept.changed()
-    list(kept.write())
-    assert (tmp_path / "known-list").read_bytes() == before and kept.due()
-    system.refuses = False
-    list(kept.write())
+    assert not kept_list.due(), "no node has confirmed it since, so it keeps its date"
+    kept_list.confirmed()
+    assert kept_list.due()
+
+
+def test_a_full_disk_leaves_the_last_file_and_the_write_is_retried(tmp_path):
+    system = WallClockSystem()
+    kept_list, _ = written(tmp_path, places(3), system)
+    before, system.disk_full = (tmp_path / "known-list").read_bytes(), True
+    kept_list.known = lambda: places(4)
+    kept_list.changed()
+    list(kept_list.write())
+    assert (tmp_path / "known-list").read_bytes() == before and kept_list.due()
+    system.disk_full = False
+    list(kept_list.write())
     assert known_list(tmp_path).read() == places(4)
 
 
-# Against the real node.
+# With a real node.
 
 
 def entry_line(told):
     return json.dumps(told | {"weight": 1.0}, separators=(",", ":")).encode() + b"\n"
 
 
-def test_a_courier_is_served_by_a_real_node_and_by_its_folder_once_that_is_gone(tmp_path):
+def test_a_courier_uses_a_real_node_and_then_its_folder_after_the_node_was_killed(tmp_path):
     endpoint, other = Listener(Loop()), Listener(Loop())
     source, listen = tmp_path / "list", free_address()
     source.write_bytes(
@@ -492,34 +497,34 @@
     words = ["discovery-node", "--source", str(source), "--fleet", FLEET, "--listen", listen, "--node", "n1"]
     process = subprocess.Popen([sys.executable, "-m", "calicopin", *words], stderr=subprocess.DEVNULL)
     try:
-        house = RealTime(tmp_path / "state", listen)
-        for door in (endpoint, other):
-            door.loop = house.loop
-        assert house.post("x", dest=9) == b"404" and house.post("a", product="once") == b"202"
-        house.deliver([endpoint, other], 1)
+        courier = RealTime(tmp_path / "state", listen)
+        for listener in (endpoint, other):
+            listener.loop = courier.loop
+        assert courier.post("x", dest=9) == b"404" and courier.post("a", product="once") == b"202"
+        courier.deliver([endpoint, other], 1)
         with source.open("ab") as file:
             file.write(entry_line(served(endpoint, state="leaving")))
-        house.until(lambda: [p.ready for p in house.runtime.facade.places.values()].count(False) == 1)
+        courier.until(lambda: [p.ready for p in courier.runtime.facade.places.values()].count(False) == 1)
         for number in range(4):
-            assert house.post(f"b-{number}", product="once") == b"202"
-        house.deliver([other], 4)
+            assert courier.post(f"b-{number}", product="once") == b"202"
+        courier.deliver([other], 4)
         with pytest.raises(BlockingIOError):
             endpoint.sock.accept()
-        house.until(lambda: (tmp_path / "state" / "known-list").exists() and not house.due())
+        courier.until(lambda: (tmp_path / "state" / "known-list").exists() and not courier.due())
     finally:
         process.kill()
         process.wait()
-    house.kill()
-    again = RealTime(tmp_path / "state", listen)
-    endpoint.loop = other.loop = again.loop
-    assert again.post("c", product="once") == b"202"
-    again.deliver([other], 1)
+    courier.kill()
+    restarted = RealTime(tmp_path / "state", listen)
+    endpoint.loop = other.loop = restarted.loop
+    assert restarted.post("c", product="once") == b"202"
+    restarted.deliver([other], 1)
     with pytest.raises(BlockingIOError):
         endpoint.sock.accept()
 
 
 class RealTime(SubscribedCourierFixture):
-    """The same on the system's clock."""
+    """A courier on the system's clock."""
 
     def __init__(self, folder, listen):
         folder.mkdir(exist_ok=True)
@@ -532,37 +537,37 @@
     def until(self, done, seconds=30.0):
         end = time.monotonic() + seconds
         while not done():
-            assert time.monotonic() < end, "it never came about"
+            assert time.monotonic() < end, "the condition was not reached in time"
             self.loop.once(self.loop.now() + 5.0)
 
     def status_of(self, peer):
         self.until(lambda: b"\r\n\r\n" in peer.hear())
         return peer.heard.split()[1]
 
-    def deliver(self, doors, count):
-        """So many messages come to these, and are answered. They may be sent once only: what is slow here is
-        no time-out."""
+    def deliver(self, listeners, count):
+        """Receives and answers that many messages at the listeners. They are once-only, so that a slow
+        machine causes no repeated submit."""
         peers, got = [], 0
         end = time.monotonic() + 30.0
         while self.runtime.journal.texts or got < count:
-            assert time.monotonic() < end, "they never came"
+            assert time.monotonic() < end, "the messages did not arrive in time"
             self.loop.once(self.loop.now() + 5.0)
-            for door in doors:
+            for listener in listeners:
                 try:
-                    peers.append(Peer(self.loop, door.sock.accept()[0]))
+                    peers.append(Peer(self.loop, listener.sock.accept()[0]))
                 except BlockingIOError:
                     pass
             for peer in peers:
                 if (bodies := peer.hear().count(b"\xfe\xfe\xfe")) > 0:
                     got, peer.heard = got + bodies, b""
                     peer.say(answer(200))
-        assert got == count, "nothing twice"
+        assert got == count, "no message arrived twice"
         for peer in peers:
             peer.sock.close()
 
 
 class RealClock:
-    """The system's clock, with a head start that the constructor of a house may add to."""
+    """The system's clock plus an offset that the fixture's constructor may increase."""
 
     def __init__(self, system):
         self.system, self.start = system, 0.0
--- a/tests/test_subscription_settings.py
+++ b/tests/test_subscription_settings.py
@@ -1,5 +1,5 @@
-"""Discovery nodes in an operator's file and in the platform's JSON; a handover between two processes that
-subscribe."""
+"""Tests of discovery nodes in the configuration file and in the platform's JSON, and of a handover between
+two subscribing processes."""
 
 import json
 import signal
@@ -22,73 +22,79 @@
 
 __all__ = ["platform"]
 
-ALONE = BASE.split("[[partner]]")[0]
-NODES = 'held = 50\nnodes = ["127.0.0.1:7001", "127.0.0.1:7002"]\nfleet = "lahore"'
+COURIER_ONLY = BASE.split("[[partner]]")[0]
+NODES_OPTIONS = 'held = 50\nnodes = ["127.0.0.1:7001", "127.0.0.1:7002"]\nfleet = "lahore"'
 
 
-def sheet(words):
-    return ALONE.replace("held = 50", words)
+def sheet(options):
+    return COURIER_ONLY.replace("held = 50", options)
 
 
-def file(tmp_path, words):
+def write_config(tmp_path, options):
     path = tmp_path / "c.toml"
-    path.write_text(sheet(words))
+    path.write_text(sheet(options))
     return path
 
 
-def test_an_operators_file_with_nodes_starts_a_courier_that_subscribes(tmp_path):
-    path = file(tmp_path, NODES)
+def test_a_configuration_file_with_nodes_configures_a_subscribing_courier(tmp_path):
+    path = write_config(tmp_path, NODES_OPTIONS)
     post = posted({"LB_CONFIG": str(path)})
     assert post.nodes == ("127.0.0.1:7001", "127.0.0.1:7002") and post.fleet == "lahore"
     assert post.max_age == 24 * 3_600_000.0 and post.discovery == ""
-    told = convert.to_platform(read(str(path)))
-    assert told["nodes"] == list(post.nodes) and told["list_age"] == 86400.0
-    back = convert.from_platform(told)
+    payload = convert.to_platform(read(str(path)))
+    assert payload["nodes"] == list(post.nodes) and payload["list_age"] == 86400.0
+    back = convert.from_platform(payload)
     assert back.courier.nodes == list(post.nodes) and back.courier.fleet == "lahore"
 
 
-def test_without_nodes_the_platforms_json_is_as_it_was(tmp_path):
+def test_without_nodes_the_platform_json_has_no_subscription_fields(tmp_path):
     (tmp_path / "c.toml").write_text(BASE)
-    told = convert.to_platform(read(str(tmp_path / "c.toml")))
-    assert not {"nodes", "fleet", "list_age"} & set(told)
+    payload = convert.to_platform(read(str(tmp_path / "c.toml")))
+    assert not {"nodes", "fleet", "list_age"} & set(payload)
     assert posted({"LB_CONFIG": str(tmp_path / "c.toml")}).nodes == ()
 
 
-def test_a_changed_list_of_nodes_holds_at_sighup_and_another_fleet_wants_a_restart(tmp_path):
+def test_a_changed_list_of_nodes_applies_at_sighup_and_another_fleet_needs_a_restart(tmp_path):
     (tmp_path / "a").mkdir(), (tmp_path / "b").mkdir()
-    old = read(str(file(tmp_path / "a", NODES))).sheet
-    new = read(str(file(tmp_path / "b", NODES.replace("7002", "7003").replace("lahore", "quetta")))).sheet
+    old = read(str(write_config(tmp_path / "a", NODES_OPTIONS))).sheet
+    new = read(
+        str(write_config(tmp_path / "b", NODES_OPTIONS.replace("7002", "7003").replace("lahore", "quetta")))
+    ).sheet
     when = {key: at for key, _, _, at in compare.changes(old, new)}
     assert when == {"courier.nodes": "SIGHUP", "courier.fleet": "restart"}
 
 
 @pytest.mark.parametrize(
-    "words,place,why",
+    "options,place,why",
     [
-        (NODES.replace("127.0.0.1:7002", "node-2:7002"), "courier.nodes: ", "is no address"),
-        (NODES.replace("127.0.0.1:7002", "127.0.0.1"), "courier.nodes: '127.0.0.1'", "is no address"),
-        (NODES.replace("7002", "7001"), "courier.nodes: 127.0.0.1:7001", "twice"),
-        (NODES.replace("7002", "5000"), "courier.nodes: 127.0.0.1:5000", "itself listens"),
-        (NODES.split("\nfleet")[0], "c.toml:4: courier", "which fleet"),
+        (NODES_OPTIONS.replace("127.0.0.1:7002", "node-2:7002"), "courier.nodes: ", "is no address"),
+        (NODES_OPTIONS.replace("127.0.0.1:7002", "127.0.0.1"), "courier.nodes: '127.0.0.1'", "is no address"),
+        (NODES_OPTIONS.replace("7002", "7001"), "courier.nodes: 127.0.0.1:7001", "twice"),
+        (NODES_OPTIONS.replace("7002", "5000"), "courier.nodes: 127.0.0.1:5000", "itself listens"),
+        (NODES_OPTIONS.split("\nfleet")[0], "c.toml:4: courier", "which fleet"),
         ('held = 50\nfleet = "lahore"', "courier.fleet", "no nodes"),
-        (NODES + '\nlist_age = "0s"', "courier.list_age", "as new as that"),
-        (NODES + '\nlist_age = "soon"', "courier.list_age", "no time"),
-        (NODES + "\nnode = 3", "courier", "node"),
-        (NODES.replace('["127.0.0.1:7001", "127.0.0.1:7002"]', '"127.0.0.1:7001"'), "courier.nodes", "array"),
+        (NODES_OPTIONS + '\nlist_age = "0s"', "courier.list_age", "as new as that"),
+        (NODES_OPTIONS + '\nlist_age = "soon"', "courier.list_age", "no time"),
+        (NODES_OPTIONS + "\nnode = 3", "courier", "node"),
+        (
+            NODES_OPTIONS.replace('["127.0.0.1:7001", "127.0.0.1:7002"]', '"127.0.0.1:7001"'),
+            "courier.nodes",
+            "array",
+        ),
         ("held = 50", "courier", "no list of partners"),
     ],
 )
-def test_what_is_wrong_is_told_by_its_place(tmp_path, words, place, why):
-    path = file(tmp_path, words)
-    told = [str(fault) for fault in findings(path)]
-    assert any(place in line and why in line for line in told) and all("\n" not in line for line in told), (
-        told
-    )
+def test_invalid_settings_are_reported_with_their_place(tmp_path, options, place, why):
+    path = write_config(tmp_path, options)
+    reported = [str(fault) for fault in findings(path)]
+    assert any(place in line and why in line for line in reported) and all(
+        "\n" not in line for line in reported
+    ), reported
     assert CliRunner().invoke(main, ["check", str(path)]).exit_code == 1
 
 
-def test_nodes_and_a_list_of_partners_do_not_go_together(tmp_path):
-    (tmp_path / "c.toml").write_text(BASE.replace("held = 50", NODES))
+def test_nodes_and_a_list_of_partners_exclude_each_other(tmp_path):
+    (tmp_path / "c.toml").write_text(BASE.replace("held = 50", NODES_OPTIONS))
     assert any("given twice" in str(fault) for fault in findings(tmp_path / "c.toml"))
 
 
@@ -96,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    "told,said",
+    "payload,message",
     [
         (dict(nodes=[NODE]), "fleet: is not given"),
         (dict(fleet="lahore"), "nodes: is not given"),
@@ -111,17 +117,17 @@
         (dict(nodes=[NODE], fleet="lahore", list_age="24h"), "list_age: '24h' is no number"),
     ],
 )
-def test_the_platforms_json_is_refused_by_its_place(tmp_path, monkeypatch, capsys, told, said):
+def test_invalid_platform_json_is_refused_with_its_place(tmp_path, monkeypatch, capsys, payload, message):
     path = tmp_path / "c.json"
-    config = {"listen": "127.0.0.1:1", "state": str(tmp_path), "settings": terms()} | told
+    config = {"listen": "127.0.0.1:1", "state": str(tmp_path), "settings": terms()} | payload
     path.write_text(json.dumps(config))
     monkeypatch.setattr("os.environ", {"LB_CONFIG": str(path)})
     assert serve(SignalReader()) == 2
     line = capsys.readouterr().err.strip()
-    assert line.startswith(f"{path}: {said}") and "\n" not in line
+    assert line.startswith(f"{path}: {message}") and "\n" not in line
 
 
-def test_a_courier_without_nodes_reads_nothing_of_subscriptions_in():
+def test_a_courier_without_nodes_imports_no_subscription_module():
     code = (
         "import sys, calicopin.lifecycle.start\n"
         "names = [name for name in sys.modules if 'subscri' in name or name.endswith('known_list')]\n"
@@ -130,15 +136,15 @@
     subprocess.run([sys.executable, "-c", code], check=True)
 
 
-def test_a_new_version_goes_on_with_the_subscription_of_the_old_one(platform):  # noqa: F811
-    """It subscribes under a lease of its own to what the other process knew, and calls before that is
-    answered."""
+def test_a_new_process_continues_the_subscription_of_the_old_one(platform):  # noqa: F811
+    """The new process opens its own lease for the destinations known to the old one, and sends before the
+    node answers."""
     folder, listen = platform.folder, free_address()
     served = platform.known()["servers"][0]
     (folder / "list").write_bytes(b'{"form":1,"fleet":"lahore"}\n' + entry_line(served))
-    words = ["--source", str(folder / "list"), "--fleet", "lahore", "--listen", listen, "--node", "n1"]
+    options = ["--source", str(folder / "list"), "--fleet", "lahore", "--listen", listen, "--node", "n1"]
     node = subprocess.Popen(
-        [sys.executable, "-m", "calicopin", "discovery-node", *words], stderr=subprocess.DEVNULL
+        [sys.executable, "-m", "calicopin", "discovery-node", *options], stderr=subprocess.DEVNULL
     )
     (folder / "c.toml").write_text(f"""
 version = 1
