--- a/calicopin/discovery_node/source.py
+++ b/calicopin/discovery_node/source.py
@@ -85,7 +85,7 @@
         return True
 
     def reader_from_end(self) -> "SourceFile":
-        """A second reader of the open file that starts after its last complete line."""
+        """A second reader of the open file, starting after the last complete line at the time of opening."""
         other, before = copy.copy(self), max(0, self.size_at_open - MAX_LINE_BYTES)
         last = self.read(self.size_at_open - before, before)
         other.splitter, other.offset = LineSplitter(), before + last.rfind(b"\n") + 1
