--- a/calicopin/discovery_node/replies.py
+++ b/calicopin/discovery_node/replies.py
@@ -1,4 +1,4 @@
-"""What a request's query says, and the replies that a discovery node gives: each refusal is one typed
+"""Parses the query of a request and builds the replies of a discovery node; each refusal is one typed
 message."""
 
 import math
@@ -7,12 +7,12 @@
 
 from calicopin.subscription.messages import MessageError, Reason, Refusal, encode_refusal
 
-INDEX_DIGITS = 18
+MAX_INDEX_DIGITS = 18
 
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """What the query of a request says."""
+    """The query of a request; `wait` in ms."""
 
     index: int | None
     wait: float
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer's status and body; `last` ends the connection, `refusal` is why it is no other."""
+    """An HTTP status and body; `last` closes the connection, `refusal` is set if the request was refused."""
 
     status: int
     body: bytes
@@ -28,18 +28,18 @@
     last: bool = False
 
 
-def refused(refusal: Refusal, status: int = 0, last: bool = False) -> Reply:
-    """A refusal as an answer; `status` where none of its reason's own fits better."""
+def refusal_reply(refusal: Refusal, status: int = 0, last: bool = False) -> Reply:
+    """The reply for a refusal; `status` replaces the status of its reason."""
     return Reply(status or refusal.status, encode_refusal(refusal), refusal, last)
 
 
 def retry_seconds(refusal: Refusal) -> int:
-    """Of the header Retry-After, which knows whole seconds only."""
+    """The value of the Retry-After header, in whole seconds."""
     return math.ceil(refusal.retry_ms / 1000.0)
 
 
-def whole_refusal(refusal: Refusal) -> bytes:
-    """A refusal with its head, as the last message on a connection that nothing else is said on."""
+def encode_refusal_response(refusal: Refusal) -> bytes:
+    """A complete HTTP response with a refusal that closes the connection."""
     body = encode_refusal(refusal)
     head = [
         f"HTTP/1.1 {refusal.status} {refusal.reason.value}",
@@ -51,23 +51,23 @@
     return ("\r\n".join(head) + "\r\n\r\n").encode() + body
 
 
-def unreadable(why: str, status: int = 400, last: bool = True) -> Reply:
-    """The answer to what cannot be read."""
-    return refused(Refusal(Reason.UNREADABLE, why), status, last)
+def unreadable_reply(message: str, status: int = 400, last: bool = True) -> Reply:
+    """The reply to an unreadable request."""
+    return refusal_reply(Refusal(Reason.UNREADABLE, message), status, last)
 
 
-def is_number(word: str) -> bool:
-    """Whether a word of a query is a whole number from 0 up."""
-    return word.isascii() and word.isdigit() and len(word) <= INDEX_DIGITS
+def is_number(text: str) -> bool:
+    """Whether a query value is a non-negative integer."""
+    return text.isascii() and text.isdigit() and len(text) <= MAX_INDEX_DIGITS
 
 
-def read_poll(target: bytes, most_wait: float) -> Poll:
-    """The query of a request; raises MessageError."""
-    told = {}
+def read_poll(target: bytes, max_wait_ms: float) -> Poll:
+    """Parses the query of a request; raises MessageError."""
+    fields = {}
     for name, value in parse_qsl(target.partition(b"?")[2].decode("latin-1"), keep_blank_values=True):
         if name not in ("index", "wait"):
             raise MessageError(f"query.{name[:40]}", "is an unknown field")
         if not is_number(value):
             raise MessageError(f"query.{name}", "is no whole number from 0 up")
-        told[name] = int(value)
-    return Poll(told.get("index"), min(float(told.get("wait", 0)), most_wait))
+        fields[name] = int(value)
+    return Poll(fields.get("index"), min(float(fields.get("wait", 0)), max_wait_ms))
--- a/calicopin/discovery_node/status.py
+++ b/calicopin/discovery_node/status.py
@@ -1,4 +1,4 @@
-"""The figures of a running discovery node, for operators."""
+"""The status of a running discovery node, for operators."""
 
 import os
 import time
@@ -12,15 +12,15 @@
 
 
 def resident_bytes() -> int:
-    """Of this process."""
+    """The resident memory of this process."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def status_of(server: "NodeServer") -> dict:
-    """Figures for operators, as JSON has them."""
+    """The fields of the status document."""
     source, catalogue = server.source, server.source.catalogue
-    figures = asdict(catalogue.figures()) if catalogue else {}
+    stats = asdict(catalogue.stats()) if catalogue else {}
     return {
         "node": server.table.node,
         "fleet": server.table.fleet,
@@ -30,7 +30,7 @@
         "subscriptions": server.table.subscriptions,
         "connections": len(server.connections),
         "parked": len(server.parked),
-        **figures,
+        **stats,
         "answers": server.answers,
         "destinations_changed": server.destinations_changed,
         "changes_told": server.changes_told,
--- a/calicopin/discovery_node/upstream.py
+++ b/calicopin/discovery_node/upstream.py
@@ -1,9 +1,8 @@
-"""An upstream node as the source: its list log is copied to a file of this node's own, which the node then
-follows.
+"""An upstream node as the source: its source file is copied to a local file, which this node follows.
 
-The copy is asked for from where it ends, again and again. Where the upstream node began another file, or is
-another run, a new copy is made beside the old one and takes its place once it is whole: the last good copy
-serves on.
+The node polls for bytes after the end of its copy. If the upstream node switched to another file or was
+restarted, a new copy is written next to the old one and replaces it once complete; until then the old copy
+is served.
 """
 
 import os
@@ -17,109 +16,112 @@
 from calicopin.wire.loop import Loop, Until
 
 LOG_PATH = "/api/log"
-LOG_CHUNK = 1 << 20  # bytes of the log in one answer
-MOST_IDENTITY = 512  # bytes in front of them
-PAUSE = 250.0  # ms between two requests where nothing was new
-RETRY = 1000.0  # ms after one that failed
-REFUSED_RETRY = 30_000.0  # ms after a copy that could not be used: it is made whole again
-PATIENCE = 5000.0  # ms for one answer
-SUFFIX = ".part"  # of a copy that is not whole yet
+LOG_CHUNK_BYTES = 1 << 20  # maximum size of the log data in one answer
+MAX_IDENTITY_BYTES = 512  # maximum size of the identity line before the data
+POLL_INTERVAL_MS = 250.0  # between two requests when there was no new data
+RETRY_INTERVAL_MS = 1000.0  # after a failed request
+REJECTED_COPY_RETRY_MS = 30_000.0  # after an unusable copy, before a complete new one is made
+ANSWER_TIMEOUT_MS = 5000.0  # for one answer
+PARTIAL_SUFFIX = ".part"  # of an incomplete copy
 
 
-def encode_piece(identity: str, data: bytes) -> bytes:
-    """A piece of the log: a line that names the file, and the bytes."""
+def encode_log_chunk(identity: str, data: bytes) -> bytes:
+    """A chunk of the log: a line with the identity of the file, then the data."""
     return identity.encode() + b"\n" + data
 
 
-def write_whole(descriptor: int, data: bytes, offset: int) -> None:
-    """All of it, or OSError; once more does no harm."""
+def write_all(descriptor: int, data: bytes, offset: int) -> None:
+    """Writes all of the data at the offset, or raises OSError; may be repeated."""
     done = 0
     while done < len(data):
         done += os.pwrite(descriptor, data[done:], offset + done)
 
 
 class Upstream(Agent):
-    """Copies the log of the node at `address` to `path`. The list that is there serves from the first moment
-    on."""
+    """Copies the log of the node at `address` to `path`. A list that exists there is served from the
+    start."""
 
     def __init__(self, loop: Loop, address: str, path: str, fleet: str):
         self.path, self.fleet = path, fleet
-        self.heard_at: float | None = None  # wall time of the last answer, ms
-        self.copies = 0  # made whole
+        self.heard_at: float | None = None  # wall-clock time of the last answer, ms
+        self.copies = 0  # completed copies
         self._identity, self._offset, self._descriptor = "", 0, -1
-        self._whole = False  # whether the copy has taken its place
-        self._told = ""
+        self._is_published = False  # whether the copy has replaced the file at `path`
+        self._last_logged = ""
         if not os.path.exists(path):
             os.close(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o644))
         super().__init__(loop, address)
 
     def talk(self) -> Iterator[Until]:
-        """For ever: one request after the other on one connection, a new one after a fault."""
+        """Sends one request after another on one connection, forever; reconnects after a failure."""
         self.hang_up()
         while True:
-            pause = PAUSE
+            pause = POLL_INTERVAL_MS
             try:
-                piece = yield from self._ask()
-                if piece is None:
-                    self._tell_once(f"the upstream node {self.address} does not answer")
-                    pause = RETRY
-                elif self._take(piece):
+                chunk = yield from self._request_chunk()
+                if chunk is None:
+                    self._log_once(f"the upstream node {self.address} does not answer")
+                    pause = RETRY_INTERVAL_MS
+                elif self._append(chunk):
                     pause = 0.0
             except (OSError, SourceError) as fault:
-                self._tell_once(f"no copy of the list of the upstream node {self.address}: {fault}")
-                self._identity, pause = "", REFUSED_RETRY
+                self._log_once(f"cannot copy the list of the upstream node {self.address}: {fault}")
+                self._identity, pause = "", REJECTED_COPY_RETRY_MS
             yield Until(self.loop.now() + pause)
 
-    def _ask(self) -> Iterator[Until]:
-        """The next piece; None where none came."""
-        until = self.loop.now() + PATIENCE
+    def _request_chunk(self) -> Iterator[Until]:
+        """The next chunk, or None if the request failed."""
+        until = self.loop.now() + ANSWER_TIMEOUT_MS
         line = yield from self.connect(until)
         if not line:
             return None
         target = f"{LOG_PATH}?offset={self._offset}"
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        status, body = (yield from line.ask(request, b"", LOG_CHUNK + MOST_IDENTITY, until)) or (0, b"")
+        status, body = (yield from line.ask(request, b"", LOG_CHUNK_BYTES + MAX_IDENTITY_BYTES, until)) or (
+            0,
+            b"",
+        )
         if not (status and line.again()):
             self.hang_up()
         return body if status == 200 else None
 
-    def _take(self, piece: bytes) -> bool:
-        """Takes one piece in; whether there may be more at once."""
+    def _append(self, chunk: bytes) -> bool:
+        """Processes one chunk. Returns whether more data may be available at once."""
         self.heard_at = self.loop.system.wall()
-        name, _, data = piece.partition(b"\n")
+        name, _, data = chunk.partition(b"\n")
         identity = name.decode("latin-1")
         if identity != self._identity:
-            self._begin(identity)
+            self._start_copy(identity)
             return True
-        write_whole(self._descriptor, data, self._offset)
+        write_all(self._descriptor, data, self._offset)
         self._offset += len(data)
-        if len(data) >= LOG_CHUNK:
+        if len(data) >= LOG_CHUNK_BYTES:
             return True
-        self._told = ""
-        if not self._whole:
-            self._put_in_place()
+        self._last_logged = ""
+        if not self._is_published:
+            self._publish()
         return False
 
-    def _begin(self, identity: str) -> None:
-        """A new copy, from the log's first byte on."""
+    def _start_copy(self, identity: str) -> None:
+        """Starts a new copy from the first byte of the log."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
-        self._descriptor = os.open(self.path + SUFFIX, flags, 0o644)
-        self._identity, self._offset, self._whole = identity, 0, False
+        self._descriptor = os.open(self.path + PARTIAL_SUFFIX, flags, 0o644)
+        self._identity, self._offset, self._is_published = identity, 0, False
 
-    def _put_in_place(self) -> None:
-        """The copy is whole: it is the source from now on, if it is one of this fleet."""
-        file = open_source(self.path + SUFFIX, self.fleet)
+    def _publish(self) -> None:
+        """Replaces the source with the complete copy; raises SourceError if that is invalid."""
+        file = open_source(self.path + PARTIAL_SUFFIX, self.fleet)
         file.close()
         if file.offset == 0:
-            raise SourceError("it has no whole header yet")
-        os.replace(self.path + SUFFIX, self.path)
-        self._whole = True
+            raise SourceError("its header line is incomplete")
+        os.replace(self.path + PARTIAL_SUFFIX, self.path)
+        self._is_published = True
         self.copies += 1
 
-    def _tell_once(self, why: str) -> None:
-        if why != self._told:
+    def _log_once(self, why: str) -> None:
+        if why != self._last_logged:
             logger.warning("{why}", event="upstream.unheard", why=why)
-            self._told = why
+            self._last_logged = why
