--- a/calicopin/capacity/__main__.py
+++ b/calicopin/capacity/__main__.py
@@ -4,7 +4,7 @@
 import sys
 
 from calicopin.capacity import page
-from calicopin.capacity.size import IN_TWO_YEARS
+from calicopin.capacity.size import PLANNED_SIZE
 
 
 def main() -> int:
@@ -18,10 +18,10 @@
         help="write them between the markers of docs/CAPACITY.md and docs/subscriptions-design.md",
     )
     if not parser.parse_args().write:
-        print("\n".join(page.pages(IN_TWO_YEARS).values()), end="")
+        print("\n".join(page.pages(PLANNED_SIZE).values()), end="")
         return 0
     try:
-        for path, made in page.pages(IN_TWO_YEARS).items():
+        for path, made in page.pages(PLANNED_SIZE).items():
             text = path.read_text(encoding="utf-8")
             path.write_text(page.with_generated(text, made), encoding="utf-8")
     except (OSError, page.NoMarkersError) as fault:
--- a/calicopin/capacity/backlog.py
+++ b/calicopin/capacity/backlog.py
@@ -8,7 +8,7 @@
 import time
 from collections import deque
 
-from calicopin.capacity.records import Measure, fitted, record
+from calicopin.capacity.records import Measure, fit_line, record
 from calicopin.facade import Answer, Call, Facade, Far, Place
 from calicopin.state.texts import Text
 
@@ -17,10 +17,12 @@
 SEED = 1
 DESTINATION = 7
 VALIDITY_S = 86_400.0
-ANSWER_MS = 150.0  # from a call to its answer or its end
+ANSWER_TIME_MS = 150.0  # from a call to its answer or its end
 SETTLE_MS = 20_000.0  # from the first failed call; the destination is known to be down well before
-DOWN_MS = 5_000.0  # that are measured
-EVENT_MS = 680.0  # between two events for the destination: 2.5 million a second over 1.7 million destinations
+MEASURED_DOWN_MS = 5_000.0  # that are measured
+EVENT_INTERVAL_MS = (
+    680.0  # between two events for the destination: 2.5 million a second over 1.7 million destinations
+)
 CALLS = 100  # deliveries that are measured
 SLOTS = 40
 LIMIT = 50.0  # calls a second, listed
@@ -71,26 +73,26 @@
         """Decides on all that has come, begins what calls follow."""
         self.due = self.facade.tick(self.now)
         while call := self.facade.pick():
-            self.out.append((self.now + ANSWER_MS, call))
+            self.out.append((self.now + ANSWER_TIME_MS, call))
         while end := self.facade.ended():
             self.delivered += end.delivered
         while self.facade.back() or self.facade.said() or self.facade.given_back():
             pass
 
-    def next_at(self) -> float:
+    def next_event_at(self) -> float:
         """When something happens next."""
         return min(self.due, self.out[0][0] if self.out else float("inf"))
 
     def step(self) -> None:
         """Goes on to what happens next."""
-        self.now = max(self.now, self.next_at())
+        self.now = max(self.now, self.next_event_at())
         while self.out and self.out[0][0] <= self.now:
-            self.facade.report(self.out.popleft()[1], self.answer, ANSWER_MS)
+            self.facade.report(self.out.popleft()[1], self.answer, ANSWER_TIME_MS)
         self.turn()
 
     def go(self, until: float) -> None:
         """Goes on to that time."""
-        while self.next_at() <= until:
+        while self.next_event_at() <= until:
             self.step()
         self.now = until
 
@@ -110,9 +112,9 @@
     play.go(SETTLE_MS)
     if play.mode() != "out":
         raise NotMeasuredError(f"the destination is {play.mode()}")
-    end, began = play.now + DOWN_MS, time.process_time()
+    end, began = play.now + MEASURED_DOWN_MS, time.process_time()
     while play.now < end:
-        play.go(play.now + EVENT_MS)
+        play.go(play.now + EVENT_INTERVAL_MS)
         play.take()
         play.turn()
     spent = time.process_time() - began
@@ -150,7 +152,7 @@
             print(f"{size:,} messages, repeat {repeat + 1} of {asked.repeats}", file=sys.stderr)
             for one, of in MEASURES.items():
                 samples[one].append((size, of(size)))
-    kept.end([fitted(one, samples[one]) for one in MEASURES], asked.json)
+    kept.end([fit_line(one, samples[one]) for one in MEASURES], asked.json)
     return 0
 
 
--- a/calicopin/capacity/figures.py
+++ b/calicopin/capacity/figures.py
@@ -10,11 +10,11 @@
     """Units of figures; those that people read in other sizes are scaled by `said`."""
 
     BYTES = "B"
-    BYTES_A_SECOND = "B/s"
+    BYTES_PER_SECOND = "B/s"
     SECONDS = "s"
     CORES = "core"
     COUNT = ""
-    A_SECOND = "/s"
+    PER_SECOND = "/s"
     SHARE = "share"
 
 
@@ -64,13 +64,13 @@
         return said(self.value, self.unit)
 
 
-SCALES = {
+UNIT_SCALES = {
     Unit.BYTES: ((1e9, "GB"), (1e6, "MB"), (1e3, "kB"), (1.0, "B")),
-    Unit.BYTES_A_SECOND: ((1e9, "GB/s"), (1e6, "MB/s"), (1e3, "kB/s"), (1.0, "B/s")),
+    Unit.BYTES_PER_SECOND: ((1e9, "GB/s"), (1e6, "MB/s"), (1e3, "kB/s"), (1.0, "B/s")),
     Unit.SECONDS: ((172_800.0, "days"), (3600.0, "h"), (1.0, "s"), (1e-3, "ms"), (1e-6, "µs")),
     Unit.COUNT: ((1e9, "billion"), (1e6, "million"), (0.0, "")),
 }
-SECONDS_IN = {"days": 86_400.0}  # where a name counts in another unit than it begins at
+SECONDS_PER_UNIT = {"days": 86_400.0}  # where a name counts in another unit than it begins at
 
 
 def plain(value: float) -> str:
@@ -89,8 +89,8 @@
     """The value in the largest unit in which it is one or more."""
     if unit == Unit.SHARE:
         return f"{plain(value * 100.0)} %"
-    if unit == Unit.A_SECOND:
+    if unit == Unit.PER_SECOND:
         return f"{plain(value)}/s"
-    scales = SCALES.get(unit, ((0.0, unit.value),))
+    scales = UNIT_SCALES.get(unit, ((0.0, unit.value),))
     least, name = next((scale for scale in scales if abs(value) >= scale[0]), scales[-1])
-    return f"{plain(value / (SECONDS_IN.get(name, least) or 1.0))} {name}".rstrip()
+    return f"{plain(value / (SECONDS_PER_UNIT.get(name, least) or 1.0))} {name}".rstrip()
--- a/calicopin/capacity/model.py
+++ b/calicopin/capacity/model.py
@@ -12,21 +12,21 @@
     node.lease_memory,
     node.renewals,
     node.core,
-    node.changes_core,
+    node.change_processing_core,
     node.traffic,
     node.news,
     node.source,
     node.load,
-    node.news_today,
-    node.lists_today,
+    node.update_answers_today,
+    node.whole_list_traffic_today,
 )
-DESTINATION = (outside.events, outside.told_share, outside.served_ratio, outside.given_up)
+DESTINATION = (outside.events, outside.equal_share, outside.served_ratio, outside.given_up_share)
 OPERATORS = (
-    outside.status_today,
-    outside.status_subscribed,
-    outside.figure_calls,
+    outside.all_status_bytes,
+    outside.subscribed_status_bytes,
+    outside.metrics_calls,
     outside.source_growth,
-    outside.whole_roll,
+    outside.rollout_time,
 )
 
 
@@ -41,18 +41,23 @@
 def quotients(size: Size) -> tuple[Figure, ...]:
     """What follows from the users' numbers alone."""
     rows = (
-        ("events a second a courier", "events a second / couriers", size.events_a_courier, Unit.COUNT),
-        ("waiting events a courier", "waiting events / couriers", size.waiting_a_courier, Unit.COUNT),
+        ("events a second a courier", "events a second / couriers", size.events_per_courier, Unit.COUNT),
+        ("waiting events a courier", "waiting events / couriers", size.waiting_per_courier, Unit.COUNT),
         ("destinations down", "destinations × share down", size.destinations_down, Unit.COUNT),
-        ("time between changes", "a day / changes a day", size.seconds_a_change, Unit.SECONDS),
-        ("couriers a control machine", "couriers / control machines", size.couriers_a_node, Unit.COUNT),
-        ("couriers a zone", "couriers / zones", size.couriers_a_zone, Unit.COUNT),
-        ("control machines a zone", "control machines / zones", size.nodes_a_zone, Unit.COUNT),
-        ("all waiting events, as intake", "waiting events / events a second", size.backlog_s, Unit.SECONDS),
+        ("time between changes", "a day / changes a day", size.seconds_per_change, Unit.SECONDS),
+        ("couriers a control machine", "couriers / control machines", size.couriers_per_node, Unit.COUNT),
+        ("couriers a zone", "couriers / zones", size.couriers_per_zone, Unit.COUNT),
+        ("control machines a zone", "control machines / zones", size.nodes_per_zone, Unit.COUNT),
+        (
+            "all waiting events, as intake",
+            "waiting events / events a second",
+            size.backlog_intake_s,
+            Unit.SECONDS,
+        ),
         (
             "events a second a destination",
             "events a second / destinations",
-            size.events_a_destination,
+            size.events_per_destination,
             Unit.COUNT,
         ),
     )
@@ -60,16 +65,16 @@
     shared = Figure(
         "destinations a courier, one sender each",
         "destinations / couriers",
-        size.destinations_a_courier,
+        size.destinations_per_courier,
         Unit.COUNT,
-        assumes=("senders_a_destination",),
+        assumes=("senders_per_destination",),
     )
     down = Figure(
         "of them down",
         "destinations a courier × share down",
-        size.down_a_courier,
+        size.down_per_courier,
         Unit.COUNT,
-        assumes=("senders_a_destination",),
+        assumes=("senders_per_destination",),
     )
     return (*given, shared, down)
 
@@ -80,19 +85,19 @@
         Role(
             "Courier, data path",
             (
-                courier.events_core(size),
+                courier.event_processing_core(size),
                 courier.decisions_core(size),
                 courier.events_traffic(size),
                 courier.journal_traffic(size),
                 courier.connections(size),
                 courier.waiting_memory(size),
-                courier.waiting_decisions(size),
+                courier.waiting_decisions_memory(size),
                 courier.queue_length(size),
-                courier.walked_down(size),
-                courier.walked_deliveries(size),
+                courier.waiting_down_core(size),
+                courier.backlog_delivery_core(size),
                 courier.waiting_disk(size),
-                courier.waiting_journal(size),
-                courier.waiting_start(size),
+                courier.waiting_journal_disk(size),
+                courier.waiting_start_time(size),
             ),
         ),
         Role(
@@ -100,27 +105,27 @@
             (
                 courier.list_memory(size),
                 courier.list_bytes(size),
-                courier.list_start(size),
-                courier.list_take(size),
+                courier.list_start_time(size),
+                courier.list_processing_time(size),
                 courier.change_time(size),
-                courier.changes_core(size),
+                courier.change_processing_core(size),
                 courier.poll_traffic(size),
-                courier.changes_in_force(size),
+                courier.change_propagation(size),
             ),
         ),
         Role(
             "Courier, control, with subscriptions",
             (
-                courier.set_memory(size),
+                courier.subscription_memory(size),
                 courier.process_memory(size),
                 courier.lease_bytes(size),
-                courier.lease_start(size),
-                courier.set_take(size),
-                courier.renewal_core(size),
-                courier.set_change_time(size),
+                courier.lease_start_time(size),
+                courier.subscription_processing_time(size),
+                courier.subscription_core(size),
+                courier.subscription_change_time(size),
                 courier.renewal_traffic(size),
                 courier.measured_traffic(size),
-                courier.subscribed_in_force(size),
+                courier.subscribed_change_propagation(size),
             ),
         ),
         Role(
--- a/calicopin/capacity/node.py
+++ b/calicopin/capacity/node.py
@@ -2,7 +2,7 @@
 
 from calicopin.capacity import courier, slopes
 from calicopin.capacity.figures import Figure, Unit, Use
-from calicopin.capacity.size import SECONDS_A_DAY, Size
+from calicopin.capacity.size import SECONDS_PER_DAY, Size
 
 
 def list_memory(size: Size) -> Figure:
@@ -21,9 +21,9 @@
     return Figure(
         "memory of leases",
         "couriers a node × lease with 90 destinations",
-        size.couriers_a_node * slopes.NODE_LEASE_MEMORY.value,
+        size.couriers_per_node * slopes.NODE_LEASE_MEMORY.value,
         Unit.BYTES,
-        (Use(slopes.NODE_LEASE_MEMORY, size.couriers_a_node),),
+        (Use(slopes.NODE_LEASE_MEMORY, size.couriers_per_node),),
     )
 
 
@@ -32,18 +32,18 @@
     return Figure(
         "and for the changes of one day",
         "changes a day × changed destination",
-        size.changes_a_day * slopes.NODE_CHANGED_MEMORY.value,
+        size.changes_per_day * slopes.NODE_CHANGED_MEMORY.value,
         Unit.BYTES,
-        (Use(slopes.NODE_CHANGED_MEMORY, size.changes_a_day),),
+        (Use(slopes.NODE_CHANGED_MEMORY, size.changes_per_day),),
     )
 
 
-def changes_core(size: Size) -> Figure:
+def change_processing_core(size: Size) -> Figure:
     """Share of a core for all changes of the list, if each were told to one of the node's own couriers."""
     return Figure(
         "processor time of changes",
         "changes a second × change at the node",
-        size.changes_a_second * slopes.NODE_CHANGE_TIME.value,
+        size.changes_per_second * slopes.NODE_CHANGE_TIME.value,
         Unit.CORES,
         (Use(slopes.NODE_CHANGE_TIME, size.destinations),),
     )
@@ -54,8 +54,8 @@
     return Figure(
         "renewals a second",
         "couriers a node × renewals a second of a courier",
-        size.couriers_a_node * courier.renewals_a_second(),
-        Unit.A_SECOND,
+        size.couriers_per_node * courier.renewals_per_second(),
+        Unit.PER_SECOND,
     )
 
 
@@ -64,9 +64,9 @@
     return Figure(
         "processor time of renewals",
         "couriers a node × a courier at the node",
-        size.couriers_a_node * slopes.NODE_CORE.value,
+        size.couriers_per_node * slopes.NODE_CORE.value,
         Unit.CORES,
-        (Use(slopes.NODE_CORE, size.couriers_a_node),),
+        (Use(slopes.NODE_CORE, size.couriers_per_node),),
     )
 
 
@@ -75,8 +75,8 @@
     return Figure(
         "bytes a second",
         "couriers a node × bytes a second of a courier",
-        size.couriers_a_node * courier.renewal_traffic(size).value,
-        Unit.BYTES_A_SECOND,
+        size.couriers_per_node * courier.renewal_traffic(size).value,
+        Unit.BYTES_PER_SECOND,
         courier.renewal_traffic(size).uses,
         courier.renewal_traffic(size).assumes,
     )
@@ -87,9 +87,9 @@
     return Figure(
         "answers with news a second",
         "changes a second × senders a destination / control machines",
-        size.changes_a_second * size.shape.senders_a_destination / size.control_machines,
-        Unit.A_SECOND,
-        assumes=("senders_a_destination",),
+        size.changes_per_second * size.shape.senders_per_destination / size.control_machines,
+        Unit.PER_SECOND,
+        assumes=("senders_per_destination",),
     )
 
 
@@ -98,8 +98,8 @@
     return Figure(
         "bytes a second from its source",
         "changes a second × entry",
-        size.changes_a_second * slopes.ENTRY_BYTES.value,
-        Unit.BYTES_A_SECOND,
+        size.changes_per_second * slopes.ENTRY_BYTES.value,
+        Unit.BYTES_PER_SECOND,
         (Use(slopes.ENTRY_BYTES),),
     )
 
@@ -115,22 +115,22 @@
     )
 
 
-def news_today(size: Size) -> Figure:
+def update_answers_today(size: Size) -> Figure:
     """Answers a second at a node that tells each change to each courier."""
     return Figure(
         "today: answers with news a second",
         "couriers a node × changes a second",
-        size.couriers_a_node * size.changes_a_second,
-        Unit.A_SECOND,
+        size.couriers_per_node * size.changes_per_second,
+        Unit.PER_SECOND,
     )
 
 
-def lists_today(size: Size) -> Figure:
+def whole_list_traffic_today(size: Size) -> Figure:
     """Bytes a second of whole lists for the starts of an ordinary day."""
     return Figure(
         "today: bytes a second of whole lists for starts",
         "starts a day / control machines × whole list",
-        size.starts_a_day / size.control_machines * courier.list_bytes(size).value / SECONDS_A_DAY,
-        Unit.BYTES_A_SECOND,
+        size.starts_per_day / size.control_machines * courier.list_bytes(size).value / SECONDS_PER_DAY,
+        Unit.BYTES_PER_SECOND,
         courier.list_bytes(size).uses,
     )
--- a/calicopin/capacity/options.py
+++ b/calicopin/capacity/options.py
@@ -10,7 +10,7 @@
 
 VERSION_BYTES = 8.0  # a destination's number and version, packed, the least that gossip compares: assumed
 GOSSIP_PERIOD_S = 1.0  # between two exchanges of one courier: assumed
-FAN_OUT = 25.0  # children of one relay: assumed
+RELAY_FAN_OUT = 25.0  # children of one relay: assumed
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
 
 def owners(size: Size) -> Option:
     """Destinations hashed to owners: a courier forwards what it takes to the destination's owner."""
-    forwarded = size.events_a_courier * (1.0 - 1.0 / size.couriers)
+    forwarded = size.events_per_courier * (1.0 - 1.0 / size.couriers)
     body = size.shape.message_bytes
     return Option(
         "Destinations hashed to owners, with forwarding",
@@ -32,7 +32,7 @@
                 "events forwarded a second a courier",
                 "events a courier × (1 - 1 / couriers)",
                 forwarded,
-                Unit.A_SECOND,
+                Unit.PER_SECOND,
             ),
             Figure(
                 "processor time for them, taken on once more",
@@ -45,22 +45,22 @@
                 "bytes a second of bodies, out and in once more",
                 "2 × events forwarded × body",
                 2.0 * forwarded * body,
-                Unit.BYTES_A_SECOND,
+                Unit.BYTES_PER_SECOND,
                 (),
                 ("message_bytes",),
             ),
             Figure(
                 "changes of ownership a second that every courier hears",
                 "2 × starts a day / a day",
-                2.0 * size.starts_a_day / 86_400.0,
-                Unit.A_SECOND,
+                2.0 * size.starts_per_day / 86_400.0,
+                Unit.PER_SECOND,
                 (),
-                ("couriers_a_machine",),
+                ("couriers_per_machine",),
             ),
             Figure(
                 "waiting events that change owner at each, on disks that stay behind",
                 "waiting events a courier",
-                size.waiting_a_courier,
+                size.waiting_per_courier,
                 Unit.COUNT,
             ),
         ),
@@ -69,10 +69,10 @@
 
 def parts(size: Size) -> Option:
     """Each node holds a part of the list: a courier keeps a lease at nearly every node."""
-    machines, used = size.control_machines, size.destinations_a_courier
+    machines, used = size.control_machines, size.destinations_per_courier
     nodes = machines * (1.0 - (1.0 - 1.0 / machines) ** used)
-    calls = nodes * courier.renewals_a_second()
-    shape = ("senders_a_destination",)
+    calls = nodes * courier.renewals_per_second()
+    shape = ("senders_per_destination",)
     return Option(
         "Nodes that hold a part of the list each",
         (
@@ -103,7 +103,7 @@
                 "bytes a second of renewals at a courier",
                 "nodes × renewals a second × renewal",
                 calls * slopes.RENEWAL_BYTES.value,
-                Unit.BYTES_A_SECOND,
+                Unit.BYTES_PER_SECOND,
                 (Use(slopes.RENEWAL_BYTES),),
                 shape,
             ),
@@ -121,7 +121,7 @@
 
 def relays(size: Size) -> Option:
     """A tree: couriers relay to others below them."""
-    children = size.couriers / FAN_OUT
+    children = size.couriers / RELAY_FAN_OUT
     levels = 2.0  # nodes to relays, relays to couriers
     return Option(
         "A tree of relays, 25 children each",
@@ -137,23 +137,23 @@
             Figure(
                 "processor time at a relay for its children",
                 "children × a courier at the node",
-                FAN_OUT * slopes.NODE_CORE.value,
+                RELAY_FAN_OUT * slopes.NODE_CORE.value,
                 Unit.CORES,
-                (Use(slopes.NODE_CORE, FAN_OUT),),
+                (Use(slopes.NODE_CORE, RELAY_FAN_OUT),),
                 ("fan-out",),
             ),
             Figure(
                 "memory at a relay for its children's sets",
                 "children × memory of the subscribed set",
-                FAN_OUT * courier.set_memory(size).value,
+                RELAY_FAN_OUT * courier.subscription_memory(size).value,
                 Unit.BYTES,
-                courier.set_memory(size).uses,
-                ("senders_a_destination",),
+                courier.subscription_memory(size).uses,
+                ("senders_per_destination",),
             ),
             Figure(
                 "couriers cut off by one lost relay",
                 "children",
-                FAN_OUT,
+                RELAY_FAN_OUT,
                 Unit.COUNT,
                 (),
                 ("fan-out",),
@@ -161,7 +161,7 @@
             Figure(
                 "pauses on the way of a change",
                 f"{levels:g} × pause",
-                levels * courier.PAUSE_S,
+                levels * courier.POLL_PAUSE_S,
                 Unit.SECONDS,
             ),
         ),
@@ -206,9 +206,9 @@
             Figure(
                 "a start's list from a neighbour, within the budget of bytes",
                 "destinations × entry / bytes a second",
-                courier.list_start(size).value,
+                courier.list_start_time(size).value,
                 Unit.SECONDS,
-                courier.list_start(size).uses,
+                courier.list_start_time(size).uses,
             ),
         ),
     )
--- a/calicopin/capacity/page.py
+++ b/calicopin/capacity/page.py
@@ -59,7 +59,7 @@
     after = "unchanged" if subscribed is None else f"{subscribed.said()} ({subscribed.basis()})"
     return (
         demand.name,
-        f"{said(demand.budget, demand.unit)} ({demand.set_by.value})",
+        f"{said(demand.budget, demand.unit)} ({demand.budget_source.value})",
         f"{demand.today.said()} ({demand.today.basis()})",
         f"**{plain(demand.factor)}**",
         after,
@@ -71,12 +71,12 @@
 DEMAND_HEADS = ("what", "budget", "today", "factor", "subscribed", "factor", "fails")
 
 
-def quotients_part(size: Size) -> str:
+def quotients_section(size: Size) -> str:
     """What follows from the users' numbers alone."""
     return "## Quotients\n\n" + table(FIGURE_HEADS, [figure_row(one) for one in model.quotients(size)])
 
 
-SENDERS_MOVE = (
+SENDER_DEPENDENT_BUDGETS = (
     "a start has its list within the time to force, at the budget of bytes",
     "control memory of a courier",
     "control core of a courier",
@@ -100,11 +100,11 @@
     )
 
 
-def ranking_part(size: Size) -> str:
+def ranking_section(size: Size) -> str:
     """The ranking, the first that fails, and the mechanisms behind it."""
     demands = table(DEMAND_HEADS, [demand_row(one) for one in ranking.demands(size)])
     mechanisms = [
-        (str(number), one.name, one.instead_of, one.what, plain(one.factor), one.basis)
+        (str(number), one.name, one.replaces, one.what, plain(one.factor), one.basis)
         for number, one in enumerate(ranking.next_mechanisms(size), 1)
     ]
     return (
@@ -120,22 +120,22 @@
 SENDERS = (1.0, 3.0, 10.0, 30.0)  # of one destination, for which the page tells the budgets
 
 
-def senders_part(size: Size) -> str:
+def senders_section(size: Size) -> str:
     """The users' budgets that a courier's set moves, with more senders for each destination."""
     rows = []
     for senders in SENDERS:
-        other = replace(size, shape=replace(size.shape, senders_a_destination=senders))
+        other = replace(size, shape=replace(size.shape, senders_per_destination=senders))
         factors = {row.name: row.factor_subscribed for row in ranking.demands(other)}
-        told = [plain(factors[name]) for name in SENDERS_MOVE]
-        rows.append((plain(senders), plain(other.destinations_a_courier), *told))
+        told = [plain(factors[name]) for name in SENDER_DEPENDENT_BUDGETS]
+        rows.append((plain(senders), plain(other.destinations_per_courier), *told))
     return (
         "### With more senders for each destination\n\n"
         "Factors with subscriptions: demand over budget, as in the ranking.\n\n"
-        + table(("senders", "destinations a courier", *SENDERS_MOVE), rows)
+        + table(("senders", "destinations a courier", *SENDER_DEPENDENT_BUDGETS), rows)
     )
 
 
-def roles_part(size: Size) -> str:
+def roles_section(size: Size) -> str:
     """A table for each role."""
     parts = ["## Roles"]
     for role in model.roles(size):
@@ -143,16 +143,16 @@
     return "\n\n".join(parts)
 
 
-def faults_part(size: Size) -> str:
+def faults_section(size: Size) -> str:
     """A table for each fault."""
     parts = ["## Faults in figures"]
     for fault in faults.faults(size):
         rows = [figure_row(one) for one in fault.figures]
-        parts.append(f"### {fault.name} ({fault.how_often})\n\n" + table(FIGURE_HEADS, rows))
+        parts.append(f"### {fault.name} ({fault.frequency})\n\n" + table(FIGURE_HEADS, rows))
     return "\n\n".join(parts)
 
 
-def options_part(size: Size) -> str:
+def options_section(size: Size) -> str:
     """A table for each mechanism that was weighed; it stands in the design note."""
     parts = []
     for option in options.options(size):
@@ -164,7 +164,7 @@
 SLOPE_HEADS = ("slope", "value", "basis", "sizes", "residual / mean", "source")
 
 
-def slopes_part() -> str:
+def slopes_section() -> str:
     """Every slope with its source."""
     return "## Slopes\n\n" + table(SLOPE_HEADS, [slope_row(one) for one in all_slopes()])
 
@@ -172,12 +172,12 @@
 def generated(size: Size) -> str:
     """All that stands between the markers."""
     parts = (
-        ranking_part(size),
-        senders_part(size),
-        quotients_part(size),
-        roles_part(size),
-        faults_part(size),
-        slopes_part(),
+        ranking_section(size),
+        senders_section(size),
+        quotients_section(size),
+        roles_section(size),
+        faults_section(size),
+        slopes_section(),
     )
     return "\n\n".join(parts) + "\n"
 
@@ -193,4 +193,4 @@
 
 def pages(size: Size) -> dict[Path, str]:
     """The text that belongs between the markers of each page."""
-    return {PAGE: generated(size), NOTE: options_part(size)}
+    return {PAGE: generated(size), NOTE: options_section(size)}
--- a/calicopin/capacity/ranking.py
+++ b/calicopin/capacity/ranking.py
@@ -8,7 +8,7 @@
 from calicopin.capacity.size import Size
 
 WAITING_MEMORY = "waiting messages in memory"
-WAITING_WALKS = "one thread for what waits at destinations that are down"
+WAITING_SCANS = "one thread for what waits at destinations that are down"
 WAITING_START = "a start that reads its waiting messages"
 ONE_CORE = 1.0  # a courier is one thread, and so is a node
 
@@ -36,7 +36,7 @@
     name: str
     budget: float
     unit: Unit
-    set_by: Budget
+    budget_source: Budget
     fails: Fails
     today: Figure
     subscribed: Figure | None = None
@@ -58,14 +58,14 @@
         formula,
         size.couriers * share * slopes.NODE_CORE.value / ONE_CORE,
         Unit.COUNT,
-        (Use(slopes.NODE_CORE, size.couriers_a_node),),
+        (Use(slopes.NODE_CORE, size.couriers_per_node),),
     )
 
 
 def machines_today(size: Size) -> Figure:
     """Control machines for today's exchange: each change is news for each courier."""
-    calls = courier.calls_a_second() + size.changes_a_second
-    share = calls / courier.renewals_a_second()
+    calls = courier.polls_per_second() + size.changes_per_second
+    share = calls / courier.renewals_per_second()
     return _machines(size, share, "couriers × (calls + changes) / renewals × a courier at the node")
 
 
@@ -80,12 +80,12 @@
     rows = (
         Demand(
             "a start has its list within the time to force, at the budget of bytes",
-            size.in_force_s,
+            size.change_budget_s,
             Unit.SECONDS,
             Budget.BORROWED,
             Fails.DESIGN,
-            courier.list_start(size),
-            courier.lease_start(size),
+            courier.list_start_time(size),
+            courier.lease_start_time(size),
         ),
         Demand(
             "control memory of a courier",
@@ -94,7 +94,7 @@
             Budget.USERS,
             Fails.DESIGN,
             courier.list_memory(size),
-            courier.set_memory(size),
+            courier.subscription_memory(size),
         ),
         Demand(
             "control core of a courier",
@@ -102,8 +102,8 @@
             Unit.CORES,
             Budget.USERS,
             Fails.DESIGN,
-            courier.changes_core(size),
-            courier.renewal_core(size),
+            courier.change_processing_core(size),
+            courier.subscription_core(size),
         ),
         Demand(
             WAITING_MEMORY,
@@ -115,7 +115,7 @@
         ),
         Demand(
             "an answer with the list, as it may be read",
-            courier.MOST_LIST_BYTES,
+            courier.MAX_LIST_BYTES,
             Unit.BYTES,
             Budget.PROGRAM,
             Fails.CONSTANT,
@@ -124,20 +124,20 @@
         ),
         Demand(
             "processor time of a start's list within the time to force",
-            size.in_force_s,
+            size.change_budget_s,
             Unit.SECONDS,
             Budget.BORROWED,
             Fails.DESIGN,
-            courier.list_take(size),
-            courier.set_take(size),
+            courier.list_processing_time(size),
+            courier.subscription_processing_time(size),
         ),
         Demand(
-            WAITING_WALKS,
+            WAITING_SCANS,
             ONE_CORE,
             Unit.CORES,
             Budget.PROGRAM,
             Fails.DESIGN,
-            courier.walked_down(size),
+            courier.waiting_down_core(size),
         ),
         Demand(
             "one thread for deliveries from a backlog",
@@ -145,24 +145,24 @@
             Unit.CORES,
             Budget.PROGRAM,
             Fails.DESIGN,
-            courier.walked_deliveries(size),
+            courier.backlog_delivery_core(size),
         ),
         Demand(
             "a change in force",
-            size.in_force_s,
+            size.change_budget_s,
             Unit.SECONDS,
             Budget.USERS,
             Fails.DESIGN,
-            courier.changes_in_force(size),
-            courier.subscribed_in_force(size),
+            courier.change_propagation(size),
+            courier.subscribed_change_propagation(size),
         ),
         Demand(
             WAITING_START,
-            size.in_force_s,
+            size.change_budget_s,
             Unit.SECONDS,
             Budget.BORROWED,
             Fails.DESIGN,
-            courier.waiting_start(size),
+            courier.waiting_start_time(size),
         ),
         Demand(
             "control machines",
@@ -179,12 +179,12 @@
             Unit.CORES,
             Budget.PROGRAM,
             Fails.NOTHING,
-            courier.events_core(size),
+            courier.event_processing_core(size),
         ),
         Demand(
             "control bytes a second of a courier between starts",
-            budget.bytes_a_second,
-            Unit.BYTES_A_SECOND,
+            budget.bytes_per_second,
+            Unit.BYTES_PER_SECOND,
             Budget.USERS,
             Fails.NOTHING,
             courier.poll_traffic(size),
@@ -199,7 +199,7 @@
     return next(
         row
         for row in demands(size)
-        if row.set_by == Budget.USERS and row.fails == Fails.DESIGN and row.factor > 1.0
+        if row.budget_source == Budget.USERS and row.fails == Fails.DESIGN and row.factor > 1.0
     )
 
 
@@ -208,7 +208,7 @@
     """One mechanism that is missing, in place of what, and the figure that it has to win by how much."""
 
     name: str
-    instead_of: str
+    replaces: str
     what: str
     factor: float
     basis: str
@@ -220,9 +220,9 @@
 
 def next_mechanisms(size: Size) -> tuple[Mechanism, ...]:
     """What comes behind subscriptions, in order."""
-    memory, walks = _of(size, WAITING_MEMORY), _of(size, WAITING_WALKS)
+    memory, walks = _of(size, WAITING_MEMORY), _of(size, WAITING_SCANS)
     start, served = _of(size, WAITING_START), outside.served_ratio(size)
-    apart = faults.tries_when_apart(size)
+    apart = faults.nodes_tried_in_isolation(size)
     return (
         Mechanism(
             "waiting messages on disk, found by an index of destination and time",
--- a/calicopin/capacity/records.py
+++ b/calicopin/capacity/records.py
@@ -18,7 +18,7 @@
     over: str
 
 
-def fitted(measure: Measure, samples: list[tuple[float, float]]) -> dict:
+def fit_line(measure: Measure, samples: list[tuple[float, float]]) -> dict:
     """A figure's samples with their least-squares line."""
     sizes, values = [size for size, _ in samples], [value for _, value in samples]
     slope, intercept = statistics.linear_regression(sizes, values)
--- a/calicopin/capacity/slope.py
+++ b/calicopin/capacity/slope.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-DIGITS = 4  # that a slope keeps of what a run told
+SIGNIFICANT_DIGITS = 4  # that a slope keeps of what a run told
 
 
 class Basis(StrEnum):
--- a/calicopin/capacity/slopes.py
+++ b/calicopin/capacity/slopes.py
@@ -31,7 +31,7 @@
     0.0037,
     _list_run("memory of the list in the decisions"),
 )
-LISTED_TIME = Slope(
+LIST_PROCESSING_TIME = Slope(
     "whole list taken in",
     3.048e-5,
     "s / destination",
@@ -118,7 +118,7 @@
 )
 TRAFFIC = "python -m calicopin.capacity.traffic --json docs/scale/traffic.json"
 BACKLOG = "python -m calicopin.capacity.backlog --json docs/scale/backlog.json"
-WALKED_DOWN = Slope(
+DOWN_SCAN_TIME = Slope(
     "a waiting message a second, its destination down",
     2.167e-6,
     "s / message",
@@ -128,7 +128,7 @@
     0.0889,
     Run("docs/scale/backlog.json", "processor time a second, the destination down", BACKLOG, factor=1e-3),
 )
-WALKED_DELIVERY = Slope(
+DELIVERY_SCAN_TIME = Slope(
     "a waiting message at each delivery of its destination",
     7.498e-7,
     "s / message",
@@ -276,7 +276,7 @@
     0.0850,
     _couriers_run("processor time of the node", PERCENT),
 )
-ARRIVAL = Slope(
+NEW_LEASES_TIME = Slope(
     "613 new leases at one node, until the last courier has its set",
     4.401,
     "s / start",
@@ -286,7 +286,7 @@
     None,
     _node_run("613 couriers: first answer, last"),
 )
-IN_FORCE_WORST = Slope(
+CHANGE_PROPAGATION_WORST = Slope(
     "a change in force at the last courier, the worst, at ten times the changes",
     0.2840,
     "s / change",
@@ -296,7 +296,7 @@
     None,
     _node_run("last_courier_worst_s", TENFOLD),
 )
-SET_MEMORY = Slope(
+SUBSCRIBED_MEMORY = Slope(
     "memory of a listed destination, with subscriptions' program",
     6_707.0,
     "B / destination",
@@ -306,7 +306,7 @@
     0.0055,
     Run(LIST_AFTER_FILE, "memory of the list in the decisions", SCALE + "slopes list list-memory"),
 )
-SET_TIME = Slope(
+SUBSCRIBED_LIST_TIME = Slope(
     "whole list taken in, with subscriptions' program",
     3.023e-5,
     "s / destination",
@@ -316,7 +316,7 @@
     0.0423,
     Run(LIST_AFTER_FILE, "time of the first whole list", SCALE + "slopes list list-memory", factor=1e-3),
 )
-SET_CHANGE_TIME = Slope(
+SUBSCRIBED_CHANGE_TIME = Slope(
     "one change, whatever is known",
     3.837e-5,
     "s / change",
@@ -406,7 +406,7 @@
     return Run(SENDERS_FILE, figure, SCALE + "sender-count", Kind.MEDIAN, size)
 
 
-SERVED_TOLD = Slope(
+SERVED_TOTAL_COUNT = Slope(
     "served within a minute, 20 senders told that they are 19,000",
     0.5607,
     "share",
@@ -416,7 +416,7 @@
     None,
     _senders_run(19_000),
 )
-SERVED_KNOWN = Slope(
+SERVED_ACTUAL_COUNT = Slope(
     "served within a minute, 20 senders that know they are 20",
     0.9367,
     "share",
@@ -428,7 +428,7 @@
 )
 
 
-GIVEN_UP_TOLD = Slope(
+GIVEN_UP_TOTAL_COUNT = Slope(
     "given up, 20 senders told that they are 19,000",
     0.2238,
     "share",
@@ -443,27 +443,27 @@
 def _played(name: str, value: float, figure: str) -> Slope:
     """A fault played with 2,000 hollow couriers before four nodes that know 20,000 destinations."""
     run = Run("docs/scale/fault-2000.json", figure, SCALE + "fault --couriers 2000", Kind.VALUE)
-    return Slope(name, value, "s / fault", Basis.RUN, PLAYED, (PLAYED_COURIERS,), None, run)
+    return Slope(name, value, "s / fault", Basis.RUN, FAULT_RUN, (FAULT_RUN_COURIERS,), None, run)
 
 
-PLAYED = "2,000 hollow couriers in one process, four nodes, 20,000 destinations, ten changes a second"
-PLAYED_COURIERS = 2_000
-PLAYED_KILLED = _played(
+FAULT_RUN = "2,000 hollow couriers in one process, four nodes, 20,000 destinations, ten changes a second"
+FAULT_RUN_COURIERS = 2_000
+FAULT_NODE_KILLED = _played(
     "a node killed: all its couriers at another",
     4.087,
     "node-killed: until the last of them asked another node and was answered",
 )
-PLAYED_HALF_OPEN = _played(
+FAULT_NODE_HALF_OPEN = _played(
     "a node half-open: all its couriers at another",
     5.418,
     "half-open: until the last of them was answered by another",
 )
-PLAYED_ALL_GONE = _played(
+FAULT_ALL_NODES_RESTARTED = _played(
     "all nodes gone and back: all couriers at a node",
     7.025,
     "all-gone-and-back: until the last courier had a lease again, from then",
 )
-PLAYED_RESTART = _played(
+FAULT_COURIERS_RESTARTED = _played(
     "a tenth of the couriers restarted: all have their set",
     2.348,
     "restart-tenth: until the last of them was answered",
--- a/calicopin/capacity/traffic.py
+++ b/calicopin/capacity/traffic.py
@@ -15,7 +15,7 @@
 import time
 from dataclasses import dataclass
 
-from calicopin.capacity.records import Measure, fitted, record
+from calicopin.capacity.records import Measure, fit_line, record
 from calicopin.command.demo import Desk, Notices, ask, configuration
 from calicopin.scale.nodes import free_port, process_cpu, process_resident
 
@@ -35,7 +35,7 @@
 class Spent:
     """What a courier took in one run."""
 
-    core_ms_a_second: float
+    core_ms_per_second: float
     resident_bytes: int
 
 
@@ -143,12 +143,12 @@
             for rate in rates:
                 print(f"{rate} events a second, repeat {repeat + 1} of {asked.repeats}", file=sys.stderr)
                 spent = run_once(rate)
-                samples[TIME].append((rate, spent.core_ms_a_second))
+                samples[TIME].append((rate, spent.core_ms_per_second))
                 samples[MEMORY].append((rate, spent.resident_bytes))
     except NotMeasuredError as fault:
         print(f"void: {fault}", file=sys.stderr)
         return 1
-    kept.end([fitted(one, samples[one]) for one in (TIME, MEMORY)], asked.json)
+    kept.end([fit_line(one, samples[one]) for one in (TIME, MEMORY)], asked.json)
     return 0
 
 
