--- a/calicopin/capacity/__init__.py
+++ b/calicopin/capacity/__init__.py
@@ -1,2 +1,4 @@
-"""What the size in two years asks of each role: formulas over measured slopes, and the tables of
-docs/CAPACITY.md."""
+"""Capacity model: what the planned deployment size demands of each role, computed from measured unit costs.
+
+Generates the tables of docs/CAPACITY.md.
+"""
--- a/calicopin/capacity/__main__.py
+++ b/calicopin/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m calicopin.capacity`: prints the tables of docs/CAPACITY.md, or writes them."""
+"""`python -m calicopin.capacity`: prints the generated tables, or writes them into the pages under docs/."""
 
 import argparse
 import sys
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Exit code 0; 2 where the page cannot be read or lacks its markers."""
+    """Returns exit code 0, or 2 if a page cannot be read or written or lacks its markers."""
     parser = argparse.ArgumentParser(
         prog="python -m calicopin.capacity", description="The capacity model's tables."
     )
@@ -21,11 +21,11 @@
         print("\n".join(page.pages(PLANNED_SIZE).values()), end="")
         return 0
     try:
-        for path, made in page.pages(PLANNED_SIZE).items():
+        for path, generated in page.pages(PLANNED_SIZE).items():
             text = path.read_text(encoding="utf-8")
-            path.write_text(page.with_generated(text, made), encoding="utf-8")
-    except (OSError, page.NoMarkersError) as fault:
-        print(f"{path}: {fault}", file=sys.stderr)
+            path.write_text(page.with_generated(text, generated), encoding="utf-8")
+    except (OSError, page.NoMarkersError) as error:
+        print(f"{path}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/calicopin/capacity/courier.py
+++ b/calicopin/capacity/courier.py
@@ -1,7 +1,7 @@
-"""The figures of a courier, its control part today and with subscriptions, and its data path.
+"""The figures of a courier: its control part without and with subscriptions, and its data path.
 
-"Today" is the program where every courier holds the whole list; "subscribed" is with subscriptions to parts
-of it.
+"Today" is the program in which every courier holds the whole destination list; "subscribed" is the program
+in which a courier holds a lease on the destinations that it uses.
 """
 
 from calicopin.capacity import slopes
@@ -10,30 +10,30 @@
 from calicopin.discovery_node import source
 from calicopin.wire import asking, discovery, subscriber
 
-LONG_POLL_S = 2.0  # longest wait of a call for the list (`wire/asking.py: longest_wait`)
-RENEWAL_INTERVAL_S = subscriber.WAIT / 1000.0  # between the beginnings of two renewals where there is no news
-POLL_PAUSE_S = asking.AGAIN / 1000.0  # between two calls for the list
-SOURCE_CHECK_S = source.LOOK / 1000.0  # after which a node has seen a change of its source, at the most
-MAX_LIST_BYTES = float(discovery.MOST_LIST)  # of a list's answer
-STORE_LIVE_SHARE = 0.5  # of `disk` that live messages fill at most in the segmented store (docs/store.md)
-JOURNAL_LIVE_SHARE = 0.4  # the same in the one-file journal (`state/journal.py: Journal.limit`)
+LONG_POLL_S = 2.0  # longest wait of a poll for the list (`wire/asking.py: longest_wait`)
+RENEWAL_INTERVAL_S = subscriber.WAIT / 1000.0  # between the starts of two renewals while nothing changes
+POLL_PAUSE_S = asking.AGAIN / 1000.0  # between two polls for the list
+SOURCE_CHECK_S = source.LOOK / 1000.0  # longest time until a node notices a change of its source
+MAX_LIST_BYTES = float(discovery.MOST_LIST)  # largest answer with a list that a courier reads
+STORE_LIVE_SHARE = 0.5  # largest share of `disk` for live messages in the segmented store (docs/store.md)
+JOURNAL_LIVE_SHARE = 0.4  # the same in the single-file journal (`state/journal.py: Journal.limit`)
 
 
 def polls_per_second() -> float:
-    """Calls for the list of one courier where there is no news, today."""
+    """Polls for the list per second by one courier while nothing changes, today."""
     return 1.0 / (LONG_POLL_S + POLL_PAUSE_S)
 
 
 def renewals_per_second() -> float:
-    """Renewals of one courier where there is no news."""
+    """Lease renewals per second by one courier while nothing changes."""
     return 1.0 / RENEWAL_INTERVAL_S
 
 
-# The courier's control part, today.
+# Control part, today.
 
 
 def list_memory(size: Size) -> Figure:
-    """Memory of the whole list at each courier."""
+    """Memory of the whole list at a courier."""
     return Figure(
         "memory of the list",
         "destinations × listed destination",
@@ -44,7 +44,7 @@
 
 
 def list_bytes(size: Size) -> Figure:
-    """The whole list on the wire."""
+    """Bytes of the whole list on the wire."""
     return Figure(
         "bytes of the whole list",
         "destinations × entry",
@@ -55,7 +55,7 @@
 
 
 def list_start_time(size: Size) -> Figure:
-    """Time in which a start has the whole list within the budget of bytes."""
+    """Time to transfer the whole list at a start within the traffic budget."""
     return Figure(
         "whole list at a start, within the budget of bytes",
         "destinations × entry / bytes a second",
@@ -66,7 +66,7 @@
 
 
 def list_processing_time(size: Size) -> Figure:
-    """Processor time of taking in the whole list."""
+    """Processor time to process the whole list at a start."""
     return Figure(
         "processor time of the whole list at a start",
         "destinations × whole list taken in",
@@ -77,7 +77,7 @@
 
 
 def change_time(size: Size) -> Figure:
-    """Processor time of one change at a courier that knows all destinations."""
+    """Processor time of one change at a courier that holds all destinations."""
     return Figure(
         "processor time of one change",
         "destinations × one change",
@@ -88,7 +88,7 @@
 
 
 def change_processing_core(size: Size) -> Figure:
-    """Share of a core for all changes at each courier."""
+    """Share of a core for all changes at a courier."""
     return Figure(
         "processor time of all changes",
         "changes a second × destinations × one change",
@@ -99,20 +99,22 @@
 
 
 def poll_traffic(size: Size) -> Figure:
-    """Bytes a second of today's exchange where a courier keeps up."""
-    news = size.changes_per_second * slopes.ENTRY_BYTES.value
+    """Bytes per second of polls and updates for a courier that has the list."""
+    updates = size.changes_per_second * slopes.ENTRY_BYTES.value
     return Figure(
         "bytes a second between starts",
         "calls a second × call + changes a second × entry",
-        polls_per_second() * slopes.POLL_BYTES.value + news,
-        Unit.BYTES_PER_SECOND,
+        polls_per_second() * slopes.POLL_BYTES.value + updates,
+        Unit.BYTES_A_SECOND,
         (Use(slopes.POLL_BYTES), Use(slopes.ENTRY_BYTES)),
     )
 
 
 def change_propagation(size: Size) -> Figure:
-    """Time to force where each change is news for each courier: what came while one was taken in waits for
-    it."""
+    """Time until a change is in effect at every courier, where every courier receives every change.
+
+    A change that arrives while another one is processed waits for it, hence twice the processing time.
+    """
     return Figure(
         "a change in force at the last courier",
         "source + pause + 2 × one change",
@@ -122,11 +124,11 @@
     )
 
 
-# The courier's control part, with subscriptions.
+# Control part, with subscriptions.
 
 
 def subscription_memory(size: Size) -> Figure:
-    """Memory of the destinations that a courier uses, in the decisions and in the subscription."""
+    """Memory of the subscribed destinations, in the decisions and in the subscription."""
     return Figure(
         "memory of the subscribed set",
         "subscription + destinations a courier × listed destination",
@@ -137,7 +139,7 @@
 
 
 def process_memory(size: Size) -> Figure:
-    """Memory of a whole courier that holds few messages: the interpreter, the program and its set."""
+    """Memory of a courier process with few messages: interpreter, program and subscribed destinations."""
     return Figure(
         "the whole process with it, few messages waiting",
         "process with no events + memory of the subscribed set",
@@ -148,7 +150,7 @@
 
 
 def lease_bytes(size: Size) -> Figure:
-    """A new lease on the wire, both ways."""
+    """Bytes of a new lease on the wire, in both directions."""
     return Figure(
         "bytes of a new lease",
         "renewal + destinations a courier × subscribed destination",
@@ -159,7 +161,7 @@
 
 
 def lease_start_time(size: Size) -> Figure:
-    """Time in which a start has its set within the budget of bytes."""
+    """Time to transfer the subscribed destinations at a start within the traffic budget."""
     return Figure(
         "the set at a start, within the budget of bytes",
         "bytes of a new lease / bytes a second",
@@ -170,7 +172,7 @@
 
 
 def subscription_processing_time(size: Size) -> Figure:
-    """Processor time of taking in the set."""
+    """Processor time to process the subscribed destinations at a start."""
     return Figure(
         "processor time of the set at a start",
         "destinations a courier × whole list taken in",
@@ -181,7 +183,7 @@
 
 
 def subscribed_changes_per_second(size: Size) -> float:
-    """Changes of its set that one courier hears."""
+    """Changes per second to the subscribed destinations of one courier."""
     return size.changes_per_second * size.shape.senders_per_destination / size.couriers
 
 
@@ -197,19 +199,19 @@
 
 
 def renewal_traffic(size: Size) -> Figure:
-    """Bytes a second of renewals and changes of the set."""
-    news = subscribed_changes_per_second(size) * slopes.NEW_LEASE_BYTES.value
+    """Bytes per second of renewals and of changes to the subscribed destinations."""
+    updates = subscribed_changes_per_second(size) * slopes.NEW_LEASE_BYTES.value
     return Figure(
         "bytes a second between starts",
         "renewals a second × renewal + changes of the set × entry",
-        renewals_per_second() * slopes.RENEWAL_BYTES.value + news,
-        Unit.BYTES_PER_SECOND,
+        renewals_per_second() * slopes.RENEWAL_BYTES.value + updates,
+        Unit.BYTES_A_SECOND,
         (Use(slopes.RENEWAL_BYTES), Use(slopes.NEW_LEASE_BYTES)),
     )
 
 
 def subscribed_change_propagation(size: Size) -> Figure:
-    """Time to force with subscriptions, as a run at full size had it, with ten times the changes."""
+    """Time until a change is in effect with subscriptions, measured at full size with tenfold changes."""
     return Figure(
         "a change in force at the last courier, the worst",
         "worst of a run at ten times the changes",
@@ -220,7 +222,7 @@
 
 
 def subscription_change_time(size: Size) -> Figure:
-    """Processor time of one change of the set."""
+    """Processor time of one change to a subscribed destination."""
     return Figure(
         "processor time of one change",
         "one change, whatever is known",
@@ -231,12 +233,12 @@
 
 
 def measured_traffic(size: Size) -> Figure:
-    """Bytes a second of a courier as a run at full size had them."""
+    """Bytes per second of a courier's subscription, measured at full size."""
     return Figure(
-        "the same, as 613 hollow couriers had it",
+        "the same, measured with 613 control-only couriers",
         "bytes a second that a courier sends + receives",
         slopes.COURIER_SENT.value + slopes.COURIER_RECEIVED.value,
-        Unit.BYTES_PER_SECOND,
+        Unit.BYTES_A_SECOND,
         (
             Use(slopes.COURIER_SENT, size.couriers_per_node),
             Use(slopes.COURIER_RECEIVED, size.couriers_per_node),
@@ -244,11 +246,11 @@
     )
 
 
-# The courier's data path.
+# Data path.
 
 
 def waiting_memory(size: Size) -> Figure:
-    """Memory of waiting messages: decisions, bodies and the journal's index."""
+    """Memory of waiting messages: state in the decisions, bodies and the journal's index."""
     return Figure(
         "memory of waiting messages",
         "waiting events a courier × waiting message",
@@ -259,8 +261,7 @@
 
 
 def waiting_down_core(size: Size) -> Figure:
-    """Share of a core that waiting messages take while they wait, however they lie over destinations that
-    are down."""
+    """Share of a core for messages that wait at destinations that are down, however they are distributed."""
     return Figure(
         "processor time of messages that wait at destinations that are down",
         "waiting events a courier × waiting message a second",
@@ -271,15 +272,14 @@
 
 
 def backlog_delivery_core(size: Size) -> Figure:
-    """Share of a core of deliveries at the pace of the intake, the backlog spread over all that a courier
-    uses."""
-    each = size.waiting_per_courier / size.destinations_per_courier
+    """Share of a core for deliveries at the intake rate, the backlog spread evenly over destinations."""
+    per_destination = size.waiting_per_courier / size.destinations_per_courier
     return Figure(
         "processor time of deliveries from a backlog, at the pace of the intake",
         "events a courier × (waiting events / destinations) × waiting message at a delivery",
-        size.events_per_courier * each * slopes.DELIVERY_SCAN_TIME.value,
+        size.events_per_courier * per_destination * slopes.DELIVERY_SCAN_TIME.value,
         Unit.CORES,
-        (Use(slopes.DELIVERY_SCAN_TIME, each),),
+        (Use(slopes.DELIVERY_SCAN_TIME, per_destination),),
         ("senders_per_destination",),
     )
 
@@ -296,7 +296,7 @@
 
 
 def waiting_disk(size: Size) -> Figure:
-    """What the folder has to hold."""
+    """Disk space for waiting messages with the segmented store."""
     return Figure(
         "disk for waiting messages, segmented store",
         f"waiting events a courier × live message / {STORE_LIVE_SHARE:g}",
@@ -307,7 +307,7 @@
 
 
 def waiting_journal_disk(size: Size) -> Figure:
-    """What the folder has to hold with the one-file journal."""
+    """Disk space for waiting messages with the single-file journal."""
     return Figure(
         "disk for waiting messages, journal",
         f"waiting events a courier × waiting message in the journal / {JOURNAL_LIVE_SHARE:g}",
@@ -318,7 +318,7 @@
 
 
 def waiting_start_time(size: Size) -> Figure:
-    """Time of a start that reads all waiting messages."""
+    """Time of a start, which reads all waiting messages from the store."""
     return Figure(
         "a start that reads its store",
         "waiting events a courier × live message at a start",
@@ -329,7 +329,7 @@
 
 
 def event_processing_core(size: Size) -> Figure:
-    """Share of a core for the events themselves."""
+    """Share of a core for events, from request to end."""
     return Figure(
         "processor time of events",
         "events a courier × event",
@@ -340,18 +340,18 @@
 
 
 def events_traffic(size: Size) -> Figure:
-    """Bytes of bodies a second, in and out."""
+    """Bytes of message bodies per second, in and out."""
     return Figure(
         "bytes a second of bodies, in and out",
         "2 × events a courier × body",
         2.0 * size.events_per_courier * size.shape.message_bytes,
-        Unit.BYTES_PER_SECOND,
+        Unit.BYTES_A_SECOND,
         assumes=("message_bytes",),
     )
 
 
-def decisions_core(size: Size) -> Figure:
-    """Share of a core for the decisions alone."""
+def event_decisions_core(size: Size) -> Figure:
+    """Share of a core for events in the decisions alone."""
     return Figure(
         "of it in the decisions",
         "events a courier × event in the decisions",
@@ -362,18 +362,18 @@
 
 
 def journal_traffic(size: Size) -> Figure:
-    """Bytes a second to the disk."""
+    """Bytes per second written to the journal."""
     return Figure(
         "bytes a second to the journal",
         "events a courier × message in the journal",
         size.events_per_courier * slopes.JOURNAL_TRAFFIC.value,
-        Unit.BYTES_PER_SECOND,
+        Unit.BYTES_A_SECOND,
         (Use(slopes.JOURNAL_TRAFFIC),),
     )
 
 
 def connections(size: Size) -> Figure:
-    """Connections out that one courier keeps, one for each destination that it uses."""
+    """Outgoing connections of one courier, one for each destination that it uses."""
     return Figure(
         "connections out, one for each destination",
         "destinations a courier",
@@ -384,8 +384,8 @@
     )
 
 
-def queue_length(size: Size) -> Figure:
-    """Waiting events of one destination that is down, if the backlog stands at those alone."""
+def down_queue_length(size: Size) -> Figure:
+    """Waiting events of one destination that is down, if the whole backlog is for such destinations."""
     return Figure(
         "waiting events of one destination that is down",
         "waiting events / destinations down",
--- a/calicopin/capacity/faults.py
+++ b/calicopin/capacity/faults.py
@@ -1,6 +1,6 @@
-"""What each fault asks of the discovery nodes and of the couriers that go on, as figures of a size.
+"""The load that each fault puts on the discovery nodes and the remaining couriers.
 
-These go through the model only; the page says which of them a scale test plays.
+These figures are computed; the page says which of the faults are also run as a scale test.
 """
 
 from dataclasses import dataclass
@@ -11,13 +11,15 @@
 from calicopin.subscription import nodes
 from calicopin.wire import subscriber
 
-CONNECT_TIMEOUT_S = subscriber.CONNECT / 1000.0  # until a node that cannot be reached is given up
-SILENCE_TIMEOUT_S = (subscriber.WAIT + subscriber.SILENCE) / 1000.0  # until one that has gone silent is
+CONNECT_TIMEOUT_S = subscriber.CONNECT / 1000.0  # until a courier gives up connecting to a node
+SILENCE_TIMEOUT_S = (
+    subscriber.WAIT + subscriber.SILENCE
+) / 1000.0  # until it leaves a node that stopped answering
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault with its figures."""
+    """A fault and its figures."""
 
     name: str
     frequency: str
@@ -25,7 +27,7 @@
 
 
 def _new_lease_costs(name: str, formula: str, couriers: float, size: Size) -> tuple[Figure, Figure]:
-    """Bytes and processor time at one node for so many new leases."""
+    """Bytes and processor time at one node for the new leases of that many couriers."""
     return (
         Figure(
             f"{name}: bytes at a node",
@@ -44,17 +46,17 @@
     )
 
 
-def _played(slope: slopes.Slope) -> Figure:
-    """What a fault took where it was played, at a smaller size."""
+def _measured_duration(slope: slopes.Slope) -> Figure:
+    """The duration measured in a scale test of the fault at a smaller size."""
     name = f"played with {slopes.FAULT_RUN_COURIERS:,} couriers: {slope.name}"
     return Figure(name, "the run's own", slope.value, Unit.SECONDS, (Use(slope),))
 
 
 def ordinary_day(size: Size) -> Fault:
-    """Failures and restarts spread over all machines alike."""
+    """Failures and restarts, spread evenly over all machines."""
     courier_share = 1.0 - size.control_machines / size.machines
     starts = size.starts_per_day * courier_share
-    shape = ("couriers_per_machine",)
+    assumed = ("couriers_per_machine",)
     lists = starts * courier.list_bytes(size).value / SECONDS_PER_DAY
     leases = starts * courier.lease_bytes(size).value / SECONDS_PER_DAY
     return Fault(
@@ -67,7 +69,7 @@
                 SECONDS_PER_DAY / starts,
                 Unit.SECONDS,
                 (),
-                shape,
+                assumed,
             ),
             Figure(
                 "control machines restarted a day",
@@ -75,7 +77,7 @@
                 size.restarts_per_day * size.control_machines / size.machines,
                 Unit.COUNT,
                 (),
-                shape,
+                assumed,
             ),
             Figure(
                 "days between failures of control machines",
@@ -83,7 +85,7 @@
                 size.machines / (size.machine_failures_per_day * size.control_machines),
                 Unit.COUNT,
                 (),
-                shape,
+                assumed,
             ),
             Figure(
                 "waiting events on one machine, at the largest backlog",
@@ -91,37 +93,37 @@
                 size.waiting_per_courier * size.shape.couriers_per_machine,
                 Unit.COUNT,
                 (),
-                shape,
+                assumed,
             ),
             Figure(
                 "bytes a second of all starts, today",
                 "starts × whole list / a day",
                 lists,
-                Unit.BYTES_PER_SECOND,
+                Unit.BYTES_A_SECOND,
                 courier.list_bytes(size).uses,
-                shape,
+                assumed,
             ),
             Figure(
                 "bytes a second of all starts, subscribed",
                 "starts × new lease / a day",
                 leases,
-                Unit.BYTES_PER_SECOND,
+                Unit.BYTES_A_SECOND,
                 courier.lease_bytes(size).uses,
-                shape,
+                assumed,
             ),
-            _played(slopes.FAULT_COURIERS_RESTARTED),
+            _measured_duration(slopes.FAULT_COURIERS_RESTARTED),
         ),
     )
 
 
-def try_jitter_s(size: Size) -> float:
-    """Longest wait before the next node is tried."""
+def retry_jitter_s(size: Size) -> float:
+    """Longest delay before a courier tries the next node."""
     return min(nodes.TRY_JITTER, nodes.ROUND_JITTER / size.control_machines) / 1000.0
 
 
 def node_lost(size: Size) -> Fault:
-    """One control machine gone: rendezvous hashing spreads its couriers over the rest."""
-    each = size.couriers_per_node / (size.control_machines - 1.0)
+    """One control machine lost: rendezvous hashing spreads its couriers over the others."""
+    new_couriers = size.couriers_per_node / (size.control_machines - 1.0)
     return Fault(
         "One discovery node",
         "see above",
@@ -133,36 +135,36 @@
                 size.couriers / (size.control_machines - 1.0),
                 Unit.COUNT,
             ),
-            Figure("of them new", "couriers a node / (control machines - 1)", each, Unit.COUNT),
+            Figure("of them new", "couriers a node / (control machines - 1)", new_couriers, Unit.COUNT),
             Figure(
                 "until its couriers ask another node, at the most: it fell silent",
                 f"{SILENCE_TIMEOUT_S:g} s + jitter",
-                SILENCE_TIMEOUT_S + try_jitter_s(size),
+                SILENCE_TIMEOUT_S + retry_jitter_s(size),
                 Unit.SECONDS,
             ),
-            *_new_lease_costs("new leases", "new couriers", each, size),
-            _played(slopes.FAULT_NODE_KILLED),
-            _played(slopes.FAULT_NODE_HALF_OPEN),
+            *_new_lease_costs("new leases", "new couriers", new_couriers, size),
+            _measured_duration(slopes.FAULT_NODE_KILLED),
+            _measured_duration(slopes.FAULT_NODE_HALF_OPEN),
         ),
     )
 
 
 def rack_lost(size: Size) -> Fault:
-    """A rack or a switch."""
-    shape = ("machines_per_rack", "couriers_per_machine")
+    """A rack or a switch lost."""
+    assumed = ("machines_per_rack", "couriers_per_machine")
     couriers = size.shape.machines_per_rack * size.shape.couriers_per_machine
     return Fault(
         "A rack or a switch",
         "every week",
         (
-            Figure("couriers gone", "machines a rack", couriers, Unit.COUNT, (), shape),
+            Figure("couriers gone", "machines a rack", couriers, Unit.COUNT, (), assumed),
             Figure(
                 "more events at each other courier",
                 "couriers gone / couriers left",
                 couriers / (size.couriers - couriers),
                 Unit.SHARE,
                 (),
-                shape,
+                assumed,
             ),
             Figure(
                 "new leases a node when it is back",
@@ -170,17 +172,17 @@
                 couriers / size.control_machines,
                 Unit.COUNT,
                 (),
-                shape,
+                assumed,
             ),
         ),
     )
 
 
 def zone_lost(size: Size) -> Fault:
-    """A seventeenth of couriers and discovery nodes at once, and all of them back together."""
-    left = size.control_machines - size.nodes_per_zone
-    moving = size.nodes_per_zone * size.couriers_per_node * (1.0 - 1.0 / size.zones)
-    back = size.couriers_per_zone / left
+    """A zone's share of couriers and discovery nodes lost at once, and all of them back at the same time."""
+    nodes_left = size.control_machines - size.nodes_per_zone
+    moving_couriers = size.nodes_per_zone * size.couriers_per_node * (1.0 - 1.0 / size.zones)
+    returning = size.couriers_per_zone / nodes_left
     return Fault(
         "A zone",
         "once or twice a year",
@@ -190,13 +192,13 @@
             Figure(
                 "living couriers that move to another node",
                 "nodes gone × couriers a node × (1 - 1 / zones)",
-                moving,
+                moving_couriers,
                 Unit.COUNT,
             ),
             Figure(
                 "couriers a node meanwhile",
                 "couriers left / nodes left",
-                (size.couriers - size.couriers_per_zone) / left,
+                (size.couriers - size.couriers_per_zone) / nodes_left,
                 Unit.COUNT,
             ),
             Figure(
@@ -213,9 +215,12 @@
             ),
             courier.waiting_start_time(size),
             Figure(
-                "back before its nodes: new leases a node", "couriers gone / nodes left", back, Unit.COUNT
+                "back before its nodes: new leases a node",
+                "couriers gone / nodes left",
+                returning,
+                Unit.COUNT,
             ),
-            *_new_lease_costs("back together", "new leases", back, size),
+            *_new_lease_costs("back together", "new leases", returning, size),
             Figure(
                 "back together, today: bytes of whole lists",
                 "couriers gone × whole list",
@@ -228,8 +233,7 @@
 
 
 def nodes_tried_in_isolation(size: Size) -> Figure:
-    """Nodes that a courier in a region apart tries until one that it reaches, in an order by chance, on
-    average."""
+    """Average number of nodes that a courier in an isolated region tries, in random order, to reach one."""
     return Figure(
         "nodes tried until one in the region answers, in an order by chance",
         "(control machines + 1) / (nodes a region + 1)",
@@ -239,11 +243,11 @@
 
 
 def region_isolated(size: Size) -> Fault:
-    """One region without the others for the stated time; the list's source stands on the other side."""
-    missed = size.changes_per_second * size.region_split_s
-    moving = size.couriers_per_region * (1.0 - 1.0 / size.regions)
-    tries = nodes_tried_in_isolation(size).value
-    heard = missed * size.shape.senders_per_destination / size.regions
+    """One region isolated for the stated time, with the source of the list outside of it."""
+    missed_changes = size.changes_per_second * size.region_split_s
+    moving_couriers = size.couriers_per_region * (1.0 - 1.0 / size.regions)
+    nodes_tried = nodes_tried_in_isolation(size).value
+    missed_subscribed = missed_changes * size.shape.senders_per_destination / size.regions
     return Fault(
         "A region apart for an hour",
         "now and then",
@@ -253,26 +257,26 @@
             Figure(
                 "couriers in it that need another node",
                 "couriers a region × (1 - 1 / regions)",
-                moving,
+                moving_couriers,
                 Unit.COUNT,
             ),
             nodes_tried_in_isolation(size),
             Figure(
                 "until such a courier asks a node in the region, on average",
                 f"{SILENCE_TIMEOUT_S:g} s + (tries - 1) × ({CONNECT_TIMEOUT_S:g} s + half the jitter)",
-                SILENCE_TIMEOUT_S + (tries - 1.0) * (CONNECT_TIMEOUT_S + try_jitter_s(size) / 2.0),
+                SILENCE_TIMEOUT_S + (nodes_tried - 1.0) * (CONNECT_TIMEOUT_S + retry_jitter_s(size) / 2.0),
                 Unit.SECONDS,
             ),
             Figure(
                 "changes that are not in force there",
                 "changes a second × time apart",
-                missed,
+                missed_changes,
                 Unit.COUNT,
             ),
             Figure(
                 "of them for its couriers",
                 "changes missed × senders a destination / regions",
-                heard,
+                missed_subscribed,
                 Unit.COUNT,
                 (),
                 ("senders_per_destination",),
@@ -280,14 +284,14 @@
             Figure(
                 "afterwards: bytes that each of its nodes reads",
                 "changes missed × entry",
-                missed * slopes.ENTRY_BYTES.value,
+                missed_changes * slopes.ENTRY_BYTES.value,
                 Unit.BYTES,
                 (Use(slopes.ENTRY_BYTES),),
             ),
             Figure(
                 "afterwards: bytes to all its couriers",
                 "changes for its couriers × subscribed destination",
-                heard * slopes.NEW_LEASE_BYTES.value,
+                missed_subscribed * slopes.NEW_LEASE_BYTES.value,
                 Unit.BYTES,
                 (Use(slopes.NEW_LEASE_BYTES),),
                 ("senders_per_destination",),
@@ -297,23 +301,21 @@
 
 
 def all_nodes_lost(size: Size) -> Fault:
-    """No discovery node anywhere, and all of them back at once."""
-    hour = size.changes_per_second * SECONDS_PER_HOUR
-    courier_starts = size.starts_per_day / 24.0
+    """All discovery nodes lost, and all of them back at once."""
+    hourly_changes = size.changes_per_second * SECONDS_PER_HOUR
+    hourly_starts = size.starts_per_day / 24.0
     return Fault(
         "All discovery nodes",
         "not stated",
         (
-            Figure("changes unknown after an hour", "changes a second × an hour", hour, Unit.COUNT),
+            Figure("changes unknown after an hour", "changes a second × an hour", hourly_changes, Unit.COUNT),
             Figure(
                 "share of all destinations that is out of date after a day",
                 "changes a day / destinations",
                 size.changes_per_day / size.destinations,
                 Unit.SHARE,
             ),
-            Figure(
-                "starts in an hour, each from its folder", "starts a day / 24", courier_starts, Unit.COUNT
-            ),
+            Figure("starts in an hour, each from its folder", "starts a day / 24", hourly_starts, Unit.COUNT),
             Figure("back at once: new leases a node", "couriers a node", size.couriers_per_node, Unit.COUNT),
             Figure(
                 "back at once: until the last courier has its set, from its first request",
@@ -323,13 +325,13 @@
                 (Use(slopes.NEW_LEASES_TIME, size.couriers_per_node),),
             ),
             *_new_lease_costs("back at once", "new leases", size.couriers_per_node, size),
-            _played(slopes.FAULT_ALL_NODES_RESTARTED),
+            _measured_duration(slopes.FAULT_ALL_NODES_RESTARTED),
         ),
     )
 
 
 def faults(size: Size) -> tuple[Fault, ...]:
-    """Every fault, the most frequent first."""
+    """Returns every fault, the most frequent first."""
     return (
         ordinary_day(size),
         node_lost(size),
--- a/calicopin/capacity/model.py
+++ b/calicopin/capacity/model.py
@@ -1,4 +1,4 @@
-"""Every role with its figures, and the quotients that follow from the users' numbers alone."""
+"""The figures of every role, and the quotients that follow from the users' numbers alone."""
 
 from dataclasses import dataclass
 
@@ -6,22 +6,22 @@
 from calicopin.capacity.figures import Figure, Unit
 from calicopin.capacity.size import Size
 
-NODE = (
+NODE_FIGURES = (
     node.list_memory,
     node.changed_memory,
     node.lease_memory,
     node.renewals,
-    node.core,
+    node.renewals_core,
     node.change_processing_core,
-    node.traffic,
-    node.news,
-    node.source,
-    node.load,
+    node.total_traffic,
+    node.update_answers,
+    node.source_traffic,
+    node.start_time,
     node.update_answers_today,
     node.whole_list_traffic_today,
 )
-DESTINATION = (outside.events, outside.equal_share, outside.served_ratio, outside.given_up_share)
-OPERATORS = (
+DESTINATION_FIGURES = (outside.event_rate, outside.equal_share, outside.served_ratio, outside.given_up_share)
+OPERATOR_FIGURES = (
     outside.all_status_bytes,
     outside.subscribed_status_bytes,
     outside.metrics_calls,
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """One role of the deployment with its figures."""
+    """A role in the deployment and its figures."""
 
     name: str
     figures: tuple[Figure, ...]
 
 
 def quotients(size: Size) -> tuple[Figure, ...]:
-    """What follows from the users' numbers alone."""
+    """Returns the figures that follow from the users' numbers alone, and two that also assume one sender."""
     rows = (
         ("events a second a courier", "events a second / couriers", size.events_per_courier, Unit.COUNT),
         ("waiting events a courier", "waiting events / couriers", size.waiting_per_courier, Unit.COUNT),
@@ -61,8 +61,8 @@
             Unit.COUNT,
         ),
     )
-    given = tuple(Figure(name, formula, value, unit) for name, formula, value, unit in rows)
-    shared = Figure(
+    stated = tuple(Figure(name, formula, value, unit) for name, formula, value, unit in rows)
+    used = Figure(
         "destinations a courier, one sender each",
         "destinations / couriers",
         size.destinations_per_courier,
@@ -76,23 +76,23 @@
         Unit.COUNT,
         assumes=("senders_per_destination",),
     )
-    return (*given, shared, down)
+    return (*stated, used, down)
 
 
 def roles(size: Size) -> tuple[Role, ...]:
-    """Every role with its figures."""
+    """Returns every role with its figures."""
     return (
         Role(
             "Courier, data path",
             (
                 courier.event_processing_core(size),
-                courier.decisions_core(size),
+                courier.event_decisions_core(size),
                 courier.events_traffic(size),
                 courier.journal_traffic(size),
                 courier.connections(size),
                 courier.waiting_memory(size),
                 courier.waiting_decisions_memory(size),
-                courier.queue_length(size),
+                courier.down_queue_length(size),
                 courier.waiting_down_core(size),
                 courier.backlog_delivery_core(size),
                 courier.waiting_disk(size),
@@ -130,11 +130,11 @@
         ),
         Role(
             "Discovery node, one of 31",
-            tuple(one(size) for one in NODE),
+            tuple(figure(size) for figure in NODE_FIGURES),
         ),
-        Role("Destination endpoints", tuple(one(size) for one in DESTINATION)),
+        Role("Destination endpoints", tuple(figure(size) for figure in DESTINATION_FIGURES)),
         Role(
             "Operators' side",
-            tuple(one(size) for one in OPERATORS),
+            tuple(figure(size) for figure in OPERATOR_FIGURES),
         ),
     )
--- a/calicopin/capacity/node.py
+++ b/calicopin/capacity/node.py
@@ -6,7 +6,7 @@
 
 
 def list_memory(size: Size) -> Figure:
-    """Memory of the whole list at a node."""
+    """Memory of the whole destination list at a node."""
     return Figure(
         "memory of the list",
         "destinations × destination at the node",
@@ -28,7 +28,7 @@
 
 
 def changed_memory(size: Size) -> Figure:
-    """Memory of what changed in a day since a node's start, each change of another destination."""
+    """Memory of one day's changes since a node's start, each to a different destination."""
     return Figure(
         "and for the changes of one day",
         "changes a day × changed destination",
@@ -39,7 +39,7 @@
 
 
 def change_processing_core(size: Size) -> Figure:
-    """Share of a core for all changes of the list, if each were told to one of the node's own couriers."""
+    """Share of a core for all changes of the list, each sent to one courier of the node."""
     return Figure(
         "processor time of changes",
         "changes a second × change at the node",
@@ -50,17 +50,17 @@
 
 
 def renewals(size: Size) -> Figure:
-    """Renewals a second at a node where there is no news."""
+    """Lease renewals per second at a node while nothing changes."""
     return Figure(
         "renewals a second",
         "couriers a node × renewals a second of a courier",
         size.couriers_per_node * courier.renewals_per_second(),
-        Unit.PER_SECOND,
+        Unit.A_SECOND,
     )
 
 
-def core(size: Size) -> Figure:
-    """Share of a core for the couriers of a node."""
+def renewals_core(size: Size) -> Figure:
+    """Share of a core for the renewals of all couriers of a node."""
     return Figure(
         "processor time of renewals",
         "couriers a node × a courier at the node",
@@ -70,42 +70,42 @@
     )
 
 
-def traffic(size: Size) -> Figure:
-    """Bytes a second at a node, renewals and news."""
+def total_traffic(size: Size) -> Figure:
+    """Bytes per second at a node for renewals and updates."""
     return Figure(
         "bytes a second",
         "couriers a node × bytes a second of a courier",
         size.couriers_per_node * courier.renewal_traffic(size).value,
-        Unit.BYTES_PER_SECOND,
+        Unit.BYTES_A_SECOND,
         courier.renewal_traffic(size).uses,
         courier.renewal_traffic(size).assumes,
     )
 
 
-def news(size: Size) -> Figure:
-    """Answers with news a second at a node, for its subscribers alone."""
+def update_answers(size: Size) -> Figure:
+    """Answers with updates per second at a node that sends each change to its subscribers only."""
     return Figure(
         "answers with news a second",
         "changes a second × senders a destination / control machines",
         size.changes_per_second * size.shape.senders_per_destination / size.control_machines,
-        Unit.PER_SECOND,
+        Unit.A_SECOND,
         assumes=("senders_per_destination",),
     )
 
 
-def source(size: Size) -> Figure:
-    """Bytes a second from the source."""
+def source_traffic(size: Size) -> Figure:
+    """Bytes per second that a node reads from the source of the list."""
     return Figure(
         "bytes a second from its source",
         "changes a second × entry",
         size.changes_per_second * slopes.ENTRY_BYTES.value,
-        Unit.BYTES_PER_SECOND,
+        Unit.BYTES_A_SECOND,
         (Use(slopes.ENTRY_BYTES),),
     )
 
 
-def load(size: Size) -> Figure:
-    """Processor time of a node's start."""
+def start_time(size: Size) -> Figure:
+    """Processor time of a node's start, which reads the whole list."""
     return Figure(
         "a start that reads the whole list",
         "destinations × destination read",
@@ -116,21 +116,21 @@
 
 
 def update_answers_today(size: Size) -> Figure:
-    """Answers a second at a node that tells each change to each courier."""
+    """Answers with updates per second at a node that sends each change to every courier."""
     return Figure(
         "today: answers with news a second",
         "couriers a node × changes a second",
         size.couriers_per_node * size.changes_per_second,
-        Unit.PER_SECOND,
+        Unit.A_SECOND,
     )
 
 
 def whole_list_traffic_today(size: Size) -> Figure:
-    """Bytes a second of whole lists for the starts of an ordinary day."""
+    """Bytes per second at a node for the whole lists that couriers fetch at the starts of an ordinary day."""
     return Figure(
         "today: bytes a second of whole lists for starts",
         "starts a day / control machines × whole list",
         size.starts_per_day / size.control_machines * courier.list_bytes(size).value / SECONDS_PER_DAY,
-        Unit.BYTES_PER_SECOND,
+        Unit.BYTES_A_SECOND,
         courier.list_bytes(size).uses,
     )
--- a/calicopin/capacity/options.py
+++ b/calicopin/capacity/options.py
@@ -1,5 +1,7 @@
-"""Other mechanisms than subscriptions, each with what it costs at the size. docs/subscriptions-design.md
-weighs them."""
+"""Alternatives to subscriptions and their costs at the planned size.
+
+docs/subscriptions-design.md compares them.
+"""
 
 from dataclasses import dataclass
 from math import log2
@@ -8,21 +10,21 @@
 from calicopin.capacity.figures import Figure, Unit, Use
 from calicopin.capacity.size import Size
 
-VERSION_BYTES = 8.0  # a destination's number and version, packed, the least that gossip compares: assumed
-GOSSIP_PERIOD_S = 1.0  # between two exchanges of one courier: assumed
-RELAY_FAN_OUT = 25.0  # children of one relay: assumed
+VERSION_BYTES = 8.0  # assumed: a destination's number and version, packed, the minimum for gossip to compare
+GOSSIP_PERIOD_S = 1.0  # assumed: time between two exchanges of one courier
+RELAY_FAN_OUT = 25.0  # assumed: children of one relay
 
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """One mechanism with its figures."""
+    """An alternative mechanism and its figures."""
 
     name: str
     figures: tuple[Figure, ...]
 
 
-def owners(size: Size) -> Option:
-    """Destinations hashed to owners: a courier forwards what it takes to the destination's owner."""
+def hashed_owners(size: Size) -> Option:
+    """Destinations hashed to owners: a courier forwards each event to the owner of its destination."""
     forwarded = size.events_per_courier * (1.0 - 1.0 / size.couriers)
     body = size.shape.message_bytes
     return Option(
@@ -32,7 +34,7 @@
                 "events forwarded a second a courier",
                 "events a courier × (1 - 1 / couriers)",
                 forwarded,
-                Unit.PER_SECOND,
+                Unit.A_SECOND,
             ),
             Figure(
                 "processor time for them, taken on once more",
@@ -45,7 +47,7 @@
                 "bytes a second of bodies, out and in once more",
                 "2 × events forwarded × body",
                 2.0 * forwarded * body,
-                Unit.BYTES_PER_SECOND,
+                Unit.BYTES_A_SECOND,
                 (),
                 ("message_bytes",),
             ),
@@ -53,7 +55,7 @@
                 "changes of ownership a second that every courier hears",
                 "2 × starts a day / a day",
                 2.0 * size.starts_per_day / 86_400.0,
-                Unit.PER_SECOND,
+                Unit.A_SECOND,
                 (),
                 ("couriers_per_machine",),
             ),
@@ -67,12 +69,12 @@
     )
 
 
-def parts(size: Size) -> Option:
-    """Each node holds a part of the list: a courier keeps a lease at nearly every node."""
+def partitioned_list(size: Size) -> Option:
+    """The list partitioned over the nodes: a courier holds a lease at nearly every node."""
     machines, used = size.control_machines, size.destinations_per_courier
     nodes = machines * (1.0 - (1.0 - 1.0 / machines) ** used)
-    calls = nodes * courier.renewals_per_second()
-    shape = ("senders_per_destination",)
+    renewals = nodes * courier.renewals_per_second()
+    assumed = ("senders_per_destination",)
     return Option(
         "Nodes that hold a part of the list each",
         (
@@ -89,7 +91,7 @@
                 nodes,
                 Unit.COUNT,
                 (),
-                shape,
+                assumed,
             ),
             Figure(
                 "processor time of renewals at a courier",
@@ -97,15 +99,15 @@
                 nodes * slopes.COURIER_CORE.value,
                 Unit.CORES,
                 (Use(slopes.COURIER_CORE),),
-                shape,
+                assumed,
             ),
             Figure(
                 "bytes a second of renewals at a courier",
                 "nodes × renewals a second × renewal",
-                calls * slopes.RENEWAL_BYTES.value,
-                Unit.BYTES_PER_SECOND,
+                renewals * slopes.RENEWAL_BYTES.value,
+                Unit.BYTES_A_SECOND,
                 (Use(slopes.RENEWAL_BYTES),),
-                shape,
+                assumed,
             ),
             Figure(
                 "processor time of renewals at a node",
@@ -113,15 +115,15 @@
                 size.couriers * nodes / machines * slopes.NODE_CORE.value,
                 Unit.CORES,
                 (Use(slopes.NODE_CORE, size.couriers * nodes / machines),),
-                shape,
+                assumed,
             ),
         ),
     )
 
 
-def relays(size: Size) -> Option:
-    """A tree: couriers relay to others below them."""
-    children = size.couriers / RELAY_FAN_OUT
+def relay_tree(size: Size) -> Option:
+    """A tree in which couriers relay the list to other couriers."""
+    relays = size.couriers / RELAY_FAN_OUT
     levels = 2.0  # nodes to relays, relays to couriers
     return Option(
         "A tree of relays, 25 children each",
@@ -129,7 +131,7 @@
             Figure(
                 "relays that a node serves",
                 "couriers / children / control machines",
-                children / size.control_machines,
+                relays / size.control_machines,
                 Unit.COUNT,
                 (),
                 ("fan-out",),
@@ -169,7 +171,7 @@
 
 
 def gossip(size: Size) -> Option:
-    """Couriers tell each other; each needs the whole list, or its versions at least, to compare."""
+    """Gossip between couriers: each needs the whole list, or at least its versions, to compare."""
     rounds = log2(size.couriers)
     return Option(
         "Gossip between couriers",
@@ -215,5 +217,5 @@
 
 
 def options(size: Size) -> tuple[Option, ...]:
-    """Every option that was weighed."""
-    return owners(size), parts(size), relays(size), gossip(size)
+    """Returns every alternative."""
+    return hashed_owners(size), partitioned_list(size), relay_tree(size), gossip(size)
--- a/calicopin/capacity/outside.py
+++ b/calicopin/capacity/outside.py
@@ -1,24 +1,24 @@
-"""The figures of destination endpoints and of the operators' side."""
+"""The figures of destination endpoints and of the operators' tools."""
 
 from calicopin.capacity import slopes
 from calicopin.capacity.figures import Figure, Unit, Use
 from calicopin.capacity.size import SECONDS_PER_DAY, Size
 
 
-def events(size: Size) -> Figure:
-    """Events a second for one destination."""
+def event_rate(size: Size) -> Figure:
+    """Events per second for one destination."""
     return Figure(
         "events a second, on average",
         "events a second / destinations",
         size.events_per_destination,
-        Unit.PER_SECOND,
+        Unit.A_SECOND,
     )
 
 
 def equal_share(size: Size) -> Figure:
-    """The share of its limit on which a courier may count at first, told the whole sender count."""
+    """Share of a destination's limit that each courier uses if its sender count includes all couriers."""
     return Figure(
-        "share of its limit that each courier counts on, told all couriers",
+        "share of a limit that each courier uses, sender count of all couriers",
         "1 / couriers",
         1.0 / size.couriers,
         Unit.SHARE,
@@ -26,10 +26,10 @@
 
 
 def served_ratio(size: Size) -> Figure:
-    """What known senders serve over what told ones do."""
+    """Events served by 20 senders with the actual sender count, over those with the count of all couriers."""
     return Figure(
-        "served with 20 known senders over the same told 19,000",
-        "served known / served told",
+        "served by 20 senders with sender count 20 over sender count 19,000",
+        "served with count 20 / served with count 19,000",
         slopes.SERVED_ACTUAL_COUNT.value / slopes.SERVED_TOTAL_COUNT.value,
         Unit.COUNT,
         (Use(slopes.SERVED_ACTUAL_COUNT), Use(slopes.SERVED_TOTAL_COUNT, size.couriers)),
@@ -37,10 +37,10 @@
 
 
 def given_up_share(size: Size) -> Figure:
-    """What is given up where few of the told senders send."""
+    """Share of messages given up where few of the counted senders send."""
     return Figure(
-        "given up where 20 of 19,000 told send, at 0.8 of the limit",
-        "given up told",
+        "given up by 20 senders with sender count 19,000, at 0.8 of the limit",
+        "given up with count 19,000",
         slopes.GIVEN_UP_TOTAL_COUNT.value,
         Unit.SHARE,
         (Use(slopes.GIVEN_UP_TOTAL_COUNT, size.couriers),),
@@ -48,7 +48,7 @@
 
 
 def all_status_bytes(size: Size) -> Figure:
-    """One answer to operators with the state of each known destination."""
+    """Bytes of one status answer to operators where a courier knows every destination."""
     return Figure(
         "today: an answer with the state of each known destination",
         "destinations × row",
@@ -59,7 +59,7 @@
 
 
 def subscribed_status_bytes(size: Size) -> Figure:
-    """The same where a courier knows what it uses."""
+    """Bytes of one status answer to operators where a courier knows only the destinations it uses."""
     return Figure(
         "the same with subscriptions",
         "destinations a courier × row",
@@ -71,18 +71,18 @@
 
 
 def metrics_calls(size: Size) -> Figure:
-    """Calls a second for the figures of all couriers."""
+    """Calls per second that read the metrics of all couriers."""
     return Figure(
         "calls for figures, all couriers",
         "couriers / interval",
         size.couriers / size.shape.metrics_poll_s,
-        Unit.PER_SECOND,
+        Unit.A_SECOND,
         assumes=("metrics_poll_s",),
     )
 
 
 def source_growth(size: Size) -> Figure:
-    """Growth of the source's log in a day."""
+    """Bytes per day by which the log of the list's source grows."""
     return Figure(
         "growth of the list's source in a day",
         "changes a day × entry",
@@ -93,7 +93,7 @@
 
 
 def rollout_time(size: Size) -> Figure:
-    """Time in which a new version reaches every machine at the stated restarts."""
+    """Time until a new version runs on every machine at the stated rate of restarts."""
     return Figure(
         "a new version on every machine, at the stated restarts",
         "machines / restarts a day",
--- a/calicopin/capacity/records.py
+++ b/calicopin/capacity/records.py
@@ -1,4 +1,4 @@
-"""Records of this package's own runs, in the form of the result files under docs/scale/."""
+"""Records of this package's own measurements, in the format of the result files under docs/scale/."""
 
 import json
 import math
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """One figure over one size."""
+    """A measured figure, its unit, and the quantity (`over`) that is varied."""
 
     figure: str
     unit: str
@@ -19,11 +19,11 @@
 
 
 def fit_line(measure: Measure, samples: list[tuple[float, float]]) -> dict:
-    """A figure's samples with their least-squares line."""
+    """Returns a figure's (size, value) samples with their least-squares line."""
     sizes, values = [size for size, _ in samples], [value for _, value in samples]
     slope, intercept = statistics.linear_regression(sizes, values)
-    squares = [(value - intercept - slope * size) ** 2 for size, value in samples]
-    residual = math.sqrt(statistics.fmean(squares))
+    squared_residuals = [(value - intercept - slope * size) ** 2 for size, value in samples]
+    residual = math.sqrt(statistics.fmean(squared_residuals))
     return {
         "figure": measure.figure,
         "unit": measure.unit,
@@ -40,21 +40,21 @@
 
 @dataclass(slots=True)
 class Record:
-    """One run: what was asked, on which machine, under which load of it."""
+    """The record of one run: its arguments, the machine, and the machine's load."""
 
-    head: dict
+    header: dict
 
-    def end(self, slopes: list[dict], path: str | None) -> None:
-        """Prints the record, and keeps it where a path is given."""
-        text = json.dumps(self.head | {"load_after": os.getloadavg(), "slopes": slopes}, indent=1)
+    def finish(self, slopes: list[dict], path: str | None) -> None:
+        """Prints the record and, if a path is given, writes it to that file."""
+        text = json.dumps(self.header | {"load_after": os.getloadavg(), "slopes": slopes}, indent=1)
         if path:
             with open(path, "w", encoding="utf-8") as file:
                 file.write(text + "\n")
         print(text)
 
 
-def record(module: str, arguments: dict) -> Record:
-    """A record that notes machine and load before the run."""
+def start_record(module: str, arguments: dict) -> Record:
+    """Begins a record, with the machine and its load before the run."""
     return Record(
         {
             "command": f"python -m calicopin.capacity.{module}",
--- a/calicopin/capacity/size.py
+++ b/calicopin/capacity/size.py
@@ -1,4 +1,4 @@
-"""The size of the deployment in two years: what the users state, and the shape that is assumed beside it.
+"""The deployment size planned in two years: numbers stated by the users, and further assumed inputs.
 
 Bytes are decimal (1 MB is 1,000,000). Nothing here is measured.
 """
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlBudget:
-    """What one courier spends on control at most."""
+    """The most that one courier may spend on its control part: share of a core, memory, traffic."""
 
     core: float = 0.012
     memory_bytes: float = 32e6
@@ -20,19 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What the users do not state. Each value is assumed, with its reason."""
+    """Inputs that the users do not state. Each value is assumed; the comment gives the reason."""
 
-    senders_per_destination: float = 1.0  # couriers that use one destination; more multiply a courier's set
-    endpoints_per_destination: float = 1.0  # the list's measured sizes had one each
-    message_bytes: float = 300.0  # a message's body, as in the store's own measure
-    couriers_per_machine: float = 1.0  # with more, one failure takes as many couriers as the machine has
-    machines_per_rack: float = 40.0  # a common rack; a switch is taken for a rack
-    metrics_poll_s: float = 15.0  # a common interval at which operators' tools read each process's figures
+    senders_per_destination: float = (
+        1.0  # couriers that use one destination; each courier's set grows with it
+    )
+    endpoints_per_destination: float = 1.0  # as in the measurements of the list
+    message_bytes: float = 300.0  # body of a message, as in the measurements of the store
+    couriers_per_machine: float = 1.0  # the failure of a machine stops all of its couriers
+    machines_per_rack: float = 40.0  # a common rack; a switch is assumed to serve one rack
+    metrics_poll_s: float = 15.0  # a common interval at which operators' tools scrape each process's metrics
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """The deployment as the users state it, and its simple quotients."""
+    """The deployment as stated by the users, and simple quotients of these numbers."""
 
     couriers: float = 19_000.0
     events_per_second: float = 2.5e6
@@ -42,7 +44,7 @@
     regions: float = 6.0
     zones: float = 17.0
     changes_per_day: float = 11_000.0
-    change_budget_s: float = 12.0
+    propagation_budget_s: float = 12.0
     control_machines: float = 31.0
     machine_failures_per_day: float = 34.0
     restarts_per_day: float = 1_400.0
@@ -52,12 +54,12 @@
 
     @property
     def events_per_courier(self) -> float:
-        """Events a second that one courier takes."""
+        """Events per second that one courier takes."""
         return self.events_per_second / self.couriers
 
     @property
     def waiting_per_courier(self) -> float:
-        """Waiting events of one courier, the largest backlog shared evenly."""
+        """Waiting events of one courier if the largest backlog is spread evenly."""
         return self.waiting_events / self.couriers
 
     @property
@@ -67,12 +69,12 @@
 
     @property
     def seconds_per_change(self) -> float:
-        """Time between two changes of configuration."""
+        """Seconds between two configuration changes."""
         return SECONDS_PER_DAY / self.changes_per_day
 
     @property
     def changes_per_second(self) -> float:
-        """Changes of configuration a second."""
+        """Configuration changes per second."""
         return self.changes_per_day / SECONDS_PER_DAY
 
     @property
@@ -102,7 +104,7 @@
 
     @property
     def backlog_intake_s(self) -> float:
-        """The intake that all waiting events are, in seconds."""
+        """Seconds of intake that make up all waiting events."""
         return self.waiting_events / self.events_per_second
 
     @property
@@ -112,22 +114,22 @@
 
     @property
     def down_per_courier(self) -> float:
-        """Destinations in use at one courier that are down."""
+        """Destinations of one courier that are down."""
         return self.destinations_per_courier * self.down_share
 
     @property
     def events_per_destination(self) -> float:
-        """Events a second for one destination."""
+        """Events per second for one destination."""
         return self.events_per_second / self.destinations
 
     @property
     def starts_per_day(self) -> float:
-        """Starts of a machine's processes a day: failures and restarts."""
+        """Machines per day whose processes start again, after failures and restarts."""
         return self.machine_failures_per_day + self.restarts_per_day
 
     @property
     def machines(self) -> float:
-        """All machines: those of couriers and the control machines."""
+        """All machines: those that run couriers and the control machines."""
         return self.couriers / self.shape.couriers_per_machine + self.control_machines
 
 
--- a/calicopin/capacity/slope.py
+++ b/calicopin/capacity/slope.py
@@ -1,37 +1,37 @@
-"""What one unit costs: a slope, with where it comes from, the sizes it was looked at, and how well it fits.
+"""Unit costs ("slopes") with their source, the sizes they were measured at and the residual of the fit.
 
-A slope of basis RUN names a result file under docs/scale/ and holds the value that stands there, to four
-digits.
+A slope with basis RUN names a result file under docs/scale/ and holds the value recorded there, rounded to
+four significant digits.
 """
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-SIGNIFICANT_DIGITS = 4  # that a slope keeps of what a run told
+SIGNIFICANT_DIGITS = 4  # of a recorded value, kept in a slope
 
 
 class Basis(StrEnum):
-    """Where a slope comes from."""
+    """Source of a slope."""
 
     RUN = "run"  # a result file under docs/scale/
-    PAGE = "page"  # a run that another page of this repository tells
-    ENCODED = "encoded"  # counted from messages that the program's own code writes
-    ASSUMED = "assumed"  # no run
+    PAGE = "page"  # a run reported in another page under docs/
+    ENCODED = "encoded"  # size of messages encoded by the program's own code
+    ASSUMED = "assumed"  # not measured
 
 
 class Kind(StrEnum):
-    """What a slope takes from a result file."""
+    """Which value of a result file a slope uses."""
 
-    SLOPE = "slope"  # of the line
-    INTERCEPT = "intercept"  # of the line
+    SLOPE = "slope"  # of the fitted line
+    INTERCEPT = "intercept"  # of the fitted line
     MEDIAN = "median"  # of the repeats at one size
-    VALUE = "value"  # a figure without sizes
-    ROW = "row"  # a column of one row
+    VALUE = "value"  # a single figure without sizes
+    ROW = "row"  # one column of one row
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row of a result file: so many couriers under a load."""
+    """Selects a row of a result file by the number of couriers and the name of the load."""
 
     couriers: int
     load: str
@@ -39,34 +39,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A result file and the figure in it: the slope or intercept of its line, its median at one size, its
-    plain value, or the column of that name in one row. `revision` is named where the command is gone: there
-    it still is."""
+    """A figure in a result file and the command that produced it.
+
+    `kind` says which value of the figure is used. `revision` is set if the program no longer has the command,
+    and names the last revision that does.
+    """
 
     file: str
     figure: str
     command: str
     kind: Kind = Kind.SLOPE
-    at_size: float = 0.0  # of a median
-    factor: float = 1.0  # from its unit to the slope's
+    at_size: float = 0.0  # size at which the median is taken
+    factor: float = 1.0  # converts the figure's unit to the slope's unit
     row: Row | None = None
     revision: str = ""
 
-    def told(self) -> str:
-        """The command as the page names it."""
+    def described_command(self) -> str:
+        """Returns the command as printed in the page."""
         return f"`{self.command}`" + (f" of revision {self.revision}" if self.revision else "")
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A cost a unit. `sizes` are those looked at, `residual` a share of the mean; `why` says what stands
-    behind it."""
+    """A cost per unit.
+
+    `sizes` are the measured sizes, `residual` is a share of the mean, `note` states the conditions of the
+    measurement or the source.
+    """
 
     name: str
     value: float
     unit: str
     basis: Basis
-    why: str
+    note: str
     sizes: tuple[float, ...] = ()
     residual: float | None = None
     run: Run | None = None
--- a/calicopin/capacity/slopes.py
+++ b/calicopin/capacity/slopes.py
@@ -1,24 +1,27 @@
-"""Every slope of the model. Times are seconds of one core of this machine, memory and traffic bytes."""
+"""All slopes of the model.
+
+Times are seconds of one core of the machine named in the source; memory and traffic are in bytes.
+"""
 
 from calicopin.capacity import encoded
 from calicopin.capacity.slope import Basis, Kind, Row, Run, Slope
 
-SCALE = "python -m calicopin.scale "
-LIST_FILE = "docs/scale/slopes-list-before.json"
+SCALE_COMMAND = "python -m calicopin.scale "
+LIST_BEFORE_FILE = "docs/scale/slopes-list-before.json"
 LIST_AFTER_FILE = "docs/scale/slopes-list-after.json"
 MESSAGES_FILE = "docs/scale/slopes-messages.json"
-SENDERS_FILE = "docs/scale/sender-count.json"
+SENDER_COUNT_FILE = "docs/scale/sender-count.json"
 LIST_SIZES = (1_000, 10_000, 50_000)
 MESSAGE_SIZES = (10_000, 30_000, 100_000)
-BEFORE = "the program before subscriptions"
+BEFORE_SUBSCRIPTIONS = "the program before subscriptions"
 
 
 def _list_run(figure: str, factor: float = 1.0) -> Run:
-    return Run(LIST_FILE, figure, SCALE + "slopes list list-memory entry", factor=factor)
+    return Run(LIST_BEFORE_FILE, figure, SCALE_COMMAND + "slopes list list-memory entry", factor=factor)
 
 
 def _messages_run(figure: str) -> Run:
-    return Run(MESSAGES_FILE, figure, SCALE + "slopes messages kept-messages rate journal")
+    return Run(MESSAGES_FILE, figure, SCALE_COMMAND + "slopes messages kept-messages rate journal")
 
 
 LISTED_MEMORY = Slope(
@@ -26,7 +29,7 @@
     6_391.0,
     "B / destination",
     Basis.RUN,
-    BEFORE,
+    BEFORE_SUBSCRIPTIONS,
     LIST_SIZES,
     0.0037,
     _list_run("memory of the list in the decisions"),
@@ -36,7 +39,7 @@
     3.048e-5,
     "s / destination",
     Basis.RUN,
-    BEFORE,
+    BEFORE_SUBSCRIPTIONS,
     LIST_SIZES,
     0.1163,
     _list_run("time of the first whole list", 1e-3),
@@ -46,7 +49,7 @@
     1.512e-6,
     "s / destination",
     Basis.RUN,
-    BEFORE,
+    BEFORE_SUBSCRIPTIONS,
     LIST_SIZES,
     0.1284,
     _list_run("time of one changed entry (median in a process)", 1e-3),
@@ -112,12 +115,12 @@
     Run(
         MESSAGES_FILE,
         "processor time of the decisions a second",
-        SCALE + "slopes messages kept-messages rate journal",
+        SCALE_COMMAND + "slopes messages kept-messages rate journal",
         factor=1e-3,
     ),
 )
-TRAFFIC = "python -m calicopin.capacity.traffic --json docs/scale/traffic.json"
-BACKLOG = "python -m calicopin.capacity.backlog --json docs/scale/backlog.json"
+TRAFFIC_COMMAND = "python -m calicopin.capacity.traffic --json docs/scale/traffic.json"
+BACKLOG_COMMAND = "python -m calicopin.capacity.backlog --json docs/scale/backlog.json"
 DOWN_SCAN_TIME = Slope(
     "a waiting message a second, its destination down",
     2.167e-6,
@@ -126,7 +129,12 @@
     "no limit told in answers; an event each 0.68 s for the destination",
     (10_000, 30_000, 100_000),
     0.0889,
-    Run("docs/scale/backlog.json", "processor time a second, the destination down", BACKLOG, factor=1e-3),
+    Run(
+        "docs/scale/backlog.json",
+        "processor time a second, the destination down",
+        BACKLOG_COMMAND,
+        factor=1e-3,
+    ),
 )
 DELIVERY_SCAN_TIME = Slope(
     "a waiting message at each delivery of its destination",
@@ -136,7 +144,7 @@
     "the first 100 deliveries of a backlog",
     (10_000, 30_000, 100_000),
     0.0639,
-    Run("docs/scale/backlog.json", "processor time of one delivery", BACKLOG, factor=1e-3),
+    Run("docs/scale/backlog.json", "processor time of one delivery", BACKLOG_COMMAND, factor=1e-3),
 )
 PROCESS_MEMORY = Slope(
     "a courier's process with no events",
@@ -146,7 +154,7 @@
     "three destinations listed",
     (33, 66, 132),
     0.0033,
-    Run("docs/scale/traffic.json", "resident memory of a courier", TRAFFIC, Kind.INTERCEPT),
+    Run("docs/scale/traffic.json", "resident memory of a courier", TRAFFIC_COMMAND, Kind.INTERCEPT),
 )
 STORE_BYTES = Slope(
     "a live message in the segmented store",
@@ -172,7 +180,7 @@
     "a whole courier on loopback, every event delivered at its first call; 15 ms a second more at any rate",
     (33, 66, 132),
     0.1204,
-    Run("docs/scale/traffic.json", "processor time of a courier a second", TRAFFIC, factor=1e-3),
+    Run("docs/scale/traffic.json", "processor time of a courier a second", TRAFFIC_COMMAND, factor=1e-3),
 )
 POLL_BYTES = Slope(
     "a call for the list with no news",
@@ -208,22 +216,22 @@
 NODE_SIZES = (100_000, 400_000, 1_700_000)
 COURIER_SIZES = (200, 613, 1_731)
 NODE_COURIERS = 613
-DAY = Row(NODE_COURIERS, "changes of a day")
-TENFOLD = Row(NODE_COURIERS, "ten times")
-MIB = float(1 << 20)
-PERCENT = 0.01
+DAILY_CHANGES = Row(NODE_COURIERS, "changes of a day")
+TENFOLD_CHANGES = Row(NODE_COURIERS, "ten times")
+BYTES_PER_MIB = float(1 << 20)
+SHARE_PER_PERCENT = 0.01
 
 
 def _node_run(figure: str, row: Row | None = None) -> Run:
-    return Run(NODE_FILE, figure, SCALE + "node", Kind.VALUE if row is None else Kind.ROW, row=row)
+    return Run(NODE_FILE, figure, SCALE_COMMAND + "node", Kind.VALUE if row is None else Kind.ROW, row=row)
 
 
 def _destinations_run(figure: str, factor: float = 1.0) -> Run:
-    return Run(NODE_DESTINATIONS_FILE, figure, SCALE + "node-slopes destinations", factor=factor)
+    return Run(NODE_DESTINATIONS_FILE, figure, SCALE_COMMAND + "node-slopes destinations", factor=factor)
 
 
 def _couriers_run(figure: str, factor: float) -> Run:
-    return Run(NODE_COURIERS_FILE, figure, SCALE + "node-slopes couriers", factor=factor)
+    return Run(NODE_COURIERS_FILE, figure, SCALE_COMMAND + "node-slopes couriers", factor=factor)
 
 
 COURIER_CORE = Slope(
@@ -231,30 +239,30 @@
     2.380e-4,
     "core",
     Basis.RUN,
-    "hollow couriers, no changes",
+    "control-only couriers, no changes",
     COURIER_SIZES,
     0.0857,
-    _couriers_run("processor time of all couriers", PERCENT),
+    _couriers_run("processor time of all couriers", SHARE_PER_PERCENT),
 )
 COURIER_MEMORY = Slope(
     "a courier's memory for its subscription",
     118_900.0,
     "B / courier",
     Basis.RUN,
-    "hollow couriers, without the decisions' own list; what the run compares is counted in",
+    "control-only couriers, without the decisions' own list; what the run compares is counted in",
     COURIER_SIZES,
     0.0328,
-    _couriers_run("memory of all couriers for control", MIB),
+    _couriers_run("memory of all couriers for control", BYTES_PER_MIB),
 )
 COURIER_SENT = Slope(
     "bytes a second that a courier sends for its subscription",
     130.4,
     "B / s",
     Basis.RUN,
-    "hollow couriers, the changes of a day",
+    "control-only couriers, the changes of a day",
     (NODE_COURIERS,),
     None,
-    _node_run("courier_sent_bytes_s", DAY),
+    _node_run("courier_sent_bytes_s", DAILY_CHANGES),
 )
 COURIER_RECEIVED = Slope(
     "bytes a second that a courier receives for its subscription",
@@ -264,7 +272,7 @@
     "the same",
     (NODE_COURIERS,),
     None,
-    _node_run("courier_received_bytes_s", DAY),
+    _node_run("courier_received_bytes_s", DAILY_CHANGES),
 )
 NODE_CORE = Slope(
     "a node's processor time for one courier",
@@ -274,14 +282,15 @@
     "no changes",
     COURIER_SIZES,
     0.0850,
-    _couriers_run("processor time of the node", PERCENT),
+    _couriers_run("processor time of the node", SHARE_PER_PERCENT),
 )
 NEW_LEASES_TIME = Slope(
     "613 new leases at one node, until the last courier has its set",
     4.401,
     "s / start",
     Basis.RUN,
-    "hollow couriers that begin at once, 1.7 million destinations; a run of 2,000 couriers went on beside it",
+    "control-only couriers that begin at once, 1.7 million destinations;"
+    " a run of 2,000 couriers went on beside it",
     (NODE_COURIERS,),
     None,
     _node_run("613 couriers: first answer, last"),
@@ -291,10 +300,10 @@
     0.2840,
     "s / change",
     Basis.RUN,
-    "hollow couriers; from the time at which the change was due",
+    "control-only couriers; from the time at which the change was due",
     (NODE_COURIERS,),
     None,
-    _node_run("last_courier_worst_s", TENFOLD),
+    _node_run("last_courier_worst_s", TENFOLD_CHANGES),
 )
 SUBSCRIBED_MEMORY = Slope(
     "memory of a listed destination, with subscriptions' program",
@@ -304,7 +313,7 @@
     "a change costs by what it names",
     LIST_SIZES,
     0.0055,
-    Run(LIST_AFTER_FILE, "memory of the list in the decisions", SCALE + "slopes list list-memory"),
+    Run(LIST_AFTER_FILE, "memory of the list in the decisions", SCALE_COMMAND + "slopes list list-memory"),
 )
 SUBSCRIBED_LIST_TIME = Slope(
     "whole list taken in, with subscriptions' program",
@@ -314,7 +323,12 @@
     "the same",
     LIST_SIZES,
     0.0423,
-    Run(LIST_AFTER_FILE, "time of the first whole list", SCALE + "slopes list list-memory", factor=1e-3),
+    Run(
+        LIST_AFTER_FILE,
+        "time of the first whole list",
+        SCALE_COMMAND + "slopes list list-memory",
+        factor=1e-3,
+    ),
 )
 SUBSCRIBED_CHANGE_TIME = Slope(
     "one change, whatever is known",
@@ -327,19 +341,19 @@
     Run(
         LIST_AFTER_FILE,
         "time of one changed entry (median in a process)",
-        SCALE + "slopes list list-memory",
+        SCALE_COMMAND + "slopes list list-memory",
         Kind.INTERCEPT,
         factor=1e-3,
     ),
 )
 NODE_PAGE = "docs/discovery-node.md, `python -m calicopin.discovery_node.measure`"
-NODE_PROCESS = "docs/discovery-node.md, one run of a whole process"
+NODE_PROCESS_RUN = "docs/discovery-node.md, one run of a whole process"
 NEW_LEASE_NODE_TIME = Slope(
     "a subscribed destination of a new lease at the node",
     0.7 / 613 / 90,
     "s / destination",
     Basis.PAGE,
-    NODE_PROCESS + "; 613 new leases of 90 destinations took 0.7 s of a core",
+    NODE_PROCESS_RUN + "; 613 new leases of 90 destinations took 0.7 s of a core",
     (90,),
 )
 NODE_LISTED_MEMORY = Slope(
@@ -350,7 +364,7 @@
     "a whole process; 31.7 MB more at any size",
     NODE_SIZES,
     0.0004,
-    _destinations_run("memory of the node", MIB),
+    _destinations_run("memory of the node", BYTES_PER_MIB),
 )
 NODE_CHANGED_MEMORY = Slope(
     "memory of a destination that changed since a node's start",
@@ -368,7 +382,7 @@
     "",
     COURIER_SIZES,
     0.0262,
-    _couriers_run("growth of the node's memory", MIB),
+    _couriers_run("growth of the node's memory", BYTES_PER_MIB),
 )
 NODE_LOAD_TIME = Slope(
     "a destination read by a node's start",
@@ -391,7 +405,7 @@
     Run(
         "docs/scale/bench-slopes.json",
         "processor time of the node for a change that one courier hears",
-        SCALE + "bench slopes",
+        SCALE_COMMAND + "bench slopes",
         Kind.INTERCEPT,
         factor=0.001,
         revision="5f1c46c96502",
@@ -399,11 +413,11 @@
 )
 
 
-SERVED = "delivered before the last was offered"
+SERVED_FIGURE = "delivered before the last was offered"
 
 
-def _senders_run(size: float, figure: str = SERVED) -> Run:
-    return Run(SENDERS_FILE, figure, SCALE + "sender-count", Kind.MEDIAN, size)
+def _sender_count_run(size: float, figure: str = SERVED_FIGURE) -> Run:
+    return Run(SENDER_COUNT_FILE, figure, SCALE_COMMAND + "sender-count", Kind.MEDIAN, size)
 
 
 SERVED_TOTAL_COUNT = Slope(
@@ -414,7 +428,7 @@
     "limit 50 a second, 40 a second offered; median of ten",
     (19_000,),
     None,
-    _senders_run(19_000),
+    _sender_count_run(19_000),
 )
 SERVED_ACTUAL_COUNT = Slope(
     "served within a minute, 20 senders that know they are 20",
@@ -424,7 +438,7 @@
     "the same",
     (20,),
     None,
-    _senders_run(20),
+    _sender_count_run(20),
 )
 
 
@@ -436,34 +450,39 @@
     "the same; none is where they know that they are 20",
     (19_000,),
     None,
-    _senders_run(19_000, "given up"),
+    _sender_count_run(19_000, "given up"),
 )
 
 
-def _played(name: str, value: float, figure: str) -> Slope:
-    """A fault played with 2,000 hollow couriers before four nodes that know 20,000 destinations."""
-    run = Run("docs/scale/fault-2000.json", figure, SCALE + "fault --couriers 2000", Kind.VALUE)
-    return Slope(name, value, "s / fault", Basis.RUN, FAULT_RUN, (FAULT_RUN_COURIERS,), None, run)
+def _fault_duration(name: str, value: float, figure: str) -> Slope:
+    """Returns the duration of a fault, measured with 2,000 control-only couriers.
 
+    They run against four discovery nodes that hold 20,000 destinations.
+    """
+    run = Run("docs/scale/fault-2000.json", figure, SCALE_COMMAND + "fault --couriers 2000", Kind.VALUE)
+    return Slope(name, value, "s / fault", Basis.RUN, FAULT_RUN_CONDITIONS, (FAULT_RUN_COURIERS,), None, run)
 
-FAULT_RUN = "2,000 hollow couriers in one process, four nodes, 20,000 destinations, ten changes a second"
+
+FAULT_RUN_CONDITIONS = (
+    "2,000 control-only couriers in one process, four nodes, 20,000 destinations, ten changes a second"
+)
 FAULT_RUN_COURIERS = 2_000
-FAULT_NODE_KILLED = _played(
+FAULT_NODE_KILLED = _fault_duration(
     "a node killed: all its couriers at another",
     4.087,
     "node-killed: until the last of them asked another node and was answered",
 )
-FAULT_NODE_HALF_OPEN = _played(
+FAULT_NODE_HALF_OPEN = _fault_duration(
     "a node half-open: all its couriers at another",
     5.418,
     "half-open: until the last of them was answered by another",
 )
-FAULT_ALL_NODES_RESTARTED = _played(
+FAULT_ALL_NODES_RESTARTED = _fault_duration(
     "all nodes gone and back: all couriers at a node",
     7.025,
     "all-gone-and-back: until the last courier had a lease again, from then",
 )
-FAULT_COURIERS_RESTARTED = _played(
+FAULT_COURIERS_RESTARTED = _fault_duration(
     "a tenth of the couriers restarted: all have their set",
     2.348,
     "restart-tenth: until the last of them was answered",
@@ -471,5 +490,5 @@
 
 
 def all_slopes() -> tuple[Slope, ...]:
-    """Every slope of the model, in the order in which they stand here."""
+    """Returns every slope of the model in order of definition."""
     return tuple(value for value in globals().values() if isinstance(value, Slope))
--- a/calicopin/capacity/traffic.py
+++ b/calicopin/capacity/traffic.py
@@ -1,8 +1,8 @@
-"""Processor time and memory of one real courier by the events that it takes a second, on loopback.
+"""Measures processor time and memory of a courier process by its rate of events, over loopback.
 
-`python -m calicopin.capacity.traffic --json docs/scale/traffic.json` runs it: a courier process, stand-in
-destinations and one client in this process. Every event is delivered at its first call. Figures are of this
-machine.
+`python -m calicopin.capacity.traffic --json docs/scale/traffic.json` runs it: a courier process, with demo
+destinations and one client in this process. Every event is delivered at its first call. The figures hold for
+the machine that runs it.
 """
 
 import argparse
@@ -15,65 +15,65 @@
 import time
 from dataclasses import dataclass
 
-from calicopin.capacity.records import Measure, fit_line, record
+from calicopin.capacity.records import Measure, fit_line, start_record
 from calicopin.command.demo import Desk, Notices, ask, configuration
 from calicopin.scale.nodes import free_port, process_cpu, process_resident
 
-RATES = (33, 66, 132)  # events a second
+RATES = (33, 66, 132)  # events per second
 REPEATS = 3
 SECONDS = 10.0
-SETTLE_S = 1.0  # behind a courier's start, and behind the last event of a run
+SETTLE_S = 1.0  # after a courier's start, and after the last event of a run
 READY_TRIES, READY_PAUSE_S = 200, 0.05
 BODY = b"x" * 300
 
 
 class NotMeasuredError(RuntimeError):
-    """The courier did not come up, or an event was refused or not delivered."""
+    """The courier did not become ready, or an event was refused or not delivered."""
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
-    """What a courier took in one run."""
+class ResourceUsage:
+    """The resources that a courier used in one run."""
 
     core_ms_per_second: float
     resident_bytes: int
 
 
 class Client:
-    """One client on one connection, on a schedule."""
+    """A client that submits events on one connection at a constant rate."""
 
     def __init__(self, address: str):
         host, port = address.split(":")
-        self.line = http.client.HTTPConnection(host, int(port), timeout=5.0)
-        self.number = 0
+        self.connection = http.client.HTTPConnection(host, int(port), timeout=5.0)
+        self.event_count = 0
 
-    def hand_in(self) -> None:
-        """One event; raises NotMeasuredError where it is not taken on."""
-        self.number += 1
-        ident = f"event-{self.number}"
+    def submit(self) -> None:
+        """Submits one event; raises NotMeasuredError if it is not accepted."""
+        self.event_count += 1
+        event_id = f"event-{self.event_count}"
         headers = {
-            "X-Request-ID": ident,
+            "X-Request-ID": event_id,
             "X-Timeout": "6",
-            "Idempotency-Key": ident,
-            "X-Envelope": f"dest={self.number % 3}",
+            "Idempotency-Key": event_id,
+            "X-Envelope": f"dest={self.event_count % 3}",
         }
-        self.line.request("POST", "/order-confirm", BODY, headers)
-        answer = self.line.getresponse()
+        self.connection.request("POST", "/order-confirm", BODY, headers)
+        answer = self.connection.getresponse()
         answer.read()
         if answer.status != 202:
-            raise NotMeasuredError(f"event {self.number} was answered {answer.status}")
+            raise NotMeasuredError(f"event {self.event_count} got status {answer.status} instead of 202")
 
-    def play(self, rate: float, seconds: float) -> None:
-        """So many events a second, evenly."""
+    def run(self, rate: float, seconds: float) -> None:
+        """Submits `rate` events per second, evenly spaced."""
         began = time.monotonic()
         for position in range(int(rate * seconds)):
             time.sleep(max(0.0, began + position / rate - time.monotonic()))
-            self.hand_in()
+            self.submit()
         time.sleep(max(0.0, began + seconds - time.monotonic()))
 
 
 def wait_ready(address: str) -> None:
-    """Until the courier serves."""
+    """Waits until the courier is ready; raises NotMeasuredError if it does not become ready."""
     for _ in range(READY_TRIES):
         try:
             if ask(address, "GET", "/-/ready")[0] == 200:
@@ -81,42 +81,42 @@
         except OSError:
             pass
         time.sleep(READY_PAUSE_S)
-    raise NotMeasuredError("the courier did not become ready")
+    raise NotMeasuredError(f"courier did not become ready within {READY_TRIES} tries")
 
 
-def measure(rate: float, address: str, desks: list[Desk], process: int) -> Spent:
-    """One run against a courier that serves."""
+def measure_usage(rate: float, address: str, destinations: list[Desk], process: int) -> ResourceUsage:
+    """Measures one run against the courier with that address and process id."""
     wait_ready(address)
     client = Client(address)
-    client.play(rate, SETTLE_S)  # its first connections and code paths
-    before, began = process_cpu(process), time.monotonic()
-    client.play(rate, SECONDS)
-    spent = process_cpu(process) - before
-    passed = time.monotonic() - began
+    client.run(rate, SETTLE_S)  # warm-up: opens the courier's connections
+    cpu_before, began = process_cpu(process), time.monotonic()
+    client.run(rate, SECONDS)
+    cpu_seconds = process_cpu(process) - cpu_before
+    elapsed = time.monotonic() - began
     time.sleep(SETTLE_S)
-    if (delivered := sum(len(desk.delivered) for desk in desks)) != client.number:
-        raise NotMeasuredError(f"{delivered} of {client.number} events were delivered")
-    return Spent(spent * 1000.0 / passed, process_resident(process))
+    if (delivered := sum(len(destination.delivered) for destination in destinations)) != client.event_count:
+        raise NotMeasuredError(f"{delivered} of {client.event_count} events were delivered")
+    return ResourceUsage(cpu_seconds * 1000.0 / elapsed, process_resident(process))
 
 
-def run_once(rate: float) -> Spent:
-    """A courier, its destinations and a client, from start to end."""
-    desks, notices, address = (
+def run_once(rate: float) -> ResourceUsage:
+    """Starts a courier, its destinations and a client, measures one run and stops them."""
+    destinations, notices, address = (
         [Desk(str(number)) for number in range(3)],
         Notices(),
         f"127.0.0.1:{free_port()}",
     )
-    servers = (*desks, notices)
+    servers = (*destinations, notices)
     for server in servers:
         threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
     with tempfile.TemporaryDirectory(prefix="calicopin-traffic-") as folder:
         path = os.path.join(folder, "courier.toml")
         with open(path, "w", encoding="utf-8") as file:
-            file.write(configuration(address, f"127.0.0.1:{notices.server_address[1]}", desks))
+            file.write(configuration(address, f"127.0.0.1:{notices.server_address[1]}", destinations))
         with open(os.path.join(folder, "log"), "wb") as log:
             courier = subprocess.Popen([sys.executable, "-m", "calicopin", "run", path], stderr=log)
         try:
-            return measure(rate, address, desks, courier.pid)
+            return measure_usage(rate, address, destinations, courier.pid)
         finally:
             courier.terminate()
             courier.wait(10)
@@ -130,25 +130,25 @@
 
 
 def main() -> int:
-    """Exit code 0; 1 where a run was void."""
+    """Runs the measurement; returns exit code 0, or 1 if a run is void."""
     parser = argparse.ArgumentParser(prog="python -m calicopin.capacity.traffic", description=__doc__)
-    parser.add_argument("--json", metavar="FILE", help="keep the record here")
+    parser.add_argument("--json", metavar="FILE", help="write the record to this file")
     parser.add_argument("--repeats", type=int, default=REPEATS)
     parser.add_argument("--rate", type=int, action="append", help="other rates, three or more")
-    asked = parser.parse_args()
-    rates, samples = tuple(asked.rate or RATES), {TIME: [], MEMORY: []}
-    kept = record("traffic", {"rates": rates, "repeats": asked.repeats, "seconds": SECONDS})
+    arguments = parser.parse_args()
+    rates, samples = tuple(arguments.rate or RATES), {TIME: [], MEMORY: []}
+    record = start_record("traffic", {"rates": rates, "repeats": arguments.repeats, "seconds": SECONDS})
     try:
-        for repeat in range(asked.repeats):
+        for repeat in range(arguments.repeats):
             for rate in rates:
-                print(f"{rate} events a second, repeat {repeat + 1} of {asked.repeats}", file=sys.stderr)
-                spent = run_once(rate)
-                samples[TIME].append((rate, spent.core_ms_per_second))
-                samples[MEMORY].append((rate, spent.resident_bytes))
-    except NotMeasuredError as fault:
-        print(f"void: {fault}", file=sys.stderr)
+                print(f"{rate} events a second, repeat {repeat + 1} of {arguments.repeats}", file=sys.stderr)
+                usage = run_once(rate)
+                samples[TIME].append((rate, usage.core_ms_per_second))
+                samples[MEMORY].append((rate, usage.resident_bytes))
+    except NotMeasuredError as error:
+        print(f"void: {error}", file=sys.stderr)
         return 1
-    kept.end([fit_line(one, samples[one]) for one in (TIME, MEMORY)], asked.json)
+    record.finish([fit_line(measure, samples[measure]) for measure in (TIME, MEMORY)], arguments.json)
     return 0
 
 
