--- a/calicopin/capacity/backlog.py
+++ b/calicopin/capacity/backlog.py
@@ -19,9 +19,7 @@
 DESTINATION = 7
 VALIDITY_S = 86_400.0
 ANSWER_TIME_MS = 150.0  # from a call to its answer or failure
-SETTLE_MS = (
-    20_000.0  # from the first failed call; well beyond the time at which the destination counts as down
-)
+SETTLE_MS = 20_000.0  # from the first failed call, long enough for the destination to be marked as down
 MEASURED_DOWN_MS = 5_000.0
 EVENT_INTERVAL_MS = 680.0  # of one destination: 2.5 million events per second over 1.7 million destinations
 MEASURED_DELIVERIES = 100
@@ -59,9 +57,8 @@
         self.calls_in_flight: deque[tuple[float, Call]] = deque()
         self.answer, self.delivered = Answer(Far.SENT, late=True), 0
         self.facade = Facade(SEED, settings(2 * waiting + 1_000), CALL_SLOTS, self.now)
-        self.facade.listed(
-            [place(False)], True
-        )  # without a ready endpoint nothing is decided while the backlog builds up
+        # Without a ready endpoint nothing is decided while the backlog builds up.
+        self.facade.listed([place(False)], True)
         for _ in range(waiting):
             self.add_message()
         self.run_decisions()
@@ -121,7 +118,7 @@
     simulation.run_decisions()
     simulation.run_until(SETTLE_MS)
     if simulation.mode() != "out":
-        raise NotMeasuredError(f"destination is in mode {simulation.mode()!r} instead of 'out'")
+        raise NotMeasuredError(f"destination is not down, its mode is {simulation.mode()}")
     end, began = simulation.now + MEASURED_DOWN_MS, time.process_time()
     while simulation.now < end:
         simulation.run_until(simulation.now + EVENT_INTERVAL_MS)
@@ -157,9 +154,7 @@
     arguments = parser.parse_args()
     sizes, samples = tuple(arguments.size or SIZES), {measure: [] for measure in MEASURES}
     record = start_record("backlog", {"sizes": sizes, "repeats": arguments.repeats, "seed": SEED})
-    for repeat in range(
-        arguments.repeats
-    ):  # interleaves sizes: a change of the machine's load affects all alike
+    for repeat in range(arguments.repeats):  # interleaves sizes so that load on the machine affects all alike
         for size in sizes:
             print(f"{size:,} messages, repeat {repeat + 1} of {arguments.repeats}", file=sys.stderr)
             for measure, run in MEASURES.items():
--- a/calicopin/capacity/faults.py
+++ b/calicopin/capacity/faults.py
@@ -12,9 +12,7 @@
 from calicopin.wire import subscriber
 
 CONNECT_TIMEOUT_S = subscriber.CONNECT / 1000.0  # until a courier gives up connecting to a node
-SILENCE_TIMEOUT_S = (
-    subscriber.WAIT + subscriber.SILENCE
-) / 1000.0  # until it leaves a node that stopped answering
+SILENCE_TIMEOUT_S = (subscriber.WAIT + subscriber.SILENCE) / 1000.0  # until it leaves a silent node
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicopin/capacity/page.py
+++ b/calicopin/capacity/page.py
@@ -44,10 +44,10 @@
         source = f"{slope.run.described_command()}, {slope.run.file}" + (
             f"; {slope.note}" if slope.note else ""
         )
-    return slope.name, value_of(slope), slope.basis.value, sizes, residual, source
+    return slope.name, formatted_value(slope), slope.basis.value, sizes, residual, source
 
 
-def value_of(slope: Slope) -> str:
+def formatted_value(slope: Slope) -> str:
     """Formats a slope's value and unit in a readable magnitude."""
     if slope.unit.startswith("s /"):
         return format_value(slope.value, Unit.SECONDS) + slope.unit.removeprefix("s")
--- a/calicopin/capacity/traffic.py
+++ b/calicopin/capacity/traffic.py
@@ -61,7 +61,7 @@
         answer = self.connection.getresponse()
         answer.read()
         if answer.status != 202:
-            raise NotMeasuredError(f"event {self.event_count} got status {answer.status} instead of 202")
+            raise NotMeasuredError(f"event {self.event_count} was refused with status {answer.status}")
 
     def run(self, rate: float, seconds: float) -> None:
         """Submits `rate` events per second, evenly spaced."""
@@ -81,14 +81,14 @@
         except OSError:
             pass
         time.sleep(READY_PAUSE_S)
-    raise NotMeasuredError(f"courier did not become ready within {READY_TRIES} tries")
+    raise NotMeasuredError("courier did not become ready")
 
 
 def measure_usage(rate: float, address: str, destinations: list[Desk], process: int) -> ResourceUsage:
     """Measures one run against the courier with that address and process id."""
     wait_ready(address)
     client = Client(address)
-    client.run(rate, SETTLE_S)  # warm-up: opens the courier's connections
+    client.run(rate, SETTLE_S)  # warm-up: first connections and code paths
     cpu_before, began = process_cpu(process), time.monotonic()
     client.run(rate, SECONDS)
     cpu_seconds = process_cpu(process) - cpu_before
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -59,7 +59,7 @@
     result = json.loads((ROOT / slope.run.file).read_text(encoding="utf-8"))
     if slope.run.kind == Kind.ROW:
         key = (slope.run.row.couriers, slope.run.row.load)
-        (row,) = [row for row in result["rows"] if (row["couriers"], row["load"]) == key]
+        (row,) = [entry for entry in result["rows"] if (entry["couriers"], entry["load"]) == key]
         return row[slope.run.figure]
     if slope.run.kind == Kind.VALUE:
         return next(entry["value"] for entry in result["figures"] if entry["figure"] == slope.run.figure)
