--- a/calicopin/capacity/model.py
+++ b/calicopin/capacity/model.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from calicopin.capacity import courier, node, outside
+from calicopin.capacity import courier, external, node
 from calicopin.capacity.figures import Figure, Unit
 from calicopin.capacity.size import Size
 
@@ -20,13 +20,18 @@
     node.update_answers_today,
     node.whole_list_traffic_today,
 )
-DESTINATION_FIGURES = (outside.event_rate, outside.equal_share, outside.served_ratio, outside.given_up_share)
+DESTINATION_FIGURES = (
+    external.event_rate,
+    external.equal_share,
+    external.served_ratio,
+    external.given_up_share,
+)
 OPERATOR_FIGURES = (
-    outside.all_status_bytes,
-    outside.subscribed_status_bytes,
-    outside.metrics_calls,
-    outside.source_growth,
-    outside.rollout_time,
+    external.all_status_bytes,
+    external.subscribed_status_bytes,
+    external.metrics_calls,
+    external.source_growth,
+    external.rollout_time,
 )
 
 
--- a/calicopin/capacity/ranking.py
+++ b/calicopin/capacity/ranking.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from calicopin.capacity import courier, faults, outside, slopes
+from calicopin.capacity import courier, external, faults, slopes
 from calicopin.capacity.figures import Figure, Unit, Use, format_value
 from calicopin.capacity.size import Size
 
@@ -221,7 +221,7 @@
 def next_mechanisms(size: Size) -> tuple[Mechanism, ...]:
     """Returns the mechanisms to add after subscriptions, in order."""
     memory, scans = _demand_named(size, WAITING_MEMORY), _demand_named(size, WAITING_SCANS)
-    start, served = _demand_named(size, WAITING_START), outside.served_ratio(size)
+    start, served = _demand_named(size, WAITING_START), external.served_ratio(size)
     isolated = faults.nodes_tried_in_isolation(size)
     return (
         Mechanism(
--- a/calicopin/capacity/size.py
+++ b/calicopin/capacity/size.py
@@ -22,9 +22,7 @@
 class Shape:
     """Inputs that the users do not state. Each value is assumed; the comment gives the reason."""
 
-    senders_per_destination: float = (
-        1.0  # couriers that use one destination; each courier's set grows with it
-    )
+    senders_per_destination: float = 1.0  # couriers that use one destination; scales each courier's set
     endpoints_per_destination: float = 1.0  # as in the measurements of the list
     message_bytes: float = 300.0  # body of a message, as in the measurements of the store
     couriers_per_machine: float = 1.0  # the failure of a machine stops all of its couriers
