--- a/calicopin/capacity/traffic.py
+++ b/calicopin/capacity/traffic.py
@@ -84,19 +84,19 @@
     raise NotMeasuredError("courier did not become ready")
 
 
-def measure_usage(rate: float, address: str, destinations: list[Desk], process: int) -> ResourceUsage:
-    """Measures one run against the courier with that address and process id."""
+def measure_usage(rate: float, address: str, destinations: list[Desk], process_id: int) -> ResourceUsage:
+    """Measures one run against the courier at that address."""
     wait_ready(address)
     client = Client(address)
     client.run(rate, SETTLE_S)  # warm-up: first connections and code paths
-    cpu_before, began = process_cpu(process), time.monotonic()
+    cpu_before, began = process_cpu(process_id), time.monotonic()
     client.run(rate, SECONDS)
-    cpu_seconds = process_cpu(process) - cpu_before
+    cpu_seconds = process_cpu(process_id) - cpu_before
     elapsed = time.monotonic() - began
     time.sleep(SETTLE_S)
     if (delivered := sum(len(destination.delivered) for destination in destinations)) != client.event_count:
         raise NotMeasuredError(f"{delivered} of {client.event_count} events were delivered")
-    return ResourceUsage(cpu_seconds * 1000.0 / elapsed, process_resident(process))
+    return ResourceUsage(cpu_seconds * 1000.0 / elapsed, process_resident(process_id))
 
 
 def run_once(rate: float) -> ResourceUsage:
