--- a/calicopin/capacity/external.py
+++ b/calicopin/capacity/external.py
@@ -16,7 +16,7 @@
 
 
 def equal_share(size: Size) -> Figure:
-    """Share of a destination's limit that each courier uses if its sender count includes all couriers."""
+    """Share of a limit that each courier may use at first if its sender count includes all couriers."""
     return Figure(
         "share of a limit that each courier uses, sender count of all couriers",
         "1 / couriers",
