--- a/calicopin/capacity/figures.py
+++ b/calicopin/capacity/figures.py
@@ -80,7 +80,7 @@
 
 
 def format_number(value: float) -> str:
-    """Formats with three significant digits, four from 100 on, with thousands separators, no exponent."""
+    """Formats with three significant digits, four from 1,000 on, with thousands separators, no exponent."""
     if abs(value) >= 100.0:
         return f"{float(f'{value:.4g}'):,.0f}"
     if abs(value) >= 1.0:
