--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -80,15 +80,15 @@
 
     def first_request(self, *destinations):
         """The first request of a courier started with these destinations."""
-        _, asked = self.node.hear()
+        _, asked = self.node.next_request()
         assert asked["lease"] is None and sorted(asked["subscribe"]) == sorted(destinations)
         return asked
 
     def subscribe_request(self, destination):
         """The request that subscribes to the destination; a parked request is abandoned for it."""
-        _, asked = self.node.hear()
+        _, asked = self.node.next_request()
         while asked["subscribe"] != [destination]:
-            _, asked = self.node.hear()
+            _, asked = self.node.next_request()
         return asked
 
 
@@ -115,11 +115,11 @@
     """A courier with a lease that knows destination 7 and whose next request is parked."""
     courier = SubscribedCourierFixture(folder, node, **other)
     endpoint.loop = courier.loop
-    courier.node.tell(courier.first_request(), 1, full=True)
+    courier.node.respond(courier.first_request(), 1, full=True)
     courier.advance()
     peer = courier.send_message("first")
     asked = courier.subscribe_request(7)
-    courier.node.tell(asked, 2, [served(endpoint)])
+    courier.node.respond(asked, 2, [served(endpoint)])
     assert courier.status_of(peer) == b"202"
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
@@ -132,14 +132,14 @@
 def test_a_message_waits_for_the_first_answer_and_is_delivered(tmp_path, node, endpoint):
     courier = SubscribedCourierFixture(tmp_path, node)
     endpoint.loop = courier.loop
-    courier.node.tell(courier.first_request(), 1, full=True)
+    courier.node.respond(courier.first_request(), 1, full=True)
     courier.advance()
     peer = courier.send_message("a")
     spin(courier.loop, lambda: courier.awaited)
     assert not courier.runtime.journal.texts and not courier.runtime.journal.buffer and not peer.hear()
     asked = courier.subscribe_request(7)
     assert not courier.runtime.journal.texts and not peer.hear()
-    courier.node.tell(asked, 2, [served(endpoint)])
+    courier.node.respond(asked, 2, [served(endpoint)])
     assert courier.status_of(peer) == b"202" and not courier.awaited
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
@@ -156,7 +156,7 @@
     courier = started(tmp_path, node, endpoint)
     peer = courier.send_message("x", dest=9)
     asked = courier.subscribe_request(9)
-    courier.node.tell(asked, 3, unknown=[9])
+    courier.node.respond(asked, 3, unknown=[9])
     assert courier.status_of(peer) == b"404" and courier.post("y", dest=9) == b"404"
     assert list(courier.runtime.facade.dests.index) == [7]
 
@@ -181,9 +181,9 @@
     stays.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")  # a pipelined request, served after the first
     courier.run_passes(50)
     endpoint.loop = courier.loop
-    courier.node.tell(courier.first_request(), 1, full=True)
+    courier.node.respond(courier.first_request(), 1, full=True)
     courier.advance()
-    courier.node.tell(courier.subscribe_request(7), 2, [served(endpoint)])
+    courier.node.respond(courier.subscribe_request(7), 2, [served(endpoint)])
     assert courier.status_of(stays) == b"202"
     spin(courier.loop, lambda: b"200" in stays.hear())
     assert [text.ident for text in courier.runtime.journal.texts.values()] == ["b"]
@@ -220,15 +220,15 @@
     two = [courier.send_message("same", dest=8), courier.send_message("same", dest=8)]
     spin(courier.loop, lambda: courier.awaited == 2)
     asked = courier.subscribe_request(8)
-    courier.node.tell(asked, 3, [served(endpoint, 8, "s-8")])
+    courier.node.respond(asked, 3, [served(endpoint, 8, "s-8")])
     assert sorted(courier.status_of(peer) for peer in two) == [b"202", b"409"]
 
 
 def test_an_endpoint_announced_as_leaving_gets_no_more_messages(tmp_path, node, endpoint):
     courier, other = started(tmp_path, node, endpoint), Listener(Loop())
     other.loop = courier.loop
-    _, asked = courier.node.hear()
-    courier.node.tell(asked, 3, [served(endpoint, state="leaving"), served(other, ident="s-2")])
+    _, asked = courier.node.next_request()
+    courier.node.respond(asked, 3, [served(endpoint, state="leaving"), served(other, ident="s-2")])
     courier.advance()
     assert courier.post("b") == b"202"
     assert b"\xfe\xfe\xfe" in other.meet().wait(b"\xfe\xfe\xfe")
@@ -254,7 +254,9 @@
         with pytest.raises(BlockingIOError):
             listener.sock.accept()
     asked = restarted.first_request(7)
-    restarted.node.tell(asked, 1, [served(endpoint, state="leaving"), served(other, ident="s-2")], full=True)
+    restarted.node.respond(
+        asked, 1, [served(endpoint, state="leaving"), served(other, ident="s-2")], full=True
+    )
     bodies, calls = b"", []
     while bodies.count(b"\xfe\xfe\xfe") < 2:
         calls.append(other.meet())
@@ -275,7 +277,7 @@
     os.unlink(tmp_path / "known-list") if (tmp_path / "known-list").exists() else None
     restarted = SubscribedCourierFixture(tmp_path, node, clock=courier.loop.now)
     endpoint.loop = restarted.loop
-    restarted.node.tell(restarted.first_request(7), 1, [served(endpoint)], full=True)
+    restarted.node.respond(restarted.first_request(7), 1, [served(endpoint)], full=True)
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
     call.say(answer(200))
@@ -323,20 +325,20 @@
     courier.advance(LOOK)
     facade, passed = courier.runtime.facade, 0.0
     while passed < IDLE * (1.0 + IDLE_JITTER_FRACTION) + 3.0 * Route.IDLE:
-        _, asked = courier.node.hear()
-        courier.node.tell(asked, 3)
+        _, asked = courier.node.next_request()
+        courier.node.respond(asked, 3)
         courier.advance(2000.0)
         passed += 2000.0
     assert not facade.places and not facade.dests.index and not facade.module.dests
     assert not facade.module.endpoints and not courier.runtime.lines.listed
     for number in range(2):
-        _, asked = courier.node.hear()
-        courier.node.tell(asked, 4 + number)
+        _, asked = courier.node.next_request()
+        courier.node.respond(asked, 4 + number)
         courier.advance(LOOK / 2.0)
     assert not decode((tmp_path / "known-list").read_bytes()).places
     peer = courier.send_message("b")
     asked = courier.subscribe_request(7)
-    courier.node.tell(asked, 6, [served(endpoint)])
+    courier.node.respond(asked, 6, [served(endpoint)])
     assert courier.status_of(peer) == b"202"
     assert b"\xfe\xfe\xfe" in endpoint.meet().wait(b"\xfe\xfe\xfe")
 
