--- a/calicopin/soak/__main__.py
+++ b/calicopin/soak/__main__.py
@@ -9,28 +9,28 @@
 
 import click
 
-from calicopin.soak.plan import draw
-from calicopin.soak.run import Verdict, play
+from calicopin.soak.plan import draw_plan
+from calicopin.soak.run import Verdict, run_soak
 
-BROKEN = 1  # exit code
+VIOLATIONS_EXIT_CODE = 1  # exit code
 
 
-def read_seeds(word: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """`7`, `1..20` or `1,4,9`; raises click.BadParameter."""
     try:
-        if ".." in word:
-            first, _, last = word.partition("..")
+        if ".." in text:
+            first, _, last = text.partition("..")
             return list(range(int(first), int(last) + 1))
-        return [int(part) for part in word.split(",")]
+        return [int(part) for part in text.split(",")]
     except ValueError:
-        raise click.BadParameter(f"{word!r} is neither a seed, a list nor a range like 1..20") from None
+        raise click.BadParameter(f"{text!r} is neither a seed, a list nor a range like 1..20") from None
 
 
-def tell(verdict: Verdict) -> None:
+def print_verdict(verdict: Verdict) -> None:
     """One line for a seed, and one for each violation."""
-    kept = "kept" if not verdict.violations else f"{len(verdict.violations)} BROKEN"
+    result = "kept" if not verdict.violations else f"{len(verdict.violations)} BROKEN"
     click.echo(
-        f"seed {verdict.seed}: {kept}; {verdict.messages} messages, {verdict.arrivals} calls, "
+        f"seed {verdict.seed}: {result}; {verdict.messages} messages, {verdict.arrivals} calls, "
         f"{verdict.delivered} delivered, {verdict.refused} refused; tightest return "
         f"{verdict.tightest:+.1f} calls; {verdict.plan}"
     )
@@ -47,16 +47,16 @@
 def main(seeds: str, seconds: float, couriers: int | None, path: Path | None, keep: Path | None) -> None:
     """Plays soaks one after the other; exit code 1 where a rule was broken."""
     verdicts = []
-    for seed in read_seeds(seeds):
+    for seed in parse_seeds(seeds):
         with tempfile.TemporaryDirectory(prefix="soak-") as folder:
-            home = Path(folder) if keep is None else keep / str(seed)
-            verdicts.append(asyncio.run(play(draw(seed, seconds, couriers), home)))
-        tell(verdicts[-1])
+            directory = Path(folder) if keep is None else keep / str(seed)
+            verdicts.append(asyncio.run(run_soak(draw_plan(seed, seconds, couriers), directory)))
+        print_verdict(verdicts[-1])
     if path is not None:
         path.write_text(json.dumps([asdict(verdict) for verdict in verdicts], indent=1) + "\n", "utf-8")
-    broken = sum(bool(verdict.violations) for verdict in verdicts)
-    click.echo(f"{len(verdicts)} seeds, {broken} with broken rules")
-    sys.exit(BROKEN if broken else 0)
+    failed = sum(bool(verdict.violations) for verdict in verdicts)
+    click.echo(f"{len(verdicts)} seeds, {failed} with broken rules")
+    sys.exit(VIOLATIONS_EXIT_CODE if failed else 0)
 
 
 if __name__ == "__main__":
--- a/calicopin/soak/client.py
+++ b/calicopin/soak/client.py
@@ -9,11 +9,11 @@
 
 from calicopin.soak.rules import Message, Record
 
-PATIENCE = 0.4  # seconds that a client waits for its answer
+TIMEOUT_SECONDS = 0.4  # seconds that a client waits for its answer
 BODY = b"order 4711 confirmed"
-NO_CONNECTION, TOO_LATE, UNANSWERED = 0, -1, -2  # in place of a status
-KNOWN = 409  # the id is held, or has ended
-MOST_RESTING = 3  # connections of one courier's clients
+NO_CONNECTION, TIMED_OUT, UNANSWERED = 0, -1, -2  # in place of a status
+DUPLICATE_ID = 409  # the id is held, or has ended
+MAX_IDLE_CONNECTIONS = 3  # connections of one courier's clients
 
 Address = tuple[str, int]
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -27,11 +27,11 @@
     courier: str
     destination: int
     product: str
-    left: float
+    validity_seconds: float
     key: str | None = None
 
 
-def encode(request: Request) -> bytes:
+def encode_request(request: Request) -> bytes:
     """The request's bytes."""
     path = request.product if request.key is None else f"{request.product}/{request.key}"
     lines = [
@@ -39,7 +39,7 @@
         "Host: courier",
         f"X-Request-ID: {request.ident}",
         f"Idempotency-Key: k-{request.ident}",
-        f"X-Timeout: {request.left:.3f}",
+        f"X-Timeout: {request.validity_seconds:.3f}",
         f"X-Envelope: dest={request.destination}",
         f"Content-Length: {len(BODY)}",
     ]
@@ -63,37 +63,37 @@
 
     def __init__(self, record: Record):
         self.record = record
-        self.resting: dict[Address, list[Connection]] = defaultdict(list)
+        self.idle: dict[Address, list[Connection]] = defaultdict(list)
 
     def close(self) -> None:
         """Ends all connections that rest."""
-        for lines in self.resting.values():
-            for _, writer in lines:
+        for connections in self.idle.values():
+            for _, writer in connections:
                 writer.close()
 
-    async def hand_in(self, request: Request, address: Address) -> int:
-        """The status that the request was answered with, or NO_CONNECTION, TOO_LATE or UNANSWERED."""
-        sent, status = time.monotonic(), UNANSWERED
-        rested = self._take(address)
-        if rested is not None:
-            status = await self._exchange(request, address, rested)
+    async def send(self, request: Request, address: Address) -> int:
+        """The status that the request was answered with, or NO_CONNECTION, TIMED_OUT or UNANSWERED."""
+        sent_at, status = time.monotonic(), UNANSWERED
+        idle_connection = self._take_idle(address)
+        if idle_connection is not None:
+            status = await self._exchange(request, address, idle_connection)
         if status == UNANSWERED:  # it crossed the close of a connection that rested, unread: once more
             try:
-                fresh = await asyncio.wait_for(asyncio.open_connection(*address), PATIENCE)
+                new_connection = await asyncio.wait_for(asyncio.open_connection(*address), TIMEOUT_SECONDS)
             except (OSError, TimeoutError):
                 return NO_CONNECTION
-            status = await self._exchange(request, address, fresh)
-            if status == KNOWN and rested is not None:  # it had been read
+            status = await self._exchange(request, address, new_connection)
+            if status == DUPLICATE_ID and idle_connection is not None:  # it had been read
                 return UNANSWERED
         if status == 202:
-            self._note(request, sent)
+            self._record_message(request, sent_at)
         return status
 
-    def _take(self, address: Address) -> Connection | None:
+    def _take_idle(self, address: Address) -> Connection | None:
         """One that rests, unless its courier has closed it."""
-        lines = self.resting[address]
-        while lines:
-            reader, writer = lines.pop()
+        connections = self.idle[address]
+        while connections:
+            reader, writer = connections.pop()
             if not reader.at_eof() and reader.exception() is None:
                 return reader, writer
             writer.close()
@@ -103,26 +103,26 @@
         reader, writer = connection
         status = UNANSWERED
         try:
-            writer.write(encode(request))
-            status = await asyncio.wait_for(read_status(reader), PATIENCE)
+            writer.write(encode_request(request))
+            status = await asyncio.wait_for(read_status(reader), TIMEOUT_SECONDS)
         except TimeoutError:
-            status = TOO_LATE
+            status = TIMED_OUT
         except OSError:
             pass
-        if status > 0 and not reader.at_eof() and len(self.resting[address]) < MOST_RESTING:
-            self.resting[address].append(connection)
+        if status > 0 and not reader.at_eof() and len(self.idle[address]) < MAX_IDLE_CONNECTIONS:
+            self.idle[address].append(connection)
         else:
             writer.close()
         return status
 
-    def _note(self, request: Request, sent: float) -> None:
+    def _record_message(self, request: Request, sent_at: float) -> None:
         self.record.messages.append(
             Message(
                 request.ident,
                 request.courier,
                 request.destination,
                 request.product,
-                sent + request.left,
+                sent_at + request.validity_seconds,
                 time.monotonic(),
                 request.key,
             )
--- a/calicopin/soak/courier.py
+++ b/calicopin/soak/courier.py
@@ -13,19 +13,19 @@
 from calicopin.scale.nodes import ROOT, free_port, process_resident
 from calicopin.soak.rules import Failure
 
-ENDING = 5.0  # seconds that a process has behind SIGTERM
-FAULTS = "LB_SOAK_FAULTS"  # the faults of system calls, for `calicopin.soak.faulty_courier`
+SHUTDOWN_TIMEOUT_SECONDS = 5.0  # seconds that a process has behind SIGTERM
+FAULTS_VARIABLE = "LB_SOAK_FAULTS"  # the faults of system calls, for `calicopin.soak.faulty_courier`
 FAULT_EVENTS = ("turn.fault", "call.fault", "request.fault", "coroutine.fault", "coroutine.again")
 
 
-class Courier:
+class CourierProcess:
     """One courier with its folder and its log; `wall_offset` is wall time less monotonic time, in s."""
 
     def __init__(self, name: str, folder: Path, settings: dict, discovery: str, known: dict, seed: int):
         self.name, self.folder, self.port = name, folder, free_port()
         folder.mkdir(parents=True, exist_ok=True)
-        self.config = folder / "courier.json"
-        self.told = dict(
+        self.config_path = folder / "courier.json"
+        self.base_config = dict(
             name=name,
             listen=f"127.0.0.1:{self.port}",
             discovery=discovery,
@@ -38,7 +38,7 @@
         )
         (folder / "state").mkdir(exist_ok=True)
         self.configure(known)
-        self.log = folder / "courier.log"
+        self.log_path = folder / "courier.log"
         self.wall_offset = time.time() - time.monotonic()
         self.process: subprocess.Popen | None = None
         self.faults: list[dict] = []  # of system calls, as `faulty_system.Fault` has them
@@ -50,14 +50,17 @@
 
     def configure(self, known: dict) -> None:
         """What its next process is told, with the list as it is known by then."""
-        self.config.write_text(json.dumps(self.told | dict(known=known)), "utf-8")
+        self.config_path.write_text(json.dumps(self.base_config | dict(known=known)), "utf-8")
 
     def start(self) -> None:
         """A new process with the folder as it is."""
-        words = [sys.executable, "-m", "calicopin.soak.faulty_courier"]
-        environ = os.environ | {"LB_CONFIG": str(self.config), FAULTS: json.dumps(self.faults)}
-        with open(self.log, "ab") as log:
-            self.process = subprocess.Popen(words, cwd=ROOT, env=environ, stderr=log)
+        command = [sys.executable, "-m", "calicopin.soak.faulty_courier"]
+        environment = os.environ | {
+            "LB_CONFIG": str(self.config_path),
+            FAULTS_VARIABLE: json.dumps(self.faults),
+        }
+        with open(self.log_path, "ab") as log_file:
+            self.process = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=log_file)
 
     def kill(self) -> None:
         """SIGKILL."""
@@ -68,7 +71,7 @@
         """SIGTERM, and SIGKILL where it has not ended in time; its exit code, None where it was killed."""
         self.process.terminate()
         try:
-            return self.process.wait(ENDING)
+            return self.process.wait(SHUTDOWN_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             self.kill()
             return None
@@ -78,17 +81,17 @@
         if self.process.poll() is None:
             self.process.send_signal(number)
 
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether its process has not ended."""
         return self.process is not None and self.process.poll() is None
 
-    def resident(self) -> int:
+    def resident_bytes(self) -> int:
         """Bytes that it holds resident."""
         return process_resident(self.process.pid)
 
     def records(self) -> Iterator[dict]:
         """The lines of its log that are whole, as objects; other lines as events of the name `plain`."""
-        for line in self.log.read_text(errors="replace").splitlines():
+        for line in self.log_path.read_text(errors="replace").splitlines():
             try:
                 yield json.loads(line)
             except ValueError:
@@ -96,30 +99,30 @@
 
     def failures(self) -> list[Failure]:
         """The calls that it saw fail, by its log."""
-        found = []
-        for told in self.records():
-            if told.get("event") == "call.failed":
-                at = datetime.fromisoformat(told["time"]).timestamp() - self.wall_offset
-                found.append(Failure(at, self.name, told["destination"]))
-        return found
-
-    def faults_logged(self) -> list[str]:
+        failures = []
+        for entry in self.records():
+            if entry.get("event") == "call.failed":
+                at = datetime.fromisoformat(entry["time"]).timestamp() - self.wall_offset
+                failures.append(Failure(at, self.name, entry["destination"]))
+        return failures
+
+    def logged_faults(self) -> list[str]:
         """Lines on faults of its own; a turn that the disk refuses is none."""
         return [
-            f"{self.name}: {told['message']}: {told.get('exception', '')}"
-            for told in self.records()
-            if told.get("event") in FAULT_EVENTS and not refused_by_disk(told)
+            f"{self.name}: {entry['message']}: {entry.get('exception', '')}"
+            for entry in self.records()
+            if entry.get("event") in FAULT_EVENTS and not is_disk_write_failure(entry)
         ]
 
-    def invariants_broken(self) -> list[str]:
+    def broken_invariants(self) -> list[str]:
         """What its own run-time checks counted."""
         return [
-            f"{self.name}: {told['message']}"
-            for told in self.records()
-            if told.get("event") == "invariant.broken"
+            f"{self.name}: {entry['message']}"
+            for entry in self.records()
+            if entry.get("event") == "invariant.broken"
         ]
 
 
-def refused_by_disk(told: dict) -> bool:
+def is_disk_write_failure(entry: dict) -> bool:
     """Whether a line tells of a turn that ended since a write failed."""
-    return told["event"] == "turn.fault" and told.get("exception", "").startswith("OSError(")
+    return entry["event"] == "turn.fault" and entry.get("exception", "").startswith("OSError(")
--- a/calicopin/soak/destination.py
+++ b/calicopin/soak/destination.py
@@ -10,19 +10,19 @@
 from dataclasses import dataclass
 from functools import partial
 
-from calicopin.soak.rules import Arrival, Record, SlowStart, WaitTold, capacity_share
+from calicopin.soak.rules import Arrival, Record, RequestedWait, SlowStart, capacity_share
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close sends a reset
-HEAD_END = b"\r\n\r\n"
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close sends a reset
+HEADERS_END = b"\r\n\r\n"
 MODES = ("well", "errors", "hang", "refuse", "reset", "shut", "cut")
-OUTAGES = MODES[1:]
+OUTAGE_MODES = MODES[1:]
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
     """One request as it was read; `began` is when its first byte was there (s, monotonic)."""
 
-    first: str
+    request_line: str
     headers: dict[str, str]
     body: bytes
     began: float
@@ -33,16 +33,16 @@
     try:
         begin = await reader.readexactly(1)
         began = time.monotonic()
-        head = (begin + await reader.readuntil(HEAD_END)).decode("latin-1")
-        first, *lines = head.rstrip("\r\n").split("\r\n")
+        head = (begin + await reader.readuntil(HEADERS_END)).decode("latin-1")
+        request_line, *lines = head.rstrip("\r\n").split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
         body = await reader.readexactly(int(headers.get("content-length", "0")))
-        return Request(first, headers, body, began)
+        return Request(request_line, headers, body, began)
     except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError):
         return None
 
 
-async def gone_within(reader: asyncio.StreamReader, seconds: float) -> bool:
+async def closed_within(reader: asyncio.StreamReader, seconds: float) -> bool:
     """Waits so long; whether the other side ended the connection meanwhile."""
     try:
         await asyncio.wait_for(reader.read(1), seconds)
@@ -75,11 +75,11 @@
 
     def __init__(self, number: int, capacity: float, rule: SlowStart, record: Record, answer_after: float):
         self.number, self.capacity, self.rule, self.record = number, capacity, rule, record
-        self.answer_after, self.mode, self.back = answer_after, "well", float("-inf")
-        self.wait = 0.0  # seconds that refusals tell; 0: none
-        self.taken: list[float] = []
+        self.answer_after, self.mode, self.recovered_at = answer_after, "well", float("-inf")
+        self.refusal_wait = 0.0  # seconds that refusals tell; 0: none
+        self.accepted_at: list[float] = []
         self.endpoints: list[Endpoint] = []
-        self.lines: set[asyncio.StreamWriter] = set()
+        self.connections: set[asyncio.StreamWriter] = set()
 
     async def add_endpoint(self) -> Endpoint:
         """One more endpoint; it listens unless connections are refused just now."""
@@ -92,8 +92,8 @@
 
     async def _listen(self, endpoint: Endpoint) -> None:
         """On the same port as before where it has listened already."""
-        serve = partial(self._serve, endpoint)
-        endpoint.server = await asyncio.start_server(serve, "127.0.0.1", endpoint.port, backlog=512)
+        handler = partial(self._serve_connection, endpoint)
+        endpoint.server = await asyncio.start_server(handler, "127.0.0.1", endpoint.port, backlog=512)
         endpoint.port = endpoint.server.sockets[0].getsockname()[1]
 
     @staticmethod
@@ -101,19 +101,19 @@
         endpoint.server.close()
         endpoint.server = None
 
-    async def turn(self, mode: str) -> None:
+    async def set_mode(self, mode: str) -> None:
         """Another mode from now on; what is out meets it too."""
-        before, self.mode = self.mode, mode
+        previous, self.mode = self.mode, mode
         if mode == "well":
-            self.back = time.monotonic()
+            self.recovered_at = time.monotonic()
             for endpoint in self.endpoints:
                 if endpoint.server is None:
                     await self._listen(endpoint)
         if mode == "refuse":
             for endpoint in self.endpoints:
                 self._stop_listening(endpoint)
-        if mode in ("refuse", "reset") or before == "hang":
-            for writer in list(self.lines):
+        if mode in ("refuse", "reset") or previous == "hang":
+            for writer in list(self.connections):
                 abort(writer)
 
     async def close(self) -> None:
@@ -121,26 +121,26 @@
         for endpoint in self.endpoints:
             if endpoint.server is not None:
                 self._stop_listening(endpoint)
-        for writer in list(self.lines):
+        for writer in list(self.connections):
             abort(writer)
 
-    async def _serve(self, endpoint: Endpoint, reader, writer: asyncio.StreamWriter) -> None:
-        self.lines.add(writer)
+    async def _serve_connection(self, endpoint: Endpoint, reader, writer: asyncio.StreamWriter) -> None:
+        self.connections.add(writer)
         try:
             while (request := await read_request(reader)) is not None:
-                if not await self._answer(endpoint, request, reader, writer):
+                if not await self._handle_call(endpoint, request, reader, writer):
                     break
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            self.lines.discard(writer)
+            self.connections.discard(writer)
             writer.close()
 
-    async def _answer(self, endpoint: Endpoint, request: Request, reader, writer) -> bool:
+    async def _handle_call(self, endpoint: Endpoint, request: Request, reader, writer) -> bool:
         """One call; whether its connection goes on."""
-        bulk = request.first.startswith("POST /inbox/bulk")
+        bulk = request.request_line.startswith("POST /inbox/bulk")
         if bulk:
-            idents = [each["id"] for each in json.loads(request.body)]
+            idents = [entry["id"] for entry in json.loads(request.body)]
         else:
             idents = [request.headers["x-request-id"]]
         courier = idents[0].partition(".")[0]
@@ -148,11 +148,11 @@
         arrival.endpoint, arrival.began = endpoint.ident, request.began
         self.record.arrivals.append(arrival)
         try:
-            return await self._outcome(arrival, bulk, reader, writer)
+            return await self._respond(arrival, bulk, reader, writer)
         finally:
             arrival.ended = time.monotonic()
 
-    async def _outcome(self, arrival: Arrival, bulk: bool, reader, writer) -> bool:
+    async def _respond(self, arrival: Arrival, bulk: bool, reader, writer) -> bool:
         mode = self.mode
         if mode == "hang":
             arrival.outcome = "hung"
@@ -162,9 +162,9 @@
             arrival.outcome = "reset"
             abort(writer)
             return False
-        if mode == "shut" or (mode == "well" and self._full(arrival.at)):
+        if mode == "shut" or (mode == "well" and self._over_capacity(arrival.at)):
             return await self._refuse(arrival, writer)
-        if await gone_within(reader, self.answer_after):
+        if await closed_within(reader, self.answer_after):
             arrival.outcome = "abandoned"
             return False
         if mode == "errors":
@@ -185,20 +185,24 @@
 
     async def _refuse(self, arrival: Arrival, writer) -> bool:
         arrival.outcome = "refused"
-        told = {"X_Retry_In_Ms": f"{self.wait * 1000.0:.0f}"} if self.wait else {}
-        writer.write(response(429 if self.wait else 503, **told))
+        headers = {"X_Retry_In_Ms": f"{self.refusal_wait * 1000.0:.0f}"} if self.refusal_wait else {}
+        writer.write(response(429 if self.refusal_wait else 503, **headers))
         await writer.drain()
         arrival.answered = time.monotonic()
-        if self.wait:
-            self.record.waits.append(WaitTold(arrival.answered, arrival.courier, self.number, self.wait))
+        if self.refusal_wait:
+            self.record.waits.append(
+                RequestedWait(arrival.answered, arrival.courier, self.number, self.refusal_wait)
+            )
         return True
 
-    def _full(self, at: float) -> bool:
+    def _over_capacity(self, at: float) -> bool:
         """Whether it has taken what it can in the last second; else the call is counted."""
-        self.taken = [taken for taken in self.taken if taken > at - 1.0]
-        if len(self.taken) >= max(1.0, self.capacity * capacity_share(self.rule, self.back, at)):
+        self.accepted_at = [accepted for accepted in self.accepted_at if accepted > at - 1.0]
+        if len(self.accepted_at) >= max(
+            1.0, self.capacity * capacity_share(self.rule, self.recovered_at, at)
+        ):
             return True
-        self.taken.append(at)
+        self.accepted_at.append(at)
         return False
 
 
@@ -206,5 +210,5 @@
     """Resets a connection."""
     sock = writer.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
--- a/calicopin/soak/faulty_courier.py
+++ b/calicopin/soak/faulty_courier.py
@@ -10,12 +10,12 @@
 import sys
 
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.soak.faulty_system import Faults, FaultySystem, read_faults
+from calicopin.soak.faulty_system import FaultInjector, FaultySystem, parse_faults
 
-VARIANT, FORGETS = "LB_SOAK_VARIANT", "forgets"
+VARIANT_VARIABLE, FORGETS = "LB_SOAK_VARIANT", "forgets"
 
 
-def forget() -> None:
+def disable_outage_recovery() -> None:
     """From here on outages are forgotten by a restart, and nothing holds a call back for it."""
     from calicopin.facade import Facade
     from calicopin.send_guard import SendGuard
@@ -33,11 +33,11 @@
     load_logging()
     from calicopin.lifecycle import start
 
-    if os.environ.get(VARIANT) == FORGETS:
-        forget()
-    told = json.loads(os.environ.get("LB_SOAK_FAULTS") or "[]")
-    if told:
-        return start.main(signal_reader, FaultySystem(Faults(read_faults(told), os.getpid())))
+    if os.environ.get(VARIANT_VARIABLE) == FORGETS:
+        disable_outage_recovery()
+    faults = json.loads(os.environ.get("LB_SOAK_FAULTS") or "[]")
+    if faults:
+        return start.main(signal_reader, FaultySystem(FaultInjector(parse_faults(faults), os.getpid())))
     return start.main(signal_reader)
 
 
--- a/calicopin/soak/faulty_system.py
+++ b/calicopin/soak/faulty_system.py
@@ -30,34 +30,34 @@
     step: float = 0.0
 
 
-def read_faults(told: Iterable[dict]) -> list[Fault]:
+def parse_faults(values: Iterable[dict]) -> list[Fault]:
     """From plain values; TypeError where one is none."""
-    return [Fault(**each) for each in told]
+    return [Fault(**value) for value in values]
 
 
-class Faults:
+class FaultInjector:
     """What is due now, by its own draws."""
 
     def __init__(self, faults: list[Fault], seed: int):
-        self.faults, self.draw = faults, random.Random(seed)
+        self.faults, self.rng = faults, random.Random(seed)
 
-    def due(self, call: str) -> Fault | None:
+    def find_active(self, call: str) -> Fault | None:
         """The fault that this call meets, or None."""
         now = time.monotonic()
         for fault in self.faults:
-            if fault.call == call and fault.begin <= now < fault.end and self.draw.random() < fault.share:
+            if fault.call == call and fault.begin <= now < fault.end and self.rng.random() < fault.share:
                 return fault
         return None
 
-    def meet(self, call: str, breaks: bool = True) -> bool:
+    def inject(self, call: str, breakable: bool = True) -> bool:
         """Raises what is due, where a call of that kind may break; whether it is to be a short one."""
-        fault = self.due(call)
+        fault = self.find_active(call)
         if fault is None:
             return False
         if fault.error == "short":
             return True
         code = getattr(errno, fault.error)
-        if not breaks and code not in PASSING:
+        if not breakable and code not in PASSING:
             return False
         raise OSError(code, f"{fault.error} (soak)")
 
@@ -67,25 +67,25 @@
     `break`: their other sides are whole, and wait for their answers. They meet faults that pass.
     """
 
-    faults: Faults
-    breaks = True
+    injector: FaultInjector
+    breakable = True
 
     def accept(self):
         """As a socket's own, or the fault that is due."""
-        self.faults.meet("accept")
+        self.injector.inject("accept")
         descriptor, address = self._accept()
         accepted = FaultySocket(self.family, self.type, self.proto, fileno=descriptor)
-        accepted.faults, accepted.breaks = self.faults, False
+        accepted.injector, accepted.breakable = self.injector, False
         return accepted, address
 
     def connect(self, address):
         """As a socket's own, or the fault that is due."""
-        self.faults.meet("connect")
+        self.injector.inject("connect")
         return super().connect(address)
 
     def send(self, data, *flags):
         """As a socket's own, one byte alone, or the fault that is due."""
-        short = self.faults.meet("send", self.breaks)
+        short = self.injector.inject("send", self.breakable)
         return super().send(data[:1] if short else data, *flags)
 
     def recv(self, size, *flags):
@@ -93,23 +93,23 @@
         it is."""
         if flags:
             return super().recv(size, *flags)
-        return super().recv(1 if self.faults.meet("recv", self.breaks) else size)
+        return super().recv(1 if self.injector.inject("recv", self.breakable) else size)
 
 
 class FaultyPoller:
     """An epoll that may have no room to watch one more descriptor."""
 
-    def __init__(self, faults: Faults):
-        self.faults, self.poller = faults, System.poller()
+    def __init__(self, injector: FaultInjector):
+        self.injector, self.poller = injector, System.poller()
 
     def register(self, descriptor, mask):
         """As epoll's own, or the fault that is due."""
-        self.faults.meet("epoll_ctl")
+        self.injector.inject("epoll_ctl")
         self.poller.register(descriptor, mask)
 
     def modify(self, descriptor, mask):
         """As epoll's own, or the fault that is due."""
-        self.faults.meet("epoll_ctl")
+        self.injector.inject("epoll_ctl")
         self.poller.modify(descriptor, mask)
 
     def unregister(self, descriptor):
@@ -124,51 +124,51 @@
 class FaultySystem(System):
     """The operating system with these faults."""
 
-    def __init__(self, faults: Faults):
-        self.faults = faults
+    def __init__(self, injector: FaultInjector):
+        self.injector = injector
 
-    def _socket(self, plain: socket.socket) -> FaultySocket:
+    def _wrap_socket(self, plain: socket.socket) -> FaultySocket:
         faulty = FaultySocket(plain.family, plain.type, plain.proto, fileno=plain.detach())
         faulty.setblocking(False)
-        faulty.faults = self.faults
+        faulty.injector = self.injector
         return faulty
 
     def wall(self):
         """Unix time in ms, stepped while that is due."""
-        fault = self.faults.due("wall")
+        fault = self.injector.find_active("wall")
         return System.wall() + (fault.step * 1000.0 if fault else 0.0)
 
     def listen(self, host, port):
         """A listening socket whose accepts may fail."""
-        return self._socket(System.listen(host, port))
+        return self._wrap_socket(System.listen(host, port))
 
     def stream(self):
         """A socket for one connection, whose calls may fail."""
-        self.faults.meet("socket")
-        return self._socket(System.stream())
+        self.injector.inject("socket")
+        return self._wrap_socket(System.stream())
 
     def poller(self):
         """An epoll whose calls may fail."""
-        return FaultyPoller(self.faults)
+        return FaultyPoller(self.injector)
 
     def read(self, path):
         """A file's contents, or the fault that is due."""
-        self.faults.meet("read")
+        self.injector.inject("read")
         return System.read(path)
 
     def boot(self):
         """The machine's run, or the fault that is due."""
-        self.faults.meet("read")
+        self.injector.inject("read")
         return System.boot()
 
     def cut(self, file, size):
         """A cut, or the fault that is due."""
-        self.faults.meet("cut")
+        self.injector.inject("cut")
         return System.cut(file, size)
 
     def write(self, file, data):
         """A plain write, a short one, or the fault that is due, then perhaps behind a half write."""
-        fault = self.faults.due("write")
+        fault = self.injector.find_active("write")
         if fault is None:
             return System.write(file, data)
         if fault.error == "short":
@@ -177,15 +177,15 @@
 
     def create(self, path):
         """A new file, or the fault that is due."""
-        self.faults.meet("create")
+        self.injector.inject("create")
         return System.create(path)
 
     def replace(self, old, new):
         """A rename, or the fault that is due."""
-        self.faults.meet("replace")
+        self.injector.inject("replace")
         return System.replace(old, new)
 
     def sync(self, file):
         """A sync, or the fault that is due."""
-        self.faults.meet("sync")
+        self.injector.inject("sync")
         return System.sync(file)
--- a/calicopin/soak/fleet.py
+++ b/calicopin/soak/fleet.py
@@ -6,22 +6,31 @@
 from pathlib import Path
 
 from calicopin.soak.client import UNANSWERED, Clients, Request
-from calicopin.soak.courier import Courier
+from calicopin.soak.courier import CourierProcess
 from calicopin.soak.destination import Destination, Endpoint
 from calicopin.soak.platform import LEFT, Platform
-from calicopin.soak.rules import Bounds, Drain, Failure, Outage, Record, SlowStart, Violation, judge
+from calicopin.soak.rules import (
+    Drain,
+    Failure,
+    Outage,
+    Record,
+    SlowStart,
+    TimeLimits,
+    Violation,
+    find_violations,
+)
 
-ENDPOINTS = 2  # of a destination, at any time
-READY = 60.0  # seconds that a process has to be ready on a busy machine
+ENDPOINTS_PER_DESTINATION = 2  # of a destination, at any time
+READY_TIMEOUT_SECONDS = 60.0  # seconds that a process has to be ready on a busy machine
 PRODUCTS = (
     dict(name="status", idempotency="read_like", aim=1.5, giveUp=5.0, points=2.0, lateWorth=0.0),
     dict(name="order", idempotency="idempotency_key", keyTtl=15.0, aim=4.0, giveUp=24.0, lateWorth=0.3),
     dict(name="once", idempotency="non_idempotent", aim=4.0, giveUp=24.0, lateWorth=0.3),
     dict(name="series", idempotency="read_like", aim=4.0, giveUp=24.0, lateWorth=0.3, inOrder=True),
 )
-ONCE_ONLY, IN_ORDER = {"once"}, {"series"}
-KEYS = 2  # of each courier, for messages in order
-BOUNDS = Bounds(drain_grace=0.5, settle=0.7)
+ONCE_ONLY_PRODUCTS, ORDERED_PRODUCTS = {"once"}, {"series"}
+KEYS_PER_COURIER = 2  # of each courier, for messages in order
+TIME_LIMITS = TimeLimits(drain_grace=0.5, settle=0.7)
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +43,7 @@
     wait: float = 0.0  # seconds that its refusals tell
 
 
-def entry(destination: Destination, endpoint: Endpoint, state: str) -> dict:
+def endpoint_entry(destination: Destination, endpoint: Endpoint, state: str) -> dict:
     """An endpoint as the list names it."""
     return {
         "id": endpoint.ident,
@@ -52,7 +61,7 @@
     """A courier that was not ready in time; the message has its last lines."""
 
 
-def settings(number: int, couriers: int, rule: SlowStart, plans: tuple[DestinationPlan, ...]) -> dict:
+def courier_settings(number: int, couriers: int, rule: SlowStart, plans: tuple[DestinationPlan, ...]) -> dict:
     """What a courier of this fleet is told of its deployment."""
     return dict(
         slotNo=number,
@@ -75,9 +84,9 @@
             cold=rule.cold,
             tipMultiple=rule.multiple,
             fall=rule.span,
-            orderSettle=BOUNDS.settle,
+            orderSettle=TIME_LIMITS.settle,
             askWithin=10.0,
-            stopSendingWithin=BOUNDS.drain_grace,
+            stopSendingWithin=TIME_LIMITS.drain_grace,
         ),
         loadInfo=None,
         weights="none",
@@ -96,11 +105,13 @@
         self.destinations = []
         for number, plan in enumerate(plans):
             destination = Destination(number, plan.capacity, rule, self.record, plan.answer_after)
-            destination.wait = plan.wait
+            destination.refusal_wait = plan.wait
             self.destinations.append(destination)
-        self.count, self.seed, self.numbers = couriers, seed, 0
-        self.couriers: list[Courier] = []
-        self.began: dict[int, tuple[float, str]] = {}  # outages that are on: when they began, and how
+        self.courier_count, self.seed, self.message_count = couriers, seed, 0
+        self.couriers: list[CourierProcess] = []
+        self.active_outages: dict[
+            int, tuple[float, str]
+        ] = {}  # outages that are on: when they began, and how
 
     # Start and end.
 
@@ -110,37 +121,39 @@
         """
         await self.platform.start()
         for destination in self.destinations:
-            for _ in range(ENDPOINTS):
-                self.platform.put(entry(destination, await destination.add_endpoint(), "active"))
-        for number in range(self.count):
-            told = settings(number, self.count, self.rule, self.plans)
+            for _ in range(ENDPOINTS_PER_DESTINATION):
+                self.platform.put_endpoint(
+                    endpoint_entry(destination, await destination.add_endpoint(), "active")
+                )
+        for number in range(self.courier_count):
+            settings = courier_settings(number, self.courier_count, self.rule, self.plans)
             name = f"c{number}"
-            known, seed = self.platform.listed(), self.seed * 1000 + number
-            courier = Courier(name, self.folder / name, told, self.platform.address, known, seed)
+            known, seed = self.platform.snapshot(), self.seed * 1000 + number
+            courier = CourierProcess(name, self.folder / name, settings, self.platform.address, known, seed)
             courier.faults = faults(number)
             self.couriers.append(courier)
             courier.start()
         await self.wait_ready(self.couriers)
 
-    async def wait_ready(self, couriers: list[Courier]) -> None:
+    async def wait_ready(self, couriers: list[CourierProcess]) -> None:
         """Until each of them serves."""
         await asyncio.gather(*(self._wait_ready(courier) for courier in couriers))
 
-    async def _wait_ready(self, courier: Courier) -> None:
-        until = time.monotonic() + READY
-        while time.monotonic() < until:
-            if not courier.running():
+    async def _wait_ready(self, courier: CourierProcess) -> None:
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
+            if not courier.is_running():
                 break
-            if await ready(courier.address):
+            if await is_ready(courier.address):
                 return
             await asyncio.sleep(0.02)
-        lines = courier.log.read_text(errors="replace")[-600:]
-        raise NotReadyError(f"{courier.name} was not ready within {READY:g} s: {lines}")
+        lines = courier.log_path.read_text(errors="replace")[-600:]
+        raise NotReadyError(f"{courier.name} was not ready within {READY_TIMEOUT_SECONDS:g} s: {lines}")
 
     async def close(self) -> None:
         """Ends all processes and servers; never raises for a process that has ended."""
         for courier in self.couriers:
-            if courier.running():
+            if courier.is_running():
                 courier.kill()
         self.clients.close()
         for destination in self.destinations:
@@ -149,35 +162,35 @@
 
     # Faults.
 
-    async def begin_outage(self, destination: int, how: str) -> None:
+    async def begin_outage(self, destination: int, mode: str) -> None:
         """From now on it fails in that way."""
-        self.began[destination] = time.monotonic(), how
-        await self.destinations[destination].turn(how)
+        self.active_outages[destination] = time.monotonic(), mode
+        await self.destinations[destination].set_mode(mode)
 
     async def end_outage(self, destination: int) -> Outage:
         """It is back, and cold."""
-        began, how = self.began.pop(destination)
-        await self.destinations[destination].turn("well")
-        outage = Outage(destination, began, self.destinations[destination].back, how)
+        began_at, mode = self.active_outages.pop(destination)
+        await self.destinations[destination].set_mode("well")
+        outage = Outage(destination, began_at, self.destinations[destination].recovered_at, mode)
         self.record.outages.append(outage)
         return outage
 
-    async def replace_endpoint(self, number: int, stays: float, excused: frozenset[str]) -> None:
+    async def replace_endpoint(self, number: int, drain_seconds: float, excused: frozenset[str]) -> None:
         """A new endpoint comes, the oldest of the destination leaves, and is gone `stays` seconds later."""
         destination = self.destinations[number]
-        listed = [each for each in destination.endpoints if each.ident in self.platform.servers]
-        self.platform.put(entry(destination, await destination.add_endpoint(), "active"))
-        self.platform.put(entry(destination, listed[0], "leaving"))
-        await self.platform.speaks()  # nobody is told before
+        listed = [endpoint for endpoint in destination.endpoints if endpoint.ident in self.platform.endpoints]
+        self.platform.put_endpoint(endpoint_entry(destination, await destination.add_endpoint(), "active"))
+        self.platform.put_endpoint(endpoint_entry(destination, listed[0], "leaving"))
+        await self.platform.wait_while_silent()  # nobody is told before
         self.record.drains.append(Drain(listed[0].ident, time.monotonic(), excused))
-        await asyncio.sleep(stays)
-        self.platform.put(entry(destination, listed[0], LEFT))
+        await asyncio.sleep(drain_seconds)
+        self.platform.put_endpoint(endpoint_entry(destination, listed[0], LEFT))
 
-    async def restart(self, couriers: list[Courier], down: float = 0.0, gently: bool = False) -> None:
+    async def restart(self, couriers: list[CourierProcess], down: float = 0.0, gently: bool = False) -> None:
         """SIGKILL (or SIGTERM), so many seconds of nothing, and new processes over the same folders, which
         are configured with the list as their predecessors had it.
         """
-        ended, known = time.monotonic(), self.platform.told
+        ended_at, known = time.monotonic(), self.platform.last_sent
         if gently:
             codes = await asyncio.gather(*(asyncio.to_thread(each.terminate) for each in couriers))
             for courier, code in zip(couriers, codes, strict=True):
@@ -195,19 +208,21 @@
             courier.start()
         await self.wait_ready(couriers)
         for courier in couriers:
-            self.record.kills[courier.name].append((ended, time.monotonic()))
+            self.record.restarts[courier.name].append((ended_at, time.monotonic()))
 
     # Traffic.
 
     async def hand_in(
-        self, courier: Courier, destination: int, product: str, left: float, key: str | None = None
+        self, courier: CourierProcess, destination: int, product: str, validity: float, key: str | None = None
     ) -> int:
         """One message with an id of its own; the status of its answer, as `Clients.hand_in` has it."""
-        self.numbers += 1
-        request = Request(f"{courier.name}.{self.numbers}", courier.name, destination, product, left, key)
+        self.message_count += 1
+        request = Request(
+            f"{courier.name}.{self.message_count}", courier.name, destination, product, validity, key
+        )
         process = courier.process
-        status = await self.clients.hand_in(request, courier.address)
-        if status == UNANSWERED and courier.process is process and courier.running():
+        status = await self.clients.send(request, courier.address)
+        if status == UNANSWERED and courier.process is process and courier.is_running():
             self.record.unanswered.append(request.ident)
         return status
 
@@ -217,31 +232,31 @@
         """What the couriers' logs tell of calls that failed."""
         return [failure for courier in self.couriers for failure in courier.failures()]
 
-    async def wait_for_ends(self) -> None:
+    async def wait_for_completion(self) -> None:
         """Until every message has its end, or its time is up."""
-        latest = max((message.until for message in self.record.messages), default=0.0) + 1.0
-        while time.monotonic() < latest:
-            done = set(self.record.notices)
+        deadline = max((message.deadline for message in self.record.messages), default=0.0) + 1.0
+        while time.monotonic() < deadline:
+            completed = set(self.record.notices)
             for arrival in self.record.arrivals:
                 if arrival.outcome == "delivered":
-                    done.update(arrival.messages)
-            if all(message.ident in done for message in self.record.messages):
+                    completed.update(arrival.messages)
+            if all(message.ident in completed for message in self.record.messages):
                 return
             await asyncio.sleep(0.05)
 
-    def judge(self) -> list[Violation]:
+    def find_violations(self) -> list[Violation]:
         """All broken invariants, with what the couriers' own run-time checks counted."""
         self.record.failures = self.failures()
         for courier in self.couriers:
-            self.record.crashes += courier.faults_logged()
-            self.record.invariants += courier.invariants_broken()
-            if not courier.running():
+            self.record.crashes += courier.logged_faults()
+            self.record.invariants += courier.broken_invariants()
+            if not courier.is_running():
                 self.record.crashes.append(f"{courier.name} ended by itself")
         capacities = {each.number: each.capacity for each in self.destinations}
-        return judge(self.record, capacities, self.rule, ONCE_ONLY, BOUNDS)
+        return find_violations(self.record, capacities, self.rule, ONCE_ONLY_PRODUCTS, TIME_LIMITS)
 
 
-async def ready(address: tuple[str, int]) -> bool:
+async def is_ready(address: tuple[str, int]) -> bool:
     """Whether a courier answers that it is ready."""
     try:
         reader, writer = await asyncio.open_connection(*address)
--- a/calicopin/soak/plan.py
+++ b/calicopin/soak/plan.py
@@ -3,19 +3,19 @@
 import random
 from dataclasses import dataclass
 
-from calicopin.soak.destination import OUTAGES
+from calicopin.soak.destination import OUTAGE_MODES
 from calicopin.soak.fleet import DestinationPlan
 from calicopin.soak.rules import SlowStart
 
-RULES = (
+SLOW_START_RULES = (
     SlowStart(cold_from=0.16, cold=8.0, multiple=2.5, span=3.0),
     SlowStart(cold_from=0.2, cold=6.0, multiple=2.0, span=2.0),
     SlowStart(cold_from=0.3, cold=8.0, multiple=1.5, span=3.0),
 )
-FEWEST, MOST = 10, 40  # couriers
-FOLDER_CALLS = ("write", "create", "replace")  # a folder that refuses does so for each call
-LONGEST_REFUSAL = 12.0  # s
-LOAD = (0.5, 1.1)  # of what a destination takes
+MIN_COURIERS, MAX_COURIERS = 10, 40  # couriers
+FILE_WRITE_CALLS = ("write", "create", "replace")  # a folder that refuses does so for each call
+MAX_FILE_FAULT_SECONDS = 12.0  # s
+LOAD_RANGE = (0.5, 1.1)  # of what a destination takes
 SYSTEM_ERRORS = {  # what Linux documents for the call, as far as a courier meets it
     "accept": (
         "EINTR",
@@ -127,7 +127,7 @@
     system: tuple[SystemFault, ...]
     drains: tuple[DrainStep, ...] = ()
 
-    def told(self) -> str:
+    def summary(self) -> str:
         """The plan in one line."""
         outages = ", ".join(f"{o.destination} {o.how} {o.at:.1f}+{o.length:.1f}" for o in self.outages)
         restarts = ", ".join(
@@ -141,11 +141,11 @@
         )
 
 
-def draw(seed: int, seconds: float = 30.0, couriers: int | None = None) -> Plan:
+def draw_plan(seed: int, seconds: float = 30.0, couriers: int | None = None) -> Plan:
     """The plan of a seed: one or two outages for each destination, restarts laid so that they overlap with
     outages and returns, and other faults at any time."""
     rng = random.Random(f"soak/{seed}")
-    rule = rng.choice(RULES)
+    rule = rng.choice(SLOW_START_RULES)
     destinations = tuple(
         DestinationPlan(
             capacity=rng.uniform(3.0, 12.0),
@@ -155,17 +155,17 @@
         )
         for _ in range(rng.randint(2, 4))
     )
-    outages = tuple(_outage(rng, number, seconds) for number in range(len(destinations)))
+    outages = tuple(_draw_outage(rng, number, seconds) for number in range(len(destinations)))
     return Plan(
         seed=seed,
-        couriers=couriers or rng.randint(FEWEST, MOST),
+        couriers=couriers or rng.randint(MIN_COURIERS, MAX_COURIERS),
         seconds=seconds,
         rule=rule,
         destinations=destinations,
-        load=rng.uniform(*LOAD),
+        load=rng.uniform(*LOAD_RANGE),
         skew=rng.uniform(1.2, 3.0),
         outages=outages,
-        restarts=tuple(sorted(_restarts(rng, outages, seconds), key=lambda step: step.at)),
+        restarts=tuple(sorted(_draw_restarts(rng, outages, seconds), key=lambda step: step.at)),
         stalls=tuple(
             StallStep(rng.uniform(0.0, seconds), rng.uniform(0.1, 0.5), rng.uniform(0.05, 0.15))
             for _ in range(rng.randint(0, 6))
@@ -174,7 +174,7 @@
             SilenceStep(rng.uniform(0.0, seconds * 0.6), rng.uniform(2.0, 8.0))
             for _ in range(rng.randint(0, 1))
         ),
-        system=tuple(_system_fault(rng, seconds) for _ in range(rng.randint(0, 5))),
+        system=tuple(_draw_system_fault(rng, seconds) for _ in range(rng.randint(0, 5))),
         drains=tuple(
             DrainStep(rng.uniform(1.0, seconds), rng.uniform(0.2, 4.0), rng.randrange(len(destinations)))
             for _ in range(rng.randint(0, 4))
@@ -182,14 +182,14 @@
     )
 
 
-def _outage(rng: random.Random, destination: int, seconds: float) -> OutageStep:
+def _draw_outage(rng: random.Random, destination: int, seconds: float) -> OutageStep:
     length = rng.uniform(1.5, seconds * 0.4)
     return OutageStep(
-        rng.uniform(seconds * 0.1, seconds * 0.9 - length), length, destination, rng.choice(OUTAGES)
+        rng.uniform(seconds * 0.1, seconds * 0.9 - length), length, destination, rng.choice(OUTAGE_MODES)
     )
 
 
-def _restarts(rng: random.Random, outages: tuple[OutageStep, ...], seconds: float):
+def _draw_restarts(rng: random.Random, outages: tuple[OutageStep, ...], seconds: float):
     """Each is laid near the return of an outage, just before it or just behind it."""
     for _ in range(rng.randint(1, 3)):
         outage = rng.choice(outages)
@@ -202,7 +202,7 @@
         )
 
 
-def _system_fault(rng: random.Random, seconds: float) -> SystemFault:
+def _draw_system_fault(rng: random.Random, seconds: float) -> SystemFault:
     at, length, couriers = rng.uniform(0.0, seconds * 0.8), rng.uniform(0.5, 4.0), rng.uniform(0.2, 1.0)
     if rng.random() < 0.25:
         step = rng.choice((-3600.0, -5.0, 5.0, 3600.0))
@@ -210,6 +210,6 @@
     call = rng.choice(tuple(SYSTEM_ERRORS))
     error = rng.choice(SYSTEM_ERRORS[call])
     share = rng.uniform(0.02, 0.1) if call in ("send", "recv") and error != "short" else rng.uniform(0.1, 0.9)
-    if call in FOLDER_CALLS:
-        share, length = 1.0, rng.uniform(0.5, LONGEST_REFUSAL)
+    if call in FILE_WRITE_CALLS:
+        share, length = 1.0, rng.uniform(0.5, MAX_FILE_FAULT_SECONDS)
     return SystemFault(at, length, couriers, call, share, error)
--- a/calicopin/soak/platform.py
+++ b/calicopin/soak/platform.py
@@ -9,7 +9,7 @@
 from calicopin.soak.rules import Record
 
 LEFT = "left"
-LOOK = 0.02  # seconds between two looks whether it is silent still
+SILENCE_POLL_SECONDS = 0.02  # seconds between two looks whether it is silent still
 
 
 class Platform:
@@ -17,28 +17,28 @@
 
     def __init__(self, record: Record):
         self.record, self.silent, self.version = record, False, 1
-        self.servers: dict[str, dict] = {}  # entries of the list, by the endpoint's id
+        self.endpoints: dict[str, dict] = {}  # entries of the list, by the endpoint's id
         self.changes: list[tuple[int, dict]] = []  # the version that brought it, and the entry
         self.changed = asyncio.Event()
-        self.told: dict = self.listed()  # the list as couriers were told it last
-        self.server, self.port, self.lines = None, 0, set()
+        self.last_sent: dict = self.snapshot()  # the list as couriers were told it last
+        self.server, self.port, self.connections = None, 0, set()
 
-    def put(self, entry: dict) -> None:
+    def put_endpoint(self, entry: dict) -> None:
         """An endpoint is listed, changes, or goes (state `left`): told at once to all who watch."""
         self.version += 1
         if entry["state"] == LEFT:
-            self.servers.pop(entry["id"], None)
+            self.endpoints.pop(entry["id"], None)
         else:
-            self.servers[entry["id"]] = entry
+            self.endpoints[entry["id"]] = entry
         self.changes.append((self.version, entry))
         if not self.silent:
-            self.told = self.listed()
+            self.last_sent = self.snapshot()
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def start(self) -> None:
         """Listens on a port of its own."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=512)
+        self.server = await asyncio.start_server(self._serve_connection, "127.0.0.1", 0, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
 
     @property
@@ -46,55 +46,55 @@
         """As couriers are told it."""
         return f"127.0.0.1:{self.port}"
 
-    def listed(self) -> dict:
+    def snapshot(self) -> dict:
         """The whole list in its own form."""
-        return {"version": self.version, "full": True, "servers": list(self.servers.values())}
+        return {"version": self.version, "full": True, "servers": list(self.endpoints.values())}
 
     def close(self) -> None:
         """Ends it."""
         self.server.close()
-        for writer in list(self.lines):
+        for writer in list(self.connections):
             abort(writer)
 
-    async def _serve(self, reader, writer) -> None:
-        self.lines.add(writer)
+    async def _serve_connection(self, reader, writer) -> None:
+        self.connections.add(writer)
         try:
             while (request := await read_request(reader)) is not None:
-                method, target, _ = request.first.split(" ", 2)
+                method, target, _ = request.request_line.split(" ", 2)
                 if method == "POST":
-                    self._hear(request.body)
+                    self._record_notices(request.body)
                     writer.write(response(204))
                 else:
-                    writer.write(response(200, await self._list(target)))
+                    writer.write(response(200, await self._list_endpoints(target)))
                 await writer.drain()
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            self.lines.discard(writer)
+            self.connections.discard(writer)
             writer.close()
 
-    def _hear(self, body: bytes) -> None:
+    def _record_notices(self, body: bytes) -> None:
         for line in body.splitlines():
             self.record.notices.setdefault(json.loads(line)["ref"], time.monotonic())
 
-    async def _list(self, target: str) -> bytes:
+    async def _list_endpoints(self, target: str) -> bytes:
         query = parse_qs(urlsplit(target).query)
-        await self.speaks()
+        await self.wait_while_silent()
         if "index" not in query:
-            return json.dumps(self.listed()).encode()
+            return json.dumps(self.snapshot()).encode()
         known = int(query["index"][0])
-        until = time.monotonic() + float(query.get("wait", ["0"])[0]) / 1000.0
-        while self.version <= known and (left := until - time.monotonic()) > 0.0:
+        deadline = time.monotonic() + float(query.get("wait", ["0"])[0]) / 1000.0
+        while self.version <= known and (remaining := deadline - time.monotonic()) > 0.0:
             try:
-                await asyncio.wait_for(self.changed.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining)
             except TimeoutError:
                 break
-        await self.speaks()
-        news = [entry for version, entry in self.changes if version > known]
-        return json.dumps({"version": self.version, "full": False, "servers": news}).encode()
+        await self.wait_while_silent()
+        changed = [entry for version, entry in self.changes if version > known]
+        return json.dumps({"version": self.version, "full": False, "servers": changed}).encode()
 
-    async def speaks(self) -> None:
+    async def wait_while_silent(self) -> None:
         """Waits until discovery is not silent; from then on couriers can hear what has changed."""
         while self.silent:
-            await asyncio.sleep(LOOK)
-        self.told = self.listed()
+            await asyncio.sleep(SILENCE_POLL_SECONDS)
+        self.last_sent = self.snapshot()
--- a/calicopin/soak/rules.py
+++ b/calicopin/soak/rules.py
@@ -8,14 +8,14 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-FEW = 30.0  # up to this budget the wider allowance for chance holds
-TOLD_SHARE = 2.0 / 3.0  # of the calls in a window: from there on the excess is the couriers' own
-ANSWER_SLACK = 0.5  # seconds past a message's time until its end has to be known
-SEEN = 0.1  # seconds until a destination has seen that a call's connection was closed
-RESTART_GRACE = 1.5  # seconds behind a restart's readiness in which no end is overdue
-TIME_SLACK = 0.05  # seconds by which every time limit is longer on sockets
-STAND_IN_LATE = 0.25  # seconds that a stand-in may take to read what lies there, on a busy machine
-WAIT_SLACK = 0.1  # seconds behind an answer with a wait in which calls are let through
+SMALL_BUDGET = 30.0  # up to this budget the wider allowance for chance holds
+AFFECTED_SHARE = 2.0 / 3.0  # of the calls in a window: from there on the excess is the couriers' own
+COMPLETION_SLACK_SECONDS = 0.5  # seconds past a message's time until its end has to be known
+CLOSE_DETECTION_SECONDS = 0.1  # seconds until a destination has seen that a call's connection was closed
+RESTART_GRACE_SECONDS = 1.5  # seconds behind a restart's readiness in which no end is overdue
+SOCKET_SLACK_SECONDS = 0.05  # seconds by which every time limit is longer on sockets
+READ_DELAY_SECONDS = 0.25  # seconds that a stand-in may take to read what lies there, on a busy machine
+WAIT_SLACK_SECONDS = 0.1  # seconds behind an answer with a wait in which calls are let through
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class TimeLimits:
     """Times of the settings that other rules go by, in seconds: how long behind a drain a call may still
     begin, and how long a key rests behind a call that may still be running.
     """
@@ -43,9 +43,9 @@
     """One outage of a destination: when it began, when it was back, and how it failed."""
 
     destination: int
-    began: float
-    back: float
-    how: str
+    began_at: float
+    recovered_at: float
+    mode: str
 
 
 @dataclass(slots=True)
@@ -80,19 +80,19 @@
     courier: str
     destination: int
     product: str
-    until: float
-    taken: float
+    deadline: float
+    accepted_at: float
     key: str | None = None  # messages of one key at one courier run in order
 
 
 @dataclass(frozen=True, slots=True)
-class WaitTold:
+class RequestedWait:
     """A destination told a courier to wait so many seconds."""
 
     at: float
     courier: str
     destination: int
-    wait: float
+    seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
     """
 
     endpoint: str
-    told: float
+    announced_at: float
     excused: frozenset[str] = frozenset()
 
 
@@ -115,8 +115,8 @@
     failures: list[Failure] = field(default_factory=list)
     messages: list[Message] = field(default_factory=list)
     notices: dict[str, float] = field(default_factory=dict)  # when each was heard first
-    waits: list[WaitTold] = field(default_factory=list)
-    kills: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
+    waits: list[RequestedWait] = field(default_factory=list)
+    restarts: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     # of each courier: when a process ended, and when the next one was ready
     unanswered: list[str] = field(default_factory=list)  # read by a live courier and closed with no answer
     crashes: list[str] = field(default_factory=list)
@@ -134,14 +134,14 @@
 
 def allowed_calls(budget: float) -> float:
     """The calls that a cold destination bears before it falls, from the budget that the settings give."""
-    if budget >= FEW:
+    if budget >= SMALL_BUDGET:
         return budget + 2.0 * budget**0.5 + 2.0
     return budget + 3.0 * budget**0.5 + 3.0
 
 
-def capacity_share(rule: SlowStart, back: float, at: float) -> float:
+def capacity_share(rule: SlowStart, recovered_at: float, at: float) -> float:
     """The share of its capacity that a destination has, so long after its return."""
-    return rule.cold_from + (1.0 - rule.cold_from) * min(1.0, max(0.0, at - back) / rule.cold)
+    return rule.cold_from + (1.0 - rule.cold_from) * min(1.0, max(0.0, at - recovered_at) / rule.cold)
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,14 +158,14 @@
         return self.calls - self.allowed
 
 
-def met_outage(record: Record, outage: Outage) -> set[str]:
+def affected_couriers(record: Record, outage: Outage) -> set[str]:
     """The couriers that saw a call fail there during the outage. A call that a courier's own end cut off it
     did not see fail.
     """
     return {
         failure.courier
         for failure in record.failures
-        if failure.destination == outage.destination and outage.began <= failure.at < outage.back
+        if failure.destination == outage.destination and outage.began_at <= failure.at < outage.recovered_at
     }
 
 
@@ -173,172 +173,182 @@
     """The window behind a return with the largest excess of which over two thirds came from couriers that
     had met the outage, a restart between or not. `capacity` is calls a second.
     """
-    told = met_outage(record, outage)
-    later = [one.began for one in record.outages if one.destination == outage.destination]
-    end = min([at for at in later if at > outage.back], default=float("inf"))
-    end = min(end, outage.back + rule.cold + rule.span)
+    affected = affected_couriers(record, outage)
+    next_outages = [other.began_at for other in record.outages if other.destination == outage.destination]
+    end = min([at for at in next_outages if at > outage.recovered_at], default=float("inf"))
+    end = min(end, outage.recovered_at + rule.cold + rule.span)
     calls = sorted(
-        (arrival.at, arrival.courier in told)
+        (arrival.at, arrival.courier in affected)
         for arrival in record.arrivals
-        if arrival.destination == outage.destination and outage.back <= arrival.at < end
+        if arrival.destination == outage.destination and outage.recovered_at <= arrival.at < end
     )
     times, worst = [at for at, _ in calls], None
-    for place, at in enumerate(times):
-        begin = max(outage.back, at - rule.span)
+    for position, at in enumerate(times):
+        begin = max(outage.recovered_at, at - rule.span)
         first = bisect_left(times, begin)
-        count = place + 1 - first
-        if sum(knew for _, knew in calls[first : place + 1]) <= TOLD_SHARE * count:
+        count = position + 1 - first
+        if sum(is_affected for _, is_affected in calls[first : position + 1]) <= AFFECTED_SHARE * count:
             continue
-        share = (capacity_share(rule, outage.back, begin) + capacity_share(rule, outage.back, at)) / 2.0
-        window = Window(at - outage.back, count, allowed_calls(rule.multiple * capacity * share * rule.span))
+        share = (
+            capacity_share(rule, outage.recovered_at, begin) + capacity_share(rule, outage.recovered_at, at)
+        ) / 2.0
+        window = Window(
+            at - outage.recovered_at, count, allowed_calls(rule.multiple * capacity * share * rule.span)
+        )
         if worst is None or window.excess > worst.excess:
             worst = window
     return worst
 
 
-def judge_slow_start(record: Record, capacities: dict[int, float], rule: SlowStart) -> list[Violation]:
+def check_slow_start(record: Record, capacities: dict[int, float], rule: SlowStart) -> list[Violation]:
     """Every return of a destination that was sent more than its budget."""
-    found = []
+    violations = []
     for outage in record.outages:
         worst = worst_window(record, outage, capacities[outage.destination], rule)
         if worst is not None and worst.excess > 0.0:
             what = (
-                f"destination {outage.destination}, back from {outage.how}: {worst.calls} calls in the "
+                f"destination {outage.destination}, back from {outage.mode}: {worst.calls} calls in the "
                 f"{rule.span:g} s up to {worst.end:.2f} s behind its return, {worst.allowed:.1f} are borne"
             )
-            found.append(Violation("failback", what))
-    return found
+            violations.append(Violation("failback", what))
+    return violations
 
 
-def judge_ends(record: Record) -> list[Violation]:
+def check_completion(record: Record) -> list[Violation]:
     """Each message that was taken on has one end in its time: a call that ran, or a notice."""
-    heard = defaultdict(list)
+    answered_at = defaultdict(list)
     for arrival in record.arrivals:
         if arrival.outcome == "delivered":
             for ident in arrival.messages:
-                heard[ident].append(arrival.answered)
-    found = []
+                answered_at[ident].append(arrival.answered)
+    violations = []
     for message in record.messages:
-        ends = [at for at in heard[message.ident] if at is not None]
+        completed_at = [at for at in answered_at[message.ident] if at is not None]
         if message.ident in record.notices:
-            ends.append(record.notices[message.ident])
-        limit = due(record, message)
-        if not ends:
-            found.append(Violation("lost", f"{message.ident} was taken on and has no end"))
-        elif min(ends) > limit:
-            late = min(ends) - message.until
-            found.append(Violation("lost", f"{message.ident} ended {late:.2f} s behind its time"))
-    return found
+            completed_at.append(record.notices[message.ident])
+        limit = completion_limit(record, message)
+        if not completed_at:
+            violations.append(Violation("lost", f"{message.ident} was taken on and has no end"))
+        elif min(completed_at) > limit:
+            late = min(completed_at) - message.deadline
+            violations.append(Violation("lost", f"{message.ident} ended {late:.2f} s behind its time"))
+    return violations
 
 
-def due(record: Record, message: Message) -> float:
+def completion_limit(record: Record, message: Message) -> float:
     """When a message's end has to be known; none is overdue while its courier is down."""
-    limit = message.until + ANSWER_SLACK
-    for ended, ready in record.kills.get(message.courier, ()):
+    limit = message.deadline + COMPLETION_SLACK_SECONDS
+    for ended, ready in record.restarts.get(message.courier, ()):
         if ended <= limit:
-            limit = max(limit, ready + RESTART_GRACE)
+            limit = max(limit, ready + RESTART_GRACE_SECONDS)
     return limit
 
 
-def judge_copies(record: Record, once_only: set[str]) -> list[Violation]:
+def check_duplicates(record: Record, once_only: set[str]) -> list[Violation]:
     """What may go once only runs once, and no two calls with one message are out at a time."""
     calls = defaultdict(list)
     for arrival in record.arrivals:
         for ident in arrival.messages:
             calls[ident].append(arrival)
-    found = []
+    violations = []
     for message in record.messages:
-        mine = sorted(calls[message.ident], key=lambda arrival: arrival.at)
-        ran = [arrival for arrival in mine if arrival.outcome not in ("refused", "unread")]
+        own_calls = sorted(calls[message.ident], key=lambda arrival: arrival.at)
+        ran = [arrival for arrival in own_calls if arrival.outcome not in ("refused", "unread")]
         if message.product in once_only and len(ran) > 1:
-            found.append(Violation("duplicate", f"{message.ident} may run once and was run {len(ran)} times"))
-        for first, second in zip(mine, mine[1:], strict=False):
-            if first.ended is not None and second.at < first.ended - SEEN:
-                found.append(Violation("duplicate", f"two calls with {message.ident} were out at a time"))
-    return found
+            violations.append(
+                Violation("duplicate", f"{message.ident} may run once and was run {len(ran)} times")
+            )
+        for first, second in zip(own_calls, own_calls[1:], strict=False):
+            if first.ended is not None and second.at < first.ended - CLOSE_DETECTION_SECONDS:
+                violations.append(
+                    Violation("duplicate", f"two calls with {message.ident} were out at a time")
+                )
+    return violations
 
 
-def judge_waits(record: Record) -> list[Violation]:
+def check_waits(record: Record) -> list[Violation]:
     """Nothing arrives from a courier before the wait that it was told is over; a restart ends the wait."""
-    by_pair, found = defaultdict(list), []
+    by_pair, violations = defaultdict(list), []
     for arrival in record.arrivals:
         by_pair[arrival.courier, arrival.destination].append(arrival.at)
-    for told in record.waits:
-        ends = told.at + told.wait
-        for ended, _ in record.kills.get(told.courier, ()):
-            if told.at <= ended < ends:
-                ends = ended
+    for wait in record.waits:
+        wait_end = wait.at + wait.seconds
+        for ended, _ in record.restarts.get(wait.courier, ()):
+            if wait.at <= ended < wait_end:
+                wait_end = ended
         early = [
-            at for at in by_pair[told.courier, told.destination] if told.at + WAIT_SLACK < at < ends - 0.02
+            at
+            for at in by_pair[wait.courier, wait.destination]
+            if wait.at + WAIT_SLACK_SECONDS < at < wait_end - 0.02
         ]
         if early:
             what = (
-                f"{told.courier} called destination {told.destination} {ends - early[0]:.2f} s before a wait "
-                "was over"
+                f"{wait.courier} called destination {wait.destination} {wait_end - early[0]:.2f} s before "
+                "the requested wait was over"
             )
-            found.append(Violation("wait", what))
-    return found
+            violations.append(Violation("wait", what))
+    return violations
 
 
-def judge_drains(record: Record, grace: float) -> list[Violation]:
+def check_drains(record: Record, grace: float) -> list[Violation]:
     """No call begins at an endpoint later than `grace` (s) behind the moment in which couriers were told that
     it takes no new ones.
     """
-    found = []
+    violations = []
     for drain in record.drains:
-        limit = drain.told + grace + TIME_SLACK + STAND_IN_LATE
+        limit = drain.announced_at + grace + SOCKET_SLACK_SECONDS + READ_DELAY_SECONDS
         for arrival in record.arrivals:
             if arrival.endpoint != drain.endpoint or arrival.courier in drain.excused:
                 continue
             if arrival.began > limit:
-                late = arrival.began - drain.told
+                late = arrival.began - drain.announced_at
                 what = f"{arrival.courier} called {drain.endpoint} {late:.2f} s behind its drain"
-                found.append(Violation("drain", what))
-    return found
+                violations.append(Violation("drain", what))
+    return violations
 
 
-def judge_order(record: Record, settle: float) -> list[Violation]:
+def check_order(record: Record, settle: float) -> list[Violation]:
     """Messages of one key run one at a time, in the order in which their courier took them, and `settle` (s)
     behind a call that may still be running.
     """
-    calls, lines, found = defaultdict(list), defaultdict(list), []
+    calls, sequences, violations = defaultdict(list), defaultdict(list), []
     for arrival in record.arrivals:
         for ident in arrival.messages:
             calls[ident].append(arrival)
-    for message in sorted(record.messages, key=lambda each: each.taken):
+    for message in sorted(record.messages, key=lambda each: each.accepted_at):
         if message.key is not None:
-            lines[message.courier, message.key].append(message)
-    for (courier, key), line in lines.items():
-        for place, message in enumerate(line):
-            earlier = [arrival for other in line[:place] for arrival in calls[other.ident]]
+            sequences[message.courier, message.key].append(message)
+    for (courier, key), sequence in sequences.items():
+        for position, message in enumerate(sequence):
+            earlier = [arrival for other in sequence[:position] for arrival in calls[other.ident]]
             for arrival in calls[message.ident]:
-                if any(out_of_turn(arrival, other, settle) for other in earlier):
+                if any(breaks_order(arrival, other, settle) for other in earlier):
                     what = f"{message.ident} of key {key} at {courier} did not wait for its turn"
-                    found.append(Violation("order", what))
-    return found
+                    violations.append(Violation("order", what))
+    return violations
 
 
-def out_of_turn(arrival: Arrival, earlier: Arrival, settle: float) -> bool:
+def breaks_order(arrival: Arrival, earlier: Arrival, settle: float) -> bool:
     """Whether a call began before one with an earlier message of its key, while that was out, or too soon
     behind it.
     """
     if arrival.at < earlier.at:
         return True
-    may_run_on = earlier.outcome in ("hung", "reset", "abandoned", "cut")
-    rest = settle if may_run_on else 0.0
-    return earlier.ended is not None and arrival.at < earlier.ended + rest - SEEN
+    may_still_run = earlier.outcome in ("hung", "reset", "abandoned", "cut")
+    pause = settle if may_still_run else 0.0
+    return earlier.ended is not None and arrival.at < earlier.ended + pause - CLOSE_DETECTION_SECONDS
 
 
-def judge(
-    record: Record, capacities: dict[int, float], rule: SlowStart, once_only: set[str], bounds: Bounds
+def find_violations(
+    record: Record, capacities: dict[int, float], rule: SlowStart, once_only: set[str], limits: TimeLimits
 ) -> list[Violation]:
     """All broken invariants of a run."""
-    found = [Violation("crash", what) for what in record.crashes]
-    found += [Violation("invariant", what) for what in record.invariants]
-    found += [Violation("lost", f"{what} was read and got no answer") for what in record.unanswered]
-    found += judge_slow_start(record, capacities, rule)
-    found += judge_ends(record)
-    found += judge_copies(record, once_only)
-    found += judge_drains(record, bounds.drain_grace)
-    found += judge_order(record, bounds.settle)
-    return found + judge_waits(record)
+    violations = [Violation("crash", what) for what in record.crashes]
+    violations += [Violation("invariant", what) for what in record.invariants]
+    violations += [Violation("lost", f"{what} was read and got no answer") for what in record.unanswered]
+    violations += check_slow_start(record, capacities, rule)
+    violations += check_completion(record)
+    violations += check_duplicates(record, once_only)
+    violations += check_drains(record, limits.drain_grace)
+    violations += check_order(record, limits.settle)
+    return violations + check_waits(record)
--- a/calicopin/soak/run.py
+++ b/calicopin/soak/run.py
@@ -8,16 +8,17 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from calicopin.soak.fleet import IN_ORDER, KEYS, PRODUCTS, Fleet
+from calicopin.soak.fleet import KEYS_PER_COURIER, ORDERED_PRODUCTS, PRODUCTS, Fleet
 from calicopin.soak.plan import Plan, SystemFault
 from calicopin.soak.rules import Violation, worst_window
 
-SHARES = (0.5, 0.25, 0.1, 0.15)  # of the products, as they stand
-LISTENING = ("socket", "connect", "send", "recv", "epoll_ctl")  # calls without which nobody hears of a drain
-MOST_SILENT = 8.0  # seconds that discovery may be silent, so that a drain is told later
-HEARS_AGAIN = 2.0  # seconds behind faults of these until a courier surely hears
-FIRST_START, START = 3.0, 0.15  # seconds for the start of all, and more for each courier
-SETTLED = 2.0  # seconds behind the last fault in which traffic goes on
+PRODUCT_SHARES = (0.5, 0.25, 0.1, 0.15)  # of the products, as they stand
+# A courier whose calls of these kinds fail may not learn of a drain.
+DISCOVERY_CALLS = ("socket", "connect", "send", "recv", "epoll_ctl")
+MAX_DISCOVERY_SILENCE_SECONDS = 8.0  # seconds that discovery may be silent, so that a drain is told later
+DISCOVERY_RECOVERY_SECONDS = 2.0  # seconds behind faults of these until a courier surely hears
+START_SECONDS, START_SECONDS_PER_COURIER = 3.0, 0.15  # time reserved for starting the whole fleet
+TRAFFIC_AFTER_FAULTS_SECONDS = 2.0  # seconds behind the last fault in which traffic goes on
 
 
 @dataclass(slots=True)
@@ -34,7 +35,7 @@
     violations: list[Violation] = field(default_factory=list)
 
 
-async def play(plan: Plan, folder: Path) -> Verdict:
+async def run_soak(plan: Plan, folder: Path) -> Verdict:
     """One run; raises NotReadyError where a courier does not come up."""
     fleet = Fleet(folder, plan.couriers, plan.destinations, plan.rule, plan.seed)
     try:
@@ -49,16 +50,16 @@
     def __init__(self, plan: Plan, fleet: Fleet):
         self.plan, self.fleet = plan, fleet
         self.rng = random.Random(f"soak/{plan.seed}/traffic")
-        self.began, self.down, self.refused = 0.0, set(), 0
+        self.traffic_start, self.down, self.refused = 0.0, set(), 0
         self.tasks: list[asyncio.Task] = []
-        self.turns: dict[tuple[str, str], asyncio.Lock] = defaultdict(asyncio.Lock)  # by courier and key
+        self.key_locks: dict[tuple[str, str], asyncio.Lock] = defaultdict(asyncio.Lock)  # by courier and key
 
     async def run(self) -> Verdict:
         """Start, traffic under faults, the ends of all messages, and the verdict."""
         plan, fleet = self.plan, self.fleet
-        self.began = time.monotonic() + FIRST_START + START * plan.couriers
-        await fleet.start(lambda number: told_faults(plan, self.began, number))
-        self.began = max(self.began, time.monotonic())
+        self.traffic_start = time.monotonic() + START_SECONDS + START_SECONDS_PER_COURIER * plan.couriers
+        await fleet.start(lambda number: courier_faults(plan, self.traffic_start, number))
+        self.traffic_start = max(self.traffic_start, time.monotonic())
         steps = [self._outage(step) for step in plan.outages]
         steps += [self._stall(step) for step in plan.stalls]
         steps += [self._silence(step) for step in plan.silences]
@@ -67,19 +68,19 @@
         steps += [self._traffic(number) for number in range(len(plan.destinations))]
         await asyncio.gather(*steps)
         await asyncio.gather(*self.tasks)
-        await fleet.wait_for_ends()
+        await fleet.wait_for_completion()
         return self._verdict()
 
     def _verdict(self) -> Verdict:
         plan, fleet = self.plan, self.fleet
-        violations = fleet.judge()
+        violations = fleet.find_violations()
         windows = [
             worst_window(fleet.record, outage, plan.destinations[outage.destination].capacity, plan.rule)
             for outage in fleet.record.outages
         ]
         return Verdict(
             seed=plan.seed,
-            plan=plan.told(),
+            plan=plan.summary(),
             messages=len(fleet.record.messages),
             arrivals=len(fleet.record.arrivals),
             refused=self.refused,
@@ -88,10 +89,10 @@
             violations=violations,
         )
 
-    async def _until(self, at: float) -> None:
-        await asyncio.sleep(max(0.0, self.began + at - time.monotonic()))
+    async def _sleep_until(self, at: float) -> None:
+        await asyncio.sleep(max(0.0, self.traffic_start + at - time.monotonic()))
 
-    def _some(self, share: float, salt: str) -> list:
+    def _sample_couriers(self, share: float, salt: str) -> list:
         """That share of the couriers, the same ones each time."""
         rng = random.Random(f"soak/{self.plan.seed}/{salt}")
         return rng.sample(self.fleet.couriers, max(1, round(share * len(self.fleet.couriers))))
@@ -104,21 +105,21 @@
         rng = random.Random(f"soak/{plan.seed}/traffic/{destination}")
         shares = [rng.paretovariate(plan.skew) for _ in fleet.couriers]
         rate, at = plan.destinations[destination].capacity * plan.load, 0.0
-        while (at := at + rng.expovariate(rate)) < plan.seconds + SETTLED:
+        while (at := at + rng.expovariate(rate)) < plan.seconds + TRAFFIC_AFTER_FAULTS_SECONDS:
             courier = rng.choices(fleet.couriers, shares)[0]
-            product = rng.choices(PRODUCTS, SHARES)[0]
-            await self._until(at)
-            self.tasks.append(asyncio.create_task(self._hand_in(courier, destination, product)))
+            product = rng.choices(PRODUCTS, PRODUCT_SHARES)[0]
+            await self._sleep_until(at)
+            self.tasks.append(asyncio.create_task(self._send_message(courier, destination, product)))
 
-    async def _hand_in(self, courier, destination: int, product: dict) -> None:
+    async def _send_message(self, courier, destination: int, product: dict) -> None:
         """Of one key a message is handed in behind the answer to the one before."""
-        name, left = product["name"], product["giveUp"]
-        if name in IN_ORDER:
-            key = f"k{self.rng.randrange(KEYS)}"
-            async with self.turns[courier.name, key]:
-                status = await self.fleet.hand_in(courier, destination, name, left, key)
+        name, validity = product["name"], product["giveUp"]
+        if name in ORDERED_PRODUCTS:
+            key = f"k{self.rng.randrange(KEYS_PER_COURIER)}"
+            async with self.key_locks[courier.name, key]:
+                status = await self.fleet.hand_in(courier, destination, name, validity, key)
         else:
-            status = await self.fleet.hand_in(courier, destination, name, left)
+            status = await self.fleet.hand_in(courier, destination, name, validity)
         self.refused += status in (429, 503)
         if status == 404:
             self.fleet.record.crashes.append(f"{courier.name} does not know destination {destination}")
@@ -126,64 +127,68 @@
     # Faults.
 
     async def _outage(self, step) -> None:
-        await self._until(step.at)
+        await self._sleep_until(step.at)
         await self.fleet.begin_outage(step.destination, step.how)
-        await self._until(step.at + step.length)
+        await self._sleep_until(step.at + step.length)
         await self.fleet.end_outage(step.destination)
 
     async def _restarts(self) -> None:
         """One after the other: a courier is not ended while it starts."""
         for number, step in enumerate(self.plan.restarts):
-            await self._until(step.at)
-            some = self._some(step.share, f"restart/{number}")
-            await self.fleet.restart(some, step.down, step.gently)
+            await self._sleep_until(step.at)
+            affected = self._sample_couriers(step.share, f"restart/{number}")
+            await self.fleet.restart(affected, step.down, step.gently)
 
     async def _stall(self, step) -> None:
-        await self._until(step.at)
-        some = self._some(step.share, f"stall/{step.at}")
-        for courier in some:
+        await self._sleep_until(step.at)
+        affected = self._sample_couriers(step.share, f"stall/{step.at}")
+        for courier in affected:
             courier.signal(signal.SIGSTOP)
         await asyncio.sleep(step.length)
-        for courier in some:
+        for courier in affected:
             courier.signal(signal.SIGCONT)
 
     async def _drain(self, step) -> None:
-        await self._until(step.at)
+        await self._sleep_until(step.at)
         excused = {
             courier.name
             for number, courier in enumerate(self.fleet.couriers)
-            for place, fault in enumerate(self.plan.system)
-            if fault.call in LISTENING
-            and struck(self.plan, place, number)
-            and fault.at < step.at + MOST_SILENT
-            and fault.at + fault.length > step.at - HEARS_AGAIN
+            for position, fault in enumerate(self.plan.system)
+            if fault.call in DISCOVERY_CALLS
+            and is_affected(self.plan, position, number)
+            and fault.at < step.at + MAX_DISCOVERY_SILENCE_SECONDS
+            and fault.at + fault.length > step.at - DISCOVERY_RECOVERY_SECONDS
         }
         await self.fleet.replace_endpoint(step.destination, step.stays, frozenset(excused))
 
     async def _silence(self, step) -> None:
-        await self._until(step.at)
+        await self._sleep_until(step.at)
         self.fleet.platform.silent = True
-        await self._until(step.at + step.length)
+        await self._sleep_until(step.at + step.length)
         self.fleet.platform.silent = False
 
 
-def told_faults(plan: Plan, began: float, courier: int) -> list[dict]:
+def courier_faults(plan: Plan, traffic_start: float, courier: int) -> list[dict]:
     """The faults of system calls of one courier, as its process is told them; `began` is when the traffic
     begins."""
-    return [_told(fault, began) for place, fault in enumerate(plan.system) if struck(plan, place, courier)]
+    return [
+        _fault_json(fault, traffic_start)
+        for position, fault in enumerate(plan.system)
+        if is_affected(plan, position, courier)
+    ]
 
 
-def struck(plan: Plan, place: int, courier: int) -> bool:
+def is_affected(plan: Plan, position: int, courier: int) -> bool:
     """Whether a courier meets a fault."""
-    rng = random.Random(f"soak/{plan.seed}/system/{place}/{courier}")
-    return rng.random() < plan.system[place].couriers
+    rng = random.Random(f"soak/{plan.seed}/system/{position}/{courier}")
+    return rng.random() < plan.system[position].couriers
 
 
-def _told(fault: SystemFault, began: float) -> dict:
+def _fault_json(fault: SystemFault, traffic_start: float) -> dict:
     return dict(
         call=fault.call,
-        begin=began + fault.at,
-        end=began + fault.at + fault.length,
+        begin=traffic_start + fault.at,
+        end=traffic_start + fault.at + fault.length,
         share=fault.share,
         error=fault.error,
         step=fault.step,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,21 +11,21 @@
 import pytest
 
 from calicopin.soak import rules
-from calicopin.soak.__main__ import read_seeds
+from calicopin.soak.__main__ import parse_seeds
 from calicopin.soak.client import UNANSWERED, Clients, Request
 from calicopin.soak.destination import read_request, response
-from calicopin.soak.faulty_system import Fault, Faults, FaultySystem
+from calicopin.soak.faulty_system import Fault, FaultInjector, FaultySystem
 from calicopin.soak.fleet import DestinationPlan
-from calicopin.soak.plan import OutageStep, Plan, RestartStep, draw
+from calicopin.soak.plan import OutageStep, Plan, RestartStep, draw_plan
 from calicopin.soak.platform import Platform
-from calicopin.soak.rules import Arrival, Drain, Failure, Message, Outage, Record, SlowStart, WaitTold
-from calicopin.soak.run import play, struck, told_faults
+from calicopin.soak.rules import Arrival, Drain, Failure, Message, Outage, Record, RequestedWait, SlowStart
+from calicopin.soak.run import courier_faults, is_affected, run_soak
 
 RULE = SlowStart(cold_from=0.2, cold=10.0, multiple=2.0, span=3.0)
 OUTAGE = Outage(0, 10.0, 20.0, "errors")
 
 
-def calls(times, courier="c0", **other):
+def arrivals(times, courier="c0", **other):
     return [Arrival(at, courier, 0, (f"{courier}.{place}",), **other) for place, at in enumerate(times)]
 
 
@@ -37,54 +37,57 @@
 
 def test_the_worst_window_counts_those_that_were_told_also_over_a_restart():
     record = Record(outages=[OUTAGE], failures=[Failure(12.0, "c0", 0)])
-    record.arrivals = calls([20.1 + turn * 0.01 for turn in range(40)])
-    record.kills["c0"] = [(19.0, 19.8)]
+    record.arrivals = arrivals([20.1 + number * 0.01 for number in range(40)])
+    record.restarts["c0"] = [(19.0, 19.8)]
     worst = rules.worst_window(record, OUTAGE, 4.0, RULE)
     assert worst.calls == 40 and worst.excess > 0.0
-    (found,) = rules.judge_slow_start(record, {0: 4.0}, RULE)
+    (found,) = rules.check_slow_start(record, {0: 4.0}, RULE)
     assert found.rule == "failback" and "40 calls" in found.what
 
 
 @pytest.mark.parametrize("failure", [Failure(9.9, "c0", 0), Failure(20.0, "c0", 0), Failure(12.0, "c0", 1)])
 def test_who_saw_nothing_fail_there_in_the_outage_is_not_told(failure):
     record = Record(outages=[OUTAGE], failures=[failure])
-    record.arrivals = calls([20.1 + turn * 0.01 for turn in range(40)])
-    assert rules.judge_slow_start(record, {0: 4.0}, RULE) == []
+    record.arrivals = arrivals([20.1 + number * 0.01 for number in range(40)])
+    assert rules.check_slow_start(record, {0: 4.0}, RULE) == []
 
 
 def test_a_message_without_an_end_or_with_a_late_one_is_lost_but_not_while_its_courier_is_down():
     messages = [Message(f"c0.{number}", "c0", 0, "order", 30.0, 10.0) for number in range(4)]
     record = Record(messages=messages, notices={"c0.1": 30.4, "c0.2": 32.0})
     record.arrivals = [Arrival(12.0, "c0", 0, ("c0.3",), "delivered", 12.1, 12.1)]
-    assert [found.what.split()[0] for found in rules.judge_ends(record)] == ["c0.0", "c0.2"]
-    record.kills["c0"] = [(29.0, 31.0)]
-    assert [found.what.split()[0] for found in rules.judge_ends(record)] == ["c0.0"]
+    assert [found.what.split()[0] for found in rules.check_completion(record)] == ["c0.0", "c0.2"]
+    record.restarts["c0"] = [(29.0, 31.0)]
+    assert [found.what.split()[0] for found in rules.check_completion(record)] == ["c0.0"]
 
 
 def test_a_second_run_of_what_may_run_once_and_two_calls_at_a_time_are_duplicates():
     once = Message("c0.0", "c0", 0, "once", 30.0, 10.0)
-    ran, refused = calls([11.0], outcome="error", ended=11.2), calls([11.5], outcome="refused", ended=11.5)
+    ran, refused = (
+        arrivals([11.0], outcome="error", ended=11.2),
+        arrivals([11.5], outcome="refused", ended=11.5),
+    )
     record = Record(messages=[once], arrivals=ran + refused)
-    assert rules.judge_copies(record, {"once"}) == []
-    record.arrivals += calls([12.0], outcome="delivered", ended=12.1)
-    assert [found.rule for found in rules.judge_copies(record, {"once"})] == ["duplicate"]
-    record = Record(messages=[once], arrivals=calls([11.0], ended=13.0) + calls([12.0], ended=13.0))
-    assert len(rules.judge_copies(record, set())) == 1
+    assert rules.check_duplicates(record, {"once"}) == []
+    record.arrivals += arrivals([12.0], outcome="delivered", ended=12.1)
+    assert [found.rule for found in rules.check_duplicates(record, {"once"})] == ["duplicate"]
+    record = Record(messages=[once], arrivals=arrivals([11.0], ended=13.0) + arrivals([12.0], ended=13.0))
+    assert len(rules.check_duplicates(record, set())) == 1
 
 
 def test_a_call_before_a_told_wait_is_over_is_seen_but_not_behind_a_restart():
-    record = Record(waits=[WaitTold(10.0, "c0", 0, 1.0)], arrivals=calls([10.05, 10.5]))
-    assert [found.rule for found in rules.judge_waits(record)] == ["wait"]
-    record.kills["c0"] = [(10.3, 10.4)]
-    assert rules.judge_waits(record) == []
+    record = Record(waits=[RequestedWait(10.0, "c0", 0, 1.0)], arrivals=arrivals([10.05, 10.5]))
+    assert [found.rule for found in rules.check_waits(record)] == ["wait"]
+    record.restarts["c0"] = [(10.3, 10.4)]
+    assert rules.check_waits(record) == []
 
 
 @pytest.mark.parametrize("late,excused,broken", [(0.5, (), False), (1.0, (), True), (1.0, ("c0",), False)])
 def test_a_call_behind_the_grace_of_a_drain_is_seen(late, excused, broken):
     record = Record(drains=[Drain("s-0-0", 10.0, frozenset(excused))])
-    record.arrivals = calls([10.0 + late], endpoint="s-0-0", began=10.0 + late)
-    record.arrivals += calls([12.0], endpoint="s-0-1", began=12.0)
-    assert [found.rule for found in rules.judge_drains(record, 0.5)] == ["drain"] * broken
+    record.arrivals = arrivals([10.0 + late], endpoint="s-0-0", began=10.0 + late)
+    record.arrivals += arrivals([12.0], endpoint="s-0-1", began=12.0)
+    assert [found.rule for found in rules.check_drains(record, 0.5)] == ["drain"] * broken
 
 
 @pytest.mark.parametrize(
@@ -104,17 +107,17 @@
         Arrival(first["at"], "c0", 0, ("c0.0",), first["outcome"], None, first["ended"]),
         Arrival(second, "c0", 0, ("c0.1",), "delivered", second + 0.1, second + 0.1),
     ]
-    assert [found.rule for found in rules.judge_order(record, 0.7)] == ["order"] * broken
+    assert [found.rule for found in rules.check_order(record, 0.7)] == ["order"] * broken
     record.messages[1].key = "k1"
-    assert rules.judge_order(record, 0.7) == []
+    assert rules.check_order(record, 0.7) == []
 
 
-async def answers_as_told(told):
+async def start_scripted_server(answers_by_connection):
     """A server that answers the requests on each connection as told, then closes it; the ids that it read."""
-    read, answers = [], iter(told)
+    read, connections = [], iter(answers_by_connection)
 
     async def serve(reader, writer):
-        for answer in next(answers):
+        for answer in next(connections):
             if (request := await read_request(reader)) is None:
                 break
             read.append(request.headers["x-request-id"])
@@ -127,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    "told,statuses,read",
+    "answers,statuses,read",
     [
         ([[response(202), response(503)]], [202, 503], ["c0.0", "c0.1"]),
         ([[response(202)], [response(202)]], [202, 202], ["c0.0", "c0.1"]),  # the close crosses the next one
@@ -136,46 +139,46 @@
     ],
 )
 def test_a_client_sends_once_more_what_crossed_a_close_and_tells_what_was_read_and_not_answered(
-    told, statuses, read
+    answers, statuses, read
 ):
-    async def play():
-        server, address, seen = await answers_as_told(told)
-        clients, record = Clients(Record()), []
+    async def scenario():
+        server, address, seen = await start_scripted_server(answers)
+        clients, received = Clients(Record()), []
         for number in range(len(statuses)):
-            record.append(await clients.hand_in(Request(f"c0.{number}", "c0", 0, "order", 9.0), address))
+            received.append(await clients.send(Request(f"c0.{number}", "c0", 0, "order", 9.0), address))
         clients.close()
         server.close()
-        return record, seen
+        return received, seen
 
-    assert asyncio.run(play()) == (statuses, read)
+    assert asyncio.run(scenario()) == (statuses, read)
 
 
 def test_the_platform_tells_a_change_at_once_and_nothing_while_it_is_silent():
-    async def play():
+    async def scenario():
         platform = Platform(Record())
-        platform.put(dict(id="s-0-0", state="active"))
+        platform.put_endpoint(dict(id="s-0-0", state="active"))
         known = platform.version
-        watch = asyncio.create_task(platform._list(f"/api/targets?index={known}&wait=20000"))
+        watch = asyncio.create_task(platform._list_endpoints(f"/api/targets?index={known}&wait=20000"))
         await asyncio.sleep(0)
         platform.silent = True
-        platform.put(dict(id="s-0-0", state="leaving"))
+        platform.put_endpoint(dict(id="s-0-0", state="leaving"))
         for _ in range(5):
             await asyncio.sleep(0)
         assert not watch.done()
         platform.silent = False
-        told = json.loads(await asyncio.wait_for(watch, 5.0))
-        platform.put(dict(id="s-0-0", state="left"))
-        return known, told, platform.listed()
+        changes = json.loads(await asyncio.wait_for(watch, 5.0))
+        platform.put_endpoint(dict(id="s-0-0", state="left"))
+        return known, changes, platform.snapshot()
 
-    known, told, listed = asyncio.run(play())
-    assert told == dict(version=known + 1, full=False, servers=[dict(id="s-0-0", state="leaving")])
+    known, changes, listed = asyncio.run(scenario())
+    assert changes == dict(version=known + 1, full=False, servers=[dict(id="s-0-0", state="leaving")])
     assert listed == dict(version=known + 2, full=True, servers=[])
 
 
 def test_a_seed_is_one_plan_and_its_restarts_lie_near_a_return():
-    assert draw(7) == draw(7) != draw(8)
+    assert draw_plan(7) == draw_plan(7) != draw_plan(8)
     for seed in range(30):
-        plan = draw(seed)
+        plan = draw_plan(seed)
         returns = [outage.at + outage.length for outage in plan.outages]
         assert 10 <= plan.couriers <= 40 and plan.restarts
         assert all(min(abs(step.at - back) for back in returns) <= 3.0 for step in plan.restarts)
@@ -183,48 +186,48 @@
 
 
 def test_seeds_are_read_as_a_list_or_a_range_and_else_refused():
-    assert read_seeds("3") == [3] and read_seeds("1..3") == [1, 2, 3] and read_seeds("1,9") == [1, 9]
+    assert parse_seeds("3") == [3] and parse_seeds("1..3") == [1, 2, 3] and parse_seeds("1,9") == [1, 9]
     with pytest.raises(Exception, match="neither a seed"):
-        read_seeds("some")
+        parse_seeds("some")
 
 
-def faulty(call, error="", **other):
+def system_with_fault(call, error="", **other):
     now = time.monotonic()
-    return FaultySystem(Faults([Fault(call, now - 1.0, now + 60.0, error=error, **other)], 1))
+    return FaultySystem(FaultInjector([Fault(call, now - 1.0, now + 60.0, error=error, **other)], 1))
 
 
 def test_system_calls_fail_as_told_and_only_those(tmp_path):
-    file = faulty("write", "ENOSPC").create(str(tmp_path / "one"))
+    file = system_with_fault("write", "ENOSPC").create(str(tmp_path / "one"))
     with pytest.raises(OSError) as fault:
-        faulty("write", "ENOSPC").write(file, b"12345678")
+        system_with_fault("write", "ENOSPC").write(file, b"12345678")
     assert fault.value.errno == errno.ENOSPC
-    assert faulty("write", "short").write(file, b"12345678") == 4
-    assert faulty("socket", "ENFILE").write(file, b"12345678") == 8
+    assert system_with_fault("write", "short").write(file, b"12345678") == 4
+    assert system_with_fault("socket", "ENFILE").write(file, b"12345678") == 8
     with pytest.raises(OSError):
-        faulty("socket", "ENFILE").stream()
-    assert abs(faulty("wall", step=3600.0).wall() / 1000.0 - time.time() - 3600.0) < 5.0
+        system_with_fault("socket", "ENFILE").stream()
+    assert abs(system_with_fault("wall", step=3600.0).wall() / 1000.0 - time.time() - 3600.0) < 5.0
 
 
 def test_a_connection_of_a_client_is_read_short_but_does_not_break():
-    system = faulty("recv", "short")
+    system = system_with_fault("recv", "short")
     listener = system.listen("127.0.0.1", 0)
     with socket.create_connection(listener.getsockname()) as client:
         client.sendall(b"hello")
         listener.setblocking(True)
         accepted, _ = listener.accept()
         assert accepted.recv(100) == b"h"
-        accepted.faults = faulty("recv", "ECONNRESET").faults
+        accepted.injector = system_with_fault("recv", "ECONNRESET").injector
         assert accepted.recv(100) == b"ello"
         accepted.close()
     listener.close()
 
 
 def test_faults_of_system_calls_strike_the_same_couriers_in_each_run():
-    plan = next(plan for plan in map(draw, range(50)) if len(plan.system) > 2)
-    told = [told_faults(plan, 100.0, number) for number in range(plan.couriers)]
-    assert told == [told_faults(plan, 100.0, number) for number in range(plan.couriers)]
-    assert any(struck(plan, 0, number) for number in range(plan.couriers))
-    assert all(fault["begin"] >= 100.0 for each in told for fault in each)
+    plan = next(plan for plan in map(draw_plan, range(50)) if len(plan.system) > 2)
+    faults = [courier_faults(plan, 100.0, number) for number in range(plan.couriers)]
+    assert faults == [courier_faults(plan, 100.0, number) for number in range(plan.couriers)]
+    assert any(is_affected(plan, 0, number) for number in range(plan.couriers))
+    assert all(fault["begin"] >= 100.0 for each in faults for fault in each)
 
 
 def small_plan(couriers=10):
@@ -250,7 +253,7 @@
 @pytest.mark.parametrize("variant", ["", "forgets"])
 def test_a_soak_keeps_the_rules_and_sees_a_courier_that_forgets_outages(tmp_path, monkeypatch, variant):
     monkeypatch.setenv("LB_SOAK_VARIANT", variant)
-    verdict = asyncio.run(play(small_plan(), tmp_path))
+    verdict = asyncio.run(run_soak(small_plan(), tmp_path))
     broken = {violation.rule for violation in verdict.violations}
     assert verdict.messages > 50 and verdict.delivered
     if variant:
