--- a/calicopin/soak/__init__.py
+++ b/calicopin/soak/__init__.py
@@ -1,3 +1,3 @@
-"""Randomized fault soak: real courier processes on loopback under faults that overlap in time, judged by the
-rules as invariants (`docs/soak.md`).
+"""Randomized fault soak: real courier processes on loopback under overlapping faults, checked against the
+delivery rules as invariants (`docs/soak.md`).
 """
--- a/calicopin/soak/client.py
+++ b/calicopin/soak/client.py
@@ -1,6 +1,4 @@
-"""Clients of a soak: each request is handed in once, over a connection that rested or a new one, and its
-answer noted.
-"""
+"""Clients of a soak: each request is sent once, over an idle or a new connection, and its answer recorded."""
 
 import asyncio
 import time
@@ -9,11 +7,11 @@
 
 from calicopin.soak.rules import Message, Record
 
-TIMEOUT_SECONDS = 0.4  # seconds that a client waits for its answer
+TIMEOUT_SECONDS = 0.4  # for connecting, and for an answer
 BODY = b"order 4711 confirmed"
-NO_CONNECTION, TIMED_OUT, UNANSWERED = 0, -1, -2  # in place of a status
-DUPLICATE_ID = 409  # the id is held, or has ended
-MAX_IDLE_CONNECTIONS = 3  # connections of one courier's clients
+NO_CONNECTION, TIMED_OUT, UNANSWERED = 0, -1, -2  # in place of an HTTP status
+DUPLICATE_ID = 409  # status: the id is in use or completed
+MAX_IDLE_CONNECTIONS = 3  # per courier
 
 Address = tuple[str, int]
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -21,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One message to hand in; `left` is the seconds in which it may be delivered, `key` that of its order."""
+    """One message to send; `validity_seconds` is its validity period, `key` its order key."""
 
     ident: str
     courier: str
@@ -32,7 +30,7 @@
 
 
 def encode_request(request: Request) -> bytes:
-    """The request's bytes."""
+    """The request as HTTP/1.1 bytes."""
     path = request.product if request.key is None else f"{request.product}/{request.key}"
     lines = [
         f"POST /{path} HTTP/1.1",
@@ -47,7 +45,7 @@
 
 
 async def read_status(reader: asyncio.StreamReader) -> int:
-    """The status of one whole answer; UNANSWERED where the connection ends before it."""
+    """The status of one complete answer; UNANSWERED if the connection ends before it."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
         lines = head.decode("latin-1").lower().split("\r\n")
@@ -59,14 +57,14 @@
 
 
 class Clients:
-    """All clients. Connections rest between requests, and are left to the couriers to close."""
+    """All clients. Connections stay open between requests; the couriers close them."""
 
     def __init__(self, record: Record):
         self.record = record
         self.idle: dict[Address, list[Connection]] = defaultdict(list)
 
     def close(self) -> None:
-        """Ends all connections that rest."""
+        """Closes all idle connections."""
         for connections in self.idle.values():
             for _, writer in connections:
                 writer.close()
@@ -77,20 +75,20 @@
         idle_connection = self._take_idle(address)
         if idle_connection is not None:
             status = await self._exchange(request, address, idle_connection)
-        if status == UNANSWERED:  # it crossed the close of a connection that rested, unread: once more
+        if status == UNANSWERED:  # the courier may have closed the idle connection: send once more
             try:
                 new_connection = await asyncio.wait_for(asyncio.open_connection(*address), TIMEOUT_SECONDS)
             except (OSError, TimeoutError):
                 return NO_CONNECTION
             status = await self._exchange(request, address, new_connection)
-            if status == DUPLICATE_ID and idle_connection is not None:  # it had been read
+            if status == DUPLICATE_ID and idle_connection is not None:  # the first attempt was read
                 return UNANSWERED
         if status == 202:
             self._record_message(request, sent_at)
         return status
 
     def _take_idle(self, address: Address) -> Connection | None:
-        """One that rests, unless its courier has closed it."""
+        """An idle connection that the courier has not closed, or None."""
         connections = self.idle[address]
         while connections:
             reader, writer = connections.pop()
--- a/calicopin/soak/courier.py
+++ b/calicopin/soak/courier.py
@@ -1,4 +1,4 @@
-"""One real courier process of a soak: started, killed, ended, held up, and read by its log."""
+"""One real courier process of a soak: starting, signalling and killing it, and reading its log."""
 
 import json
 import os
@@ -13,13 +13,13 @@
 from calicopin.scale.nodes import ROOT, free_port, process_resident
 from calicopin.soak.rules import Failure
 
-SHUTDOWN_TIMEOUT_SECONDS = 5.0  # seconds that a process has behind SIGTERM
-FAULTS_VARIABLE = "LB_SOAK_FAULTS"  # the faults of system calls, for `calicopin.soak.faulty_courier`
+SHUTDOWN_TIMEOUT_SECONDS = 5.0  # from SIGTERM to SIGKILL
+FAULTS_VARIABLE = "LB_SOAK_FAULTS"  # read by `calicopin.soak.faulty_courier`
 FAULT_EVENTS = ("turn.fault", "call.fault", "request.fault", "coroutine.fault", "coroutine.again")
 
 
 class CourierProcess:
-    """One courier with its folder and its log; `wall_offset` is wall time less monotonic time, in s."""
+    """One courier with its folder and its log; `wall_offset` is wall time minus monotonic time, in s."""
 
     def __init__(self, name: str, folder: Path, settings: dict, discovery: str, known: dict, seed: int):
         self.name, self.folder, self.port = name, folder, free_port()
@@ -41,7 +41,7 @@
         self.log_path = folder / "courier.log"
         self.wall_offset = time.time() - time.monotonic()
         self.process: subprocess.Popen | None = None
-        self.faults: list[dict] = []  # of system calls, as `faulty_system.Fault` has them
+        self.faults: list[dict] = []  # of system calls, with the fields of `faulty_system.Fault`
 
     @property
     def address(self) -> tuple[str, int]:
@@ -49,11 +49,11 @@
         return "127.0.0.1", self.port
 
     def configure(self, known: dict) -> None:
-        """What its next process is told, with the list as it is known by then."""
+        """Writes the configuration of its next process; `known` is the endpoint list known at its start."""
         self.config_path.write_text(json.dumps(self.base_config | dict(known=known)), "utf-8")
 
     def start(self) -> None:
-        """A new process with the folder as it is."""
+        """Starts a new process over the existing folder."""
         command = [sys.executable, "-m", "calicopin.soak.faulty_courier"]
         environment = os.environ | {
             "LB_CONFIG": str(self.config_path),
@@ -63,12 +63,12 @@
             self.process = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=log_file)
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Kills it (SIGKILL) and waits for its exit."""
         self.process.kill()
         self.process.wait()
 
     def terminate(self) -> int | None:
-        """SIGTERM, and SIGKILL where it has not ended in time; its exit code, None where it was killed."""
+        """Ends it by SIGTERM, or SIGKILL after a time-out; the exit code, or None if it was killed."""
         self.process.terminate()
         try:
             return self.process.wait(SHUTDOWN_TIMEOUT_SECONDS)
@@ -77,20 +77,20 @@
             return None
 
     def signal(self, number: signal.Signals) -> None:
-        """Any other signal, while it runs."""
+        """Sends a signal if it is running."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def is_running(self) -> bool:
-        """Whether its process has not ended."""
+        """Whether its process was started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def resident_bytes(self) -> int:
-        """Bytes that it holds resident."""
+        """Resident memory of its process."""
         return process_resident(self.process.pid)
 
     def records(self) -> Iterator[dict]:
-        """The lines of its log that are whole, as objects; other lines as events of the name `plain`."""
+        """The complete lines of its log as objects; lines that are no JSON as events named `plain`."""
         for line in self.log_path.read_text(errors="replace").splitlines():
             try:
                 yield json.loads(line)
@@ -98,7 +98,7 @@
                 yield {"event": "plain", "message": line}
 
     def failures(self) -> list[Failure]:
-        """The calls that it saw fail, by its log."""
+        """The failed calls in its log."""
         failures = []
         for entry in self.records():
             if entry.get("event") == "call.failed":
@@ -107,7 +107,7 @@
         return failures
 
     def logged_faults(self) -> list[str]:
-        """Lines on faults of its own; a turn that the disk refuses is none."""
+        """Log lines about faults in its own code, without turns that ended because a disk write failed."""
         return [
             f"{self.name}: {entry['message']}: {entry.get('exception', '')}"
             for entry in self.records()
@@ -115,7 +115,7 @@
         ]
 
     def broken_invariants(self) -> list[str]:
-        """What its own run-time checks counted."""
+        """The violations that its own run-time checks logged."""
         return [
             f"{self.name}: {entry['message']}"
             for entry in self.records()
@@ -124,5 +124,5 @@
 
 
 def is_disk_write_failure(entry: dict) -> bool:
-    """Whether a line tells of a turn that ended since a write failed."""
+    """Whether a log line reports a turn that ended because a write failed."""
     return entry["event"] == "turn.fault" and entry.get("exception", "").startswith("OSError(")
--- a/calicopin/soak/destination.py
+++ b/calicopin/soak/destination.py
@@ -1,5 +1,7 @@
-"""A stand-in destination on loopback: it answers, refuses, hangs, fails or resets, and is cold behind an
-outage. Its endpoints share its capacity and its faults; it notes each call that they have read.
+"""A simulated destination on loopback that delivers, refuses, hangs, fails or resets calls.
+
+After an outage its capacity is reduced for a while. Its endpoints share its capacity and its failure mode; it
+records each call that they read.
 """
 
 import asyncio
@@ -12,15 +14,16 @@
 
 from calicopin.soak.rules import Arrival, Record, RequestedWait, SlowStart, capacity_share
 
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close sends a reset
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: closing sends a reset
 HEADERS_END = b"\r\n\r\n"
+# `shut`: refuses each call with 503 or 429; `cut`: breaks off the answer of a call that ran.
 MODES = ("well", "errors", "hang", "refuse", "reset", "shut", "cut")
 OUTAGE_MODES = MODES[1:]
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request as it was read; `began` is when its first byte was there (s, monotonic)."""
+    """One request as it was read; `began` is when its first byte was read (s, monotonic)."""
 
     request_line: str
     headers: dict[str, str]
@@ -29,7 +32,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> Request | None:
-    """One request; None where the connection ends before it is whole."""
+    """One request; None if the connection ends before it is complete."""
     try:
         begin = await reader.readexactly(1)
         began = time.monotonic()
@@ -43,7 +46,7 @@
 
 
 async def closed_within(reader: asyncio.StreamReader, seconds: float) -> bool:
-    """Waits so long; whether the other side ended the connection meanwhile."""
+    """Whether the peer closes the connection within so many seconds."""
     try:
         await asyncio.wait_for(reader.read(1), seconds)
     except TimeoutError:
@@ -52,7 +55,7 @@
 
 
 def response(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """One whole HTTP/1.1 answer."""
+    """One complete HTTP/1.1 answer."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
@@ -60,7 +63,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One listening address of a destination; `server` is None while it takes no connections."""
+    """One listening address of a destination; `server` is None while it accepts no connections."""
 
     ident: str
     port: int = 0
@@ -68,21 +71,21 @@
 
 
 class Destination:
-    """One destination; `capacity` is the calls a second that it takes when warm, by all its endpoints.
+    """One destination; `capacity` is the calls per second that it takes at full capacity, over all endpoints.
 
-    Who calls is told by the messages' ids, which begin with the courier's name and a dot.
+    The caller is known from the message ids, which begin with the courier's name and a dot.
     """
 
     def __init__(self, number: int, capacity: float, rule: SlowStart, record: Record, answer_after: float):
         self.number, self.capacity, self.rule, self.record = number, capacity, rule, record
         self.answer_after, self.mode, self.recovered_at = answer_after, "well", float("-inf")
-        self.refusal_wait = 0.0  # seconds that refusals tell; 0: none
+        self.refusal_wait = 0.0  # seconds that refusals ask couriers to wait; 0: none
         self.accepted_at: list[float] = []
         self.endpoints: list[Endpoint] = []
         self.connections: set[asyncio.StreamWriter] = set()
 
     async def add_endpoint(self) -> Endpoint:
-        """One more endpoint; it listens unless connections are refused just now."""
+        """Adds an endpoint; it listens unless connections are refused at the moment."""
         endpoint = Endpoint(f"s-{self.number}-{len(self.endpoints)}")
         self.endpoints.append(endpoint)
         await self._listen(endpoint)
@@ -91,7 +94,7 @@
         return endpoint
 
     async def _listen(self, endpoint: Endpoint) -> None:
-        """On the same port as before where it has listened already."""
+        """Listens, on the previous port if it has listened before."""
         handler = partial(self._serve_connection, endpoint)
         endpoint.server = await asyncio.start_server(handler, "127.0.0.1", endpoint.port, backlog=512)
         endpoint.port = endpoint.server.sockets[0].getsockname()[1]
@@ -102,7 +105,10 @@
         endpoint.server = None
 
     async def set_mode(self, mode: str) -> None:
-        """Another mode from now on; what is out meets it too."""
+        """Switches the mode.
+
+        Open connections are reset if the new mode is `refuse` or `reset`, or the previous one was `hang`.
+        """
         previous, self.mode = self.mode, mode
         if mode == "well":
             self.recovered_at = time.monotonic()
@@ -117,7 +123,7 @@
                 abort(writer)
 
     async def close(self) -> None:
-        """Ends it."""
+        """Closes all endpoints and connections."""
         for endpoint in self.endpoints:
             if endpoint.server is not None:
                 self._stop_listening(endpoint)
@@ -137,7 +143,7 @@
             writer.close()
 
     async def _handle_call(self, endpoint: Endpoint, request: Request, reader, writer) -> bool:
-        """One call; whether its connection goes on."""
+        """Handles one call; whether its connection stays open."""
         bulk = request.request_line.startswith("POST /inbox/bulk")
         if bulk:
             idents = [entry["id"] for entry in json.loads(request.body)]
@@ -156,7 +162,7 @@
         mode = self.mode
         if mode == "hang":
             arrival.outcome = "hung"
-            await reader.read(1)  # until the courier gives it up, or the outage ends it
+            await reader.read(1)  # until the courier abandons the call or the outage ends
             return False
         if mode == "reset":
             arrival.outcome = "reset"
@@ -170,7 +176,7 @@
         if mode == "errors":
             arrival.outcome = "error"
             writer.write(response(500))
-        elif mode == "cut":  # the answer breaks off: the call ran
+        elif mode == "cut":  # the call ran, but its answer is incomplete
             arrival.outcome = "cut"
             writer.write(b"HTTP/1.1 20")
             await writer.drain()
@@ -196,7 +202,7 @@
         return True
 
     def _over_capacity(self, at: float) -> bool:
-        """Whether it has taken what it can in the last second; else the call is counted."""
+        """Whether the capacity of the last second is used up; if not, the call is counted."""
         self.accepted_at = [accepted for accepted in self.accepted_at if accepted > at - 1.0]
         if len(self.accepted_at) >= max(
             1.0, self.capacity * capacity_share(self.rule, self.recovered_at, at)
--- a/calicopin/soak/faulty_courier.py
+++ b/calicopin/soak/faulty_courier.py
@@ -1,8 +1,10 @@
-"""A courier process with faults of system calls: `python -m calicopin.soak.faulty_courier`, configured as any
-courier, with the faults as JSON in `LB_SOAK_FAULTS`. Without them it is a courier as in service.
+"""A courier process with faults of system calls: `python -m calicopin.soak.faulty_courier`.
 
-`LB_SOAK_VARIANT=forgets` makes the fault of issue 43 again, for the tests of the soak itself: a start passes
-over what the last process knew of outages, and the guard lets everything go.
+It is configured like any courier, with the faults as JSON in `LB_SOAK_FAULTS`. Without faults it is
+the same as in production.
+
+`LB_SOAK_VARIANT=forgets` is for the tests of the soak itself: a restarted courier then ignores the outages
+that its previous process recorded, and the send guard lets every call pass.
 """
 
 import json
@@ -16,7 +18,7 @@
 
 
 def disable_outage_recovery() -> None:
-    """From here on outages are forgotten by a restart, and nothing holds a call back for it."""
+    """Makes restarts ignore recorded outages, and the send guard hold back no call."""
     from calicopin.facade import Facade
     from calicopin.send_guard import SendGuard
 
@@ -26,7 +28,7 @@
 
 
 def main() -> int:
-    """Serves until a signal; the exit code is a courier's own."""
+    """Serves until a signal; returns the courier's exit code."""
     signal_reader = SignalReader()
     from calicopin.lifecycle.log_import import load_logging
 
--- a/calicopin/soak/faulty_system.py
+++ b/calicopin/soak/faulty_system.py
@@ -1,6 +1,6 @@
 """System calls that fail for a while, in the ways that Linux documents, and a wall clock that is stepped.
 
-It stands in `System`'s place in a courier process; the courier's own code is as it is in service.
+It replaces `System` in a courier process; the courier's other code is the same as in production.
 """
 
 import errno
@@ -16,8 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Between two times (s, monotonic) a share of the calls of a kind fail with an errno's name, or with
-    `short` move one byte only; for `wall`, the clock is `step` seconds off.
+    """From `begin` to `end` (s, monotonic) a share of the calls of one kind fails.
+
+    `error` is the name of an errno, or `short`: only a part of the data is transferred. For `wall`, the clock
+    is off by `step` seconds.
 
     Kinds: accept, socket, connect, send, recv, epoll_ctl, read, write, cut, sync, create, replace, wall.
     """
@@ -31,18 +33,18 @@
 
 
 def parse_faults(values: Iterable[dict]) -> list[Fault]:
-    """From plain values; TypeError where one is none."""
+    """The faults from JSON objects; raises TypeError for a missing or unknown key."""
     return [Fault(**value) for value in values]
 
 
 class FaultInjector:
-    """What is due now, by its own draws."""
+    """Decides for each system call whether it fails, with a random generator of its own."""
 
     def __init__(self, faults: list[Fault], seed: int):
         self.faults, self.rng = faults, random.Random(seed)
 
     def find_active(self, call: str) -> Fault | None:
-        """The fault that this call meets, or None."""
+        """The fault that affects this call, or None."""
         now = time.monotonic()
         for fault in self.faults:
             if fault.call == call and fault.begin <= now < fault.end and self.rng.random() < fault.share:
@@ -50,7 +52,10 @@
         return None
 
     def inject(self, call: str, breakable: bool = True) -> bool:
-        """Raises what is due, where a call of that kind may break; whether it is to be a short one."""
+        """Raises the OSError of an active fault; returns whether the call is to be a short one.
+
+        If not `breakable`, only transient errors are raised.
+        """
         fault = self.find_active(call)
         if fault is None:
             return False
@@ -59,19 +64,21 @@
         code = getattr(errno, fault.error)
         if not breakable and code not in PASSING:
             return False
-        raise OSError(code, f"{fault.error} (soak)")
+        raise OSError(code, f"{fault.error} (injected by the soak)")
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls may fail; its `faults` are set behind its making. Connections of clients do not
-    `break`: their other sides are whole, and wait for their answers. They meet faults that pass.
+    """A socket whose calls may fail; `injector` has to be set after it is created.
+
+    Connections accepted from clients are not `breakable`, since the clients are alive and wait for their
+    answers: only transient errors are raised on them.
     """
 
     injector: FaultInjector
     breakable = True
 
     def accept(self):
-        """As a socket's own, or the fault that is due."""
+        """Accepts a connection, or raises the active fault."""
         self.injector.inject("accept")
         descriptor, address = self._accept()
         accepted = FaultySocket(self.family, self.type, self.proto, fileno=descriptor)
@@ -79,50 +86,52 @@
         return accepted, address
 
     def connect(self, address):
-        """As a socket's own, or the fault that is due."""
+        """Connects, or raises the active fault."""
         self.injector.inject("connect")
         return super().connect(address)
 
     def send(self, data, *flags):
-        """As a socket's own, one byte alone, or the fault that is due."""
+        """Sends the data or only its first byte, or raises the active fault."""
         short = self.injector.inject("send", self.breakable)
         return super().send(data[:1] if short else data, *flags)
 
     def recv(self, size, *flags):
-        """As a socket's own, one byte alone, or the fault that is due; a look at what lies there is left as
-        it is."""
+        """Receives up to `size` bytes or one byte, or raises the active fault.
+
+        Calls with flags (MSG_PEEK) are not affected.
+        """
         if flags:
             return super().recv(size, *flags)
         return super().recv(1 if self.injector.inject("recv", self.breakable) else size)
 
 
 class FaultyPoller:
-    """An epoll that may have no room to watch one more descriptor."""
+    """An epoll that may fail to register or modify a descriptor."""
 
     def __init__(self, injector: FaultInjector):
         self.injector, self.poller = injector, System.poller()
 
     def register(self, descriptor, mask):
-        """As epoll's own, or the fault that is due."""
+        """Registers the descriptor, or raises the active fault."""
         self.injector.inject("epoll_ctl")
         self.poller.register(descriptor, mask)
 
     def modify(self, descriptor, mask):
-        """As epoll's own, or the fault that is due."""
+        """Modifies the registration, or raises the active fault."""
         self.injector.inject("epoll_ctl")
         self.poller.modify(descriptor, mask)
 
     def unregister(self, descriptor):
-        """As epoll's own."""
+        """Unregisters the descriptor."""
         self.poller.unregister(descriptor)
 
     def poll(self, seconds):
-        """As epoll's own."""
+        """Polls for up to so many seconds."""
         return self.poller.poll(seconds)
 
 
 class FaultySystem(System):
-    """The operating system with these faults."""
+    """The operating system with injected faults."""
 
     def __init__(self, injector: FaultInjector):
         self.injector = injector
@@ -134,16 +143,16 @@
         return faulty
 
     def wall(self):
-        """Unix time in ms, stepped while that is due."""
+        """Unix time in ms, stepped while such a fault is active."""
         fault = self.injector.find_active("wall")
         return System.wall() + (fault.step * 1000.0 if fault else 0.0)
 
     def listen(self, host, port):
-        """A listening socket whose accepts may fail."""
+        """A listening socket on which accept may fail."""
         return self._wrap_socket(System.listen(host, port))
 
     def stream(self):
-        """A socket for one connection, whose calls may fail."""
+        """A socket for one connection, whose calls may fail; raises the active fault."""
         self.injector.inject("socket")
         return self._wrap_socket(System.stream())
 
@@ -152,40 +161,40 @@
         return FaultyPoller(self.injector)
 
     def read(self, path):
-        """A file's contents, or the fault that is due."""
+        """A file's contents, or raises the active fault."""
         self.injector.inject("read")
         return System.read(path)
 
     def boot(self):
-        """The machine's run, or the fault that is due."""
+        """The machine's boot id, or raises the active fault."""
         self.injector.inject("read")
         return System.boot()
 
     def cut(self, file, size):
-        """A cut, or the fault that is due."""
+        """Truncates a file, or raises the active fault."""
         self.injector.inject("cut")
         return System.cut(file, size)
 
     def write(self, file, data):
-        """A plain write, a short one, or the fault that is due, then perhaps behind a half write."""
+        """Writes the data or only a part of it, or raises the active fault."""
         fault = self.injector.find_active("write")
         if fault is None:
             return System.write(file, data)
         if fault.error == "short":
             return System.write(file, data[: max(1, len(data) // 2)])
-        raise OSError(getattr(errno, fault.error), f"{fault.error} (soak)")
+        raise OSError(getattr(errno, fault.error), f"{fault.error} (injected by the soak)")
 
     def create(self, path):
-        """A new file, or the fault that is due."""
+        """Creates a file, or raises the active fault."""
         self.injector.inject("create")
         return System.create(path)
 
     def replace(self, old, new):
-        """A rename, or the fault that is due."""
+        """Renames a file, or raises the active fault."""
         self.injector.inject("replace")
         return System.replace(old, new)
 
     def sync(self, file):
-        """A sync, or the fault that is due."""
+        """Syncs a file, or raises the active fault."""
         self.injector.inject("sync")
         return System.sync(file)
--- a/calicopin/soak/fleet.py
+++ b/calicopin/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The parts of one soak, joined: destinations, the platform, courier processes and their clients."""
+"""The parts of one soak together: destinations, the platform, courier processes and their clients."""
 
 import asyncio
 import time
@@ -20,8 +20,8 @@
     find_violations,
 )
 
-ENDPOINTS_PER_DESTINATION = 2  # of a destination, at any time
-READY_TIMEOUT_SECONDS = 60.0  # seconds that a process has to be ready on a busy machine
+ENDPOINTS_PER_DESTINATION = 2
+READY_TIMEOUT_SECONDS = 60.0  # generous, for a busy machine
 PRODUCTS = (
     dict(name="status", idempotency="read_like", aim=1.5, giveUp=5.0, points=2.0, lateWorth=0.0),
     dict(name="order", idempotency="idempotency_key", keyTtl=15.0, aim=4.0, giveUp=24.0, lateWorth=0.3),
@@ -29,22 +29,22 @@
     dict(name="series", idempotency="read_like", aim=4.0, giveUp=24.0, lateWorth=0.3, inOrder=True),
 )
 ONCE_ONLY_PRODUCTS, ORDERED_PRODUCTS = {"once"}, {"series"}
-KEYS_PER_COURIER = 2  # of each courier, for messages in order
+KEYS_PER_COURIER = 2  # order keys
 TIME_LIMITS = TimeLimits(drain_grace=0.5, settle=0.7)
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationPlan:
-    """One destination: the calls a second that it takes, and the seconds of an answer."""
+    """One destination: `capacity` in calls per second, `answer_after` in seconds."""
 
     capacity: float
     answer_after: float = 0.1
-    bundle: int = 1  # messages that a call may hold
-    wait: float = 0.0  # seconds that its refusals tell
+    bundle: int = 1  # maximum messages per call
+    wait: float = 0.0  # seconds that its refusals ask couriers to wait; 0: none
 
 
 def endpoint_entry(destination: Destination, endpoint: Endpoint, state: str) -> dict:
-    """An endpoint as the list names it."""
+    """The discovery entry of an endpoint."""
     return {
         "id": endpoint.ident,
         "addr": f"127.0.0.1:{endpoint.port}",
@@ -58,16 +58,16 @@
 
 
 class NotReadyError(RuntimeError):
-    """A courier that was not ready in time; the message has its last lines."""
+    """A courier was not ready in time; the message has the end of its log."""
 
 
 def courier_settings(number: int, couriers: int, rule: SlowStart, plans: tuple[DestinationPlan, ...]) -> dict:
-    """What a courier of this fleet is told of its deployment."""
+    """The deployment settings of one courier of this fleet."""
     return dict(
         slotNo=number,
         groupSize=couriers,
         tick=0.005,
-        kinds=[f"kind{place}" for place in range(len(plans))],
+        kinds=[f"kind{kind}" for kind in range(len(plans))],
         zones=["a"],
         grades=list(PRODUCTS),
         familyInfo=dict(
@@ -95,7 +95,7 @@
 
 
 class Fleet:
-    """Real courier processes before stand-ins in this one; all addresses are on loopback."""
+    """Real courier processes and simulated destinations in this process; all addresses are on loopback."""
 
     def __init__(
         self, folder: Path, couriers: int, plans: tuple[DestinationPlan, ...], rule: SlowStart, seed: int
@@ -109,15 +109,15 @@
             self.destinations.append(destination)
         self.courier_count, self.seed, self.message_count = couriers, seed, 0
         self.couriers: list[CourierProcess] = []
-        self.active_outages: dict[
-            int, tuple[float, str]
-        ] = {}  # outages that are on: when they began, and how
+        # By destination: when the outage began, and its mode.
+        self.active_outages: dict[int, tuple[float, str]] = {}
 
     # Start and end.
 
     async def start(self, faults=lambda number: []) -> None:
-        """Everything, until each courier is ready; `faults` gives the faults of system calls that a courier's
-        processes meet. Raises NotReadyError.
+        """Starts everything and waits until each courier is ready; raises NotReadyError.
+
+        `faults` returns the system call faults for the courier of a number.
         """
         await self.platform.start()
         for destination in self.destinations:
@@ -136,7 +136,7 @@
         await self.wait_ready(self.couriers)
 
     async def wait_ready(self, couriers: list[CourierProcess]) -> None:
-        """Until each of them serves."""
+        """Waits until each of them is ready; raises NotReadyError."""
         await asyncio.gather(*(self._wait_ready(courier) for courier in couriers))
 
     async def _wait_ready(self, courier: CourierProcess) -> None:
@@ -151,7 +151,7 @@
         raise NotReadyError(f"{courier.name} was not ready within {READY_TIMEOUT_SECONDS:g} s: {lines}")
 
     async def close(self) -> None:
-        """Ends all processes and servers; never raises for a process that has ended."""
+        """Ends all processes and servers, also if a process has already exited."""
         for courier in self.couriers:
             if courier.is_running():
                 courier.kill()
@@ -163,12 +163,12 @@
     # Faults.
 
     async def begin_outage(self, destination: int, mode: str) -> None:
-        """From now on it fails in that way."""
+        """The destination fails in that mode from now on."""
         self.active_outages[destination] = time.monotonic(), mode
         await self.destinations[destination].set_mode(mode)
 
     async def end_outage(self, destination: int) -> Outage:
-        """It is back, and cold."""
+        """The destination recovers, with reduced capacity at first."""
         began_at, mode = self.active_outages.pop(destination)
         await self.destinations[destination].set_mode("well")
         outage = Outage(destination, began_at, self.destinations[destination].recovered_at, mode)
@@ -176,27 +176,29 @@
         return outage
 
     async def replace_endpoint(self, number: int, drain_seconds: float, excused: frozenset[str]) -> None:
-        """A new endpoint comes, the oldest of the destination leaves, and is gone `stays` seconds later."""
+        """Adds an endpoint and drains the oldest listed one, which is removed `drain_seconds` later."""
         destination = self.destinations[number]
         listed = [endpoint for endpoint in destination.endpoints if endpoint.ident in self.platform.endpoints]
         self.platform.put_endpoint(endpoint_entry(destination, await destination.add_endpoint(), "active"))
         self.platform.put_endpoint(endpoint_entry(destination, listed[0], "leaving"))
-        await self.platform.wait_while_silent()  # nobody is told before
+        await self.platform.wait_while_silent()  # couriers cannot learn of it before
         self.record.drains.append(Drain(listed[0].ident, time.monotonic(), excused))
         await asyncio.sleep(drain_seconds)
         self.platform.put_endpoint(endpoint_entry(destination, listed[0], LEFT))
 
     async def restart(self, couriers: list[CourierProcess], down: float = 0.0, gently: bool = False) -> None:
-        """SIGKILL (or SIGTERM), so many seconds of nothing, and new processes over the same folders, which
-        are configured with the list as their predecessors had it.
+        """Stops couriers by SIGKILL (`gently`: SIGTERM) and starts new processes after `down` seconds.
+
+        The new processes use the same folders and are configured with the endpoint list that was last sent to
+        their predecessors.
         """
         ended_at, known = time.monotonic(), self.platform.last_sent
         if gently:
             codes = await asyncio.gather(*(asyncio.to_thread(each.terminate) for each in couriers))
             for courier, code in zip(couriers, codes, strict=True):
                 if code != 0:
-                    what = "did not end in time" if code is None else f"ended with {code}"
-                    self.record.crashes.append(f"{courier.name} {what} behind SIGTERM")
+                    what = "did not exit in time" if code is None else f"exited with {code}"
+                    self.record.crashes.append(f"{courier.name} {what} after SIGTERM")
         else:
             for courier in couriers:
                 courier.process.kill()
@@ -215,7 +217,7 @@
     async def hand_in(
         self, courier: CourierProcess, destination: int, product: str, validity: float, key: str | None = None
     ) -> int:
-        """One message with an id of its own; the status of its answer, as `Clients.hand_in` has it."""
+        """Sends one message with an id of its own; returns the status as `Clients.send` does."""
         self.message_count += 1
         request = Request(
             f"{courier.name}.{self.message_count}", courier.name, destination, product, validity, key
@@ -229,11 +231,11 @@
     # Verdict.
 
     def failures(self) -> list[Failure]:
-        """What the couriers' logs tell of calls that failed."""
+        """The failed calls in the couriers' logs."""
         return [failure for courier in self.couriers for failure in courier.failures()]
 
     async def wait_for_completion(self) -> None:
-        """Until every message has its end, or its time is up."""
+        """Waits until every message has its final result, or the last deadline has passed."""
         deadline = max((message.deadline for message in self.record.messages), default=0.0) + 1.0
         while time.monotonic() < deadline:
             completed = set(self.record.notices)
@@ -245,13 +247,13 @@
             await asyncio.sleep(0.05)
 
     def find_violations(self) -> list[Violation]:
-        """All broken invariants, with what the couriers' own run-time checks counted."""
+        """All violated invariants, with those that the couriers' own run-time checks logged."""
         self.record.failures = self.failures()
         for courier in self.couriers:
             self.record.crashes += courier.logged_faults()
             self.record.invariants += courier.broken_invariants()
             if not courier.is_running():
-                self.record.crashes.append(f"{courier.name} ended by itself")
+                self.record.crashes.append(f"{courier.name} exited unexpectedly")
         capacities = {each.number: each.capacity for each in self.destinations}
         return find_violations(self.record, capacities, self.rule, ONCE_ONLY_PRODUCTS, TIME_LIMITS)
 
--- a/calicopin/soak/plan.py
+++ b/calicopin/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a soak plays, drawn from its seed. No I/O; times are seconds from the start of the traffic."""
+"""The plan of a soak, drawn from its seed. No I/O; times are seconds from the start of the traffic."""
 
 import random
 from dataclasses import dataclass
@@ -12,11 +12,11 @@
     SlowStart(cold_from=0.2, cold=6.0, multiple=2.0, span=2.0),
     SlowStart(cold_from=0.3, cold=8.0, multiple=1.5, span=3.0),
 )
-MIN_COURIERS, MAX_COURIERS = 10, 40  # couriers
-FILE_WRITE_CALLS = ("write", "create", "replace")  # a folder that refuses does so for each call
-MAX_FILE_FAULT_SECONDS = 12.0  # s
-LOAD_RANGE = (0.5, 1.1)  # of what a destination takes
-SYSTEM_ERRORS = {  # what Linux documents for the call, as far as a courier meets it
+MIN_COURIERS, MAX_COURIERS = 10, 40
+FILE_WRITE_CALLS = ("write", "create", "replace")  # a full or failing disk fails every one of them
+MAX_FILE_FAULT_SECONDS = 12.0
+LOAD_RANGE = (0.5, 1.1)  # share of a destination's capacity
+SYSTEM_ERRORS = {  # documented by Linux for the call and possible in a courier; `short`: partial transfer
     "accept": (
         "EINTR",
         "ECONNABORTED",
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutageStep:
-    """One destination fails in one way for a while."""
+    """One destination fails in the mode `how` for `length` seconds."""
 
     at: float
     length: float
@@ -62,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartStep:
-    """A share of the couriers is ended at once, stays down for a while and is started again."""
+    """A share of the couriers is stopped at once and started again after `down` seconds.
+
+    `gently`: by SIGTERM instead of SIGKILL.
+    """
 
     at: float
     share: float
@@ -72,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StallStep:
-    """A share of the couriers stands still (SIGSTOP) for a moment."""
+    """A share of the couriers is suspended (SIGSTOP) for `length` seconds."""
 
     at: float
     share: float
@@ -81,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SilenceStep:
-    """Discovery tells nothing for a while."""
+    """Discovery answers no request for the endpoint list for `length` seconds."""
 
     at: float
     length: float
@@ -89,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainStep:
-    """One endpoint of a destination is replaced: it is leaving, and gone after a while."""
+    """One endpoint of a destination is replaced: it is marked leaving and removed `stays` seconds later."""
 
     at: float
     stays: float
@@ -98,7 +101,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SystemFault:
-    """A share of one kind of system call fails at a share of the couriers; `step` is of the wall clock."""
+    """A share of one kind of system call fails at a share of the couriers.
+
+    `step` is the offset of the wall clock in seconds (call `wall`).
+    """
 
     at: float
     length: float
@@ -111,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One soak."""
+    """The parameters and scheduled faults of one soak."""
 
     seed: int
     couriers: int
@@ -119,7 +125,7 @@
     rule: SlowStart
     destinations: tuple[DestinationPlan, ...]
     load: float
-    skew: float  # of the couriers' shares of the traffic: the exponent of a Pareto law
+    skew: float  # exponent of the Pareto distribution of traffic over the couriers
     outages: tuple[OutageStep, ...]
     restarts: tuple[RestartStep, ...]
     stalls: tuple[StallStep, ...]
@@ -142,8 +148,11 @@
 
 
 def draw_plan(seed: int, seconds: float = 30.0, couriers: int | None = None) -> Plan:
-    """The plan of a seed: one or two outages for each destination, restarts laid so that they overlap with
-    outages and returns, and other faults at any time."""
+    """The plan of a seed.
+
+    Each destination has one outage. Restarts are placed so that they overlap with outages and recoveries;
+    other faults come at any time.
+    """
     rng = random.Random(f"soak/{seed}")
     rule = rng.choice(SLOW_START_RULES)
     destinations = tuple(
@@ -190,7 +199,7 @@
 
 
 def _draw_restarts(rng: random.Random, outages: tuple[OutageStep, ...], seconds: float):
-    """Each is laid near the return of an outage, just before it or just behind it."""
+    """Yields restarts near the end of an outage, from 3 s before it to 2 s after it."""
     for _ in range(rng.randint(1, 3)):
         outage = rng.choice(outages)
         at = outage.at + outage.length + rng.uniform(-3.0, 2.0)
--- a/calicopin/soak/platform.py
+++ b/calicopin/soak/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's agent on loopback: tells the list of endpoints, and hears notices."""
+"""A simulated platform agent on loopback: serves the endpoint list and receives notices."""
 
 import asyncio
 import json
@@ -9,22 +9,25 @@
 from calicopin.soak.rules import Record
 
 LEFT = "left"
-SILENCE_POLL_SECONDS = 0.02  # seconds between two looks whether it is silent still
+SILENCE_POLL_SECONDS = 0.02
 
 
 class Platform:
-    """One agent for all couriers; `silent` while discovery is down: then it answers nothing for the list."""
+    """One agent for all couriers.
+
+    While `silent` (discovery is down) it answers no request for the endpoint list.
+    """
 
     def __init__(self, record: Record):
         self.record, self.silent, self.version = record, False, 1
-        self.endpoints: dict[str, dict] = {}  # entries of the list, by the endpoint's id
-        self.changes: list[tuple[int, dict]] = []  # the version that brought it, and the entry
+        self.endpoints: dict[str, dict] = {}  # discovery entries by endpoint id
+        self.changes: list[tuple[int, dict]] = []  # version and changed entry
         self.changed = asyncio.Event()
-        self.last_sent: dict = self.snapshot()  # the list as couriers were told it last
+        self.last_sent: dict = self.snapshot()  # the list as last sent to couriers
         self.server, self.port, self.connections = None, 0, set()
 
     def put_endpoint(self, entry: dict) -> None:
-        """An endpoint is listed, changes, or goes (state `left`): told at once to all who watch."""
+        """Adds, changes or (state `left`) removes an endpoint; all watching couriers are sent the change."""
         self.version += 1
         if entry["state"] == LEFT:
             self.endpoints.pop(entry["id"], None)
@@ -37,21 +40,21 @@
         self.changed = asyncio.Event()
 
     async def start(self) -> None:
-        """Listens on a port of its own."""
+        """Listens on a free port."""
         self.server = await asyncio.start_server(self._serve_connection, "127.0.0.1", 0, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
 
     @property
     def address(self) -> str:
-        """As couriers are told it."""
+        """The address for the couriers' settings."""
         return f"127.0.0.1:{self.port}"
 
     def snapshot(self) -> dict:
-        """The whole list in its own form."""
+        """The full endpoint list in its JSON form."""
         return {"version": self.version, "full": True, "servers": list(self.endpoints.values())}
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the server and all connections."""
         self.server.close()
         for writer in list(self.connections):
             abort(writer)
@@ -94,7 +97,7 @@
         return json.dumps({"version": self.version, "full": False, "servers": changed}).encode()
 
     async def wait_while_silent(self) -> None:
-        """Waits until discovery is not silent; from then on couriers can hear what has changed."""
+        """Waits until discovery answers; from then on couriers can learn of all changes."""
         while self.silent:
             await asyncio.sleep(SILENCE_POLL_SECONDS)
         self.last_sent = self.snapshot()
--- a/calicopin/soak/rules.py
+++ b/calicopin/soak/rules.py
@@ -1,26 +1,30 @@
-"""The invariants of a soak, as plain functions over what was recorded. No I/O; times are seconds of the
-machine's monotonic clock.
+"""The invariants of a soak, as functions over what was recorded. No I/O; times are seconds of the machine's
+monotonic clock.
 
-Source: the users' protocol page and their page on standing tests (slow-start budget).
+Source: the specifications of the protocol and of the standing tests (slow-start budget).
 """
 
 from bisect import bisect_left
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-SMALL_BUDGET = 30.0  # up to this budget the wider allowance for chance holds
-AFFECTED_SHARE = 2.0 / 3.0  # of the calls in a window: from there on the excess is the couriers' own
-COMPLETION_SLACK_SECONDS = 0.5  # seconds past a message's time until its end has to be known
-CLOSE_DETECTION_SECONDS = 0.1  # seconds until a destination has seen that a call's connection was closed
-RESTART_GRACE_SECONDS = 1.5  # seconds behind a restart's readiness in which no end is overdue
-SOCKET_SLACK_SECONDS = 0.05  # seconds by which every time limit is longer on sockets
-READ_DELAY_SECONDS = 0.25  # seconds that a stand-in may take to read what lies there, on a busy machine
-WAIT_SLACK_SECONDS = 0.1  # seconds behind an answer with a wait in which calls are let through
+SMALL_BUDGET = 30.0  # calls; below this the allowance for random variation is wider
+AFFECTED_SHARE = 2.0 / 3.0  # of a window's calls: above it, couriers that saw the outage caused the excess
+COMPLETION_SLACK_SECONDS = 0.5  # from a message's deadline until its result must be known
+CLOSE_DETECTION_SECONDS = 0.1  # until a destination notices that a connection was closed
+RESTART_GRACE_SECONDS = 1.5  # after a restarted courier is ready, in which no result is overdue
+SOCKET_SLACK_SECONDS = 0.05  # added to every time limit because of socket latency
+READ_DELAY_SECONDS = 0.25  # until a simulated destination reads received bytes on a busy machine
+WAIT_SLACK_SECONDS = 0.1  # after an answer that asks for a wait, in which calls are tolerated
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """The rule on a returning destination: shares, seconds, and the multiple that fells it."""
+    """The slow-start rule for a destination that recovers from an outage.
+
+    Its capacity starts at the share `cold_from` and reaches 1 after `cold` seconds. It fails again at
+    `multiple` times its current capacity over `span` seconds.
+    """
 
     cold_from: float
     cold: float
@@ -30,8 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeLimits:
-    """Times of the settings that other rules go by, in seconds: how long behind a drain a call may still
-    begin, and how long a key rests behind a call that may still be running.
+    """Time limits from the couriers' settings, in seconds.
+
+    `drain_grace`: how long after the announcement of a drain a call may still begin. `settle`: how long an
+    order key pauses after a call that may still be running.
     """
 
     drain_grace: float
@@ -40,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """One outage of a destination: when it began, when it was back, and how it failed."""
+    """One outage of a destination, with its failure mode."""
 
     destination: int
     began_at: float
@@ -57,15 +63,15 @@
     destination: int
     messages: tuple[str, ...]
     outcome: str = ""
-    answered: float | None = None  # when the last byte of its answer was written
-    ended: float | None = None  # when its answer was out or its connection was gone
+    answered: float | None = None  # when its answer was written completely
+    ended: float | None = None  # when its answer was written or its connection was closed
     endpoint: str = ""
-    began: float = 0.0  # when its first byte was there
+    began: float = 0.0  # when its first byte was read
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A call that a courier saw fail, from its own log."""
+    """A failed call, from the courier's own log."""
 
     at: float
     courier: str
@@ -74,7 +80,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message that a courier took on, as its client knows it."""
+    """One message that a courier accepted, as its client knows it."""
 
     ident: str
     courier: str
@@ -82,12 +88,12 @@
     product: str
     deadline: float
     accepted_at: float
-    key: str | None = None  # messages of one key at one courier run in order
+    key: str | None = None  # order key: messages of one key at one courier run in order
 
 
 @dataclass(frozen=True, slots=True)
 class RequestedWait:
-    """A destination told a courier to wait so many seconds."""
+    """A destination asked a courier to send nothing for some seconds."""
 
     at: float
     courier: str
@@ -97,8 +103,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Couriers were told that an endpoint takes no new calls. `excused` are those that could not hear it:
-    their system calls failed then.
+    """The announcement to couriers that an endpoint takes no new calls.
+
+    `excused` are the couriers that may not have learned of it because their system calls failed then.
     """
 
     endpoint: str
@@ -108,45 +115,47 @@
 
 @dataclass(slots=True)
 class Record:
-    """All that a run has seen."""
+    """Everything observed in a run."""
 
     outages: list[Outage] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     failures: list[Failure] = field(default_factory=list)
     messages: list[Message] = field(default_factory=list)
-    notices: dict[str, float] = field(default_factory=dict)  # when each was heard first
+    notices: dict[str, float] = field(default_factory=dict)  # when each was first received, by message id
     waits: list[RequestedWait] = field(default_factory=list)
     restarts: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
-    # of each courier: when a process ended, and when the next one was ready
-    unanswered: list[str] = field(default_factory=list)  # read by a live courier and closed with no answer
+    # by courier: when a process ended, and when the next one was ready
+    unanswered: list[str] = field(default_factory=list)  # read by a live courier, but closed unanswered
     crashes: list[str] = field(default_factory=list)
-    invariants: list[str] = field(default_factory=list)  # broken, by the couriers' own checks
+    invariants: list[str] = field(default_factory=list)  # violations logged by the couriers' own checks
     drains: list[Drain] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken invariant, in a plain sentence."""
+    """One violated invariant, described in a sentence."""
 
     rule: str
     what: str
 
 
 def allowed_calls(budget: float) -> float:
-    """The calls that a cold destination bears before it falls, from the budget that the settings give."""
+    """The calls that a recovering destination tolerates: the budget given by the settings plus an allowance
+    for random variation.
+    """
     if budget >= SMALL_BUDGET:
         return budget + 2.0 * budget**0.5 + 2.0
     return budget + 3.0 * budget**0.5 + 3.0
 
 
 def capacity_share(rule: SlowStart, recovered_at: float, at: float) -> float:
-    """The share of its capacity that a destination has, so long after its return."""
+    """The share of its capacity that a destination recovered at `recovered_at` has at `at`."""
     return rule.cold_from + (1.0 - rule.cold_from) * min(1.0, max(0.0, at - recovered_at) / rule.cold)
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """The worst window of a return: its end (s after the return), calls, and what is allowed."""
+    """The worst window after a recovery: its end (s after the recovery), its calls, and the calls allowed."""
 
     end: float
     calls: int
@@ -154,13 +163,14 @@
 
     @property
     def excess(self) -> float:
-        """Calls over what is allowed; under 0 where the rule is kept."""
+        """Calls over the allowed number; at most 0 if the rule is kept."""
         return self.calls - self.allowed
 
 
 def affected_couriers(record: Record, outage: Outage) -> set[str]:
-    """The couriers that saw a call fail there during the outage. A call that a courier's own end cut off it
-    did not see fail.
+    """The couriers that saw a call to the destination fail during the outage.
+
+    A call that was cut off by the courier's own exit does not count.
     """
     return {
         failure.courier
@@ -170,8 +180,10 @@
 
 
 def worst_window(record: Record, outage: Outage, capacity: float, rule: SlowStart) -> Window | None:
-    """The window behind a return with the largest excess of which over two thirds came from couriers that
-    had met the outage, a restart between or not. `capacity` is calls a second.
+    """The window after a recovery with the largest excess, or None.
+
+    Only windows count in which over two thirds of the calls came from couriers that saw the outage, whether
+    or not they were restarted since. `capacity` is in calls per second.
     """
     affected = affected_couriers(record, outage)
     next_outages = [other.began_at for other in record.outages if other.destination == outage.destination]
@@ -201,21 +213,21 @@
 
 
 def check_slow_start(record: Record, capacities: dict[int, float], rule: SlowStart) -> list[Violation]:
-    """Every return of a destination that was sent more than its budget."""
+    """Each recovery in which a destination was sent more calls than its budget."""
     violations = []
     for outage in record.outages:
         worst = worst_window(record, outage, capacities[outage.destination], rule)
         if worst is not None and worst.excess > 0.0:
             what = (
-                f"destination {outage.destination}, back from {outage.mode}: {worst.calls} calls in the "
-                f"{rule.span:g} s up to {worst.end:.2f} s behind its return, {worst.allowed:.1f} are borne"
+                f"destination {outage.destination}, recovered from {outage.mode}: {worst.calls} calls in the "
+                f"{rule.span:g} s ending {worst.end:.2f} s after its recovery, {worst.allowed:.1f} allowed"
             )
             violations.append(Violation("failback", what))
     return violations
 
 
 def check_completion(record: Record) -> list[Violation]:
-    """Each message that was taken on has one end in its time: a call that ran, or a notice."""
+    """Each accepted message without a final result in time: a delivered call, or a notice."""
     answered_at = defaultdict(list)
     for arrival in record.arrivals:
         if arrival.outcome == "delivered":
@@ -228,15 +240,15 @@
             completed_at.append(record.notices[message.ident])
         limit = completion_limit(record, message)
         if not completed_at:
-            violations.append(Violation("lost", f"{message.ident} was taken on and has no end"))
+            violations.append(Violation("lost", f"{message.ident} was accepted and has no final result"))
         elif min(completed_at) > limit:
             late = min(completed_at) - message.deadline
-            violations.append(Violation("lost", f"{message.ident} ended {late:.2f} s behind its time"))
+            violations.append(Violation("lost", f"{message.ident} completed {late:.2f} s after its deadline"))
     return violations
 
 
 def completion_limit(record: Record, message: Message) -> float:
-    """When a message's end has to be known; none is overdue while its courier is down."""
+    """When a message must have its final result; it is not overdue while its courier is down."""
     limit = message.deadline + COMPLETION_SLACK_SECONDS
     for ended, ready in record.restarts.get(message.courier, ()):
         if ended <= limit:
@@ -245,7 +257,7 @@
 
 
 def check_duplicates(record: Record, once_only: set[str]) -> list[Violation]:
-    """What may go once only runs once, and no two calls with one message are out at a time."""
+    """Once-only messages that ran more than once, and messages in two calls at the same time."""
     calls = defaultdict(list)
     for arrival in record.arrivals:
         for ident in arrival.messages:
@@ -256,18 +268,18 @@
         ran = [arrival for arrival in own_calls if arrival.outcome not in ("refused", "unread")]
         if message.product in once_only and len(ran) > 1:
             violations.append(
-                Violation("duplicate", f"{message.ident} may run once and was run {len(ran)} times")
+                Violation("duplicate", f"{message.ident} is once-only and ran {len(ran)} times")
             )
         for first, second in zip(own_calls, own_calls[1:], strict=False):
             if first.ended is not None and second.at < first.ended - CLOSE_DETECTION_SECONDS:
                 violations.append(
-                    Violation("duplicate", f"two calls with {message.ident} were out at a time")
+                    Violation("duplicate", f"two calls with {message.ident} were in flight at the same time")
                 )
     return violations
 
 
 def check_waits(record: Record) -> list[Violation]:
-    """Nothing arrives from a courier before the wait that it was told is over; a restart ends the wait."""
+    """Calls that arrived before the wait requested of their courier was over; a restart ends the wait."""
     by_pair, violations = defaultdict(list), []
     for arrival in record.arrivals:
         by_pair[arrival.courier, arrival.destination].append(arrival.at)
@@ -291,9 +303,7 @@
 
 
 def check_drains(record: Record, grace: float) -> list[Violation]:
-    """No call begins at an endpoint later than `grace` (s) behind the moment in which couriers were told that
-    it takes no new ones.
-    """
+    """Calls that began at an endpoint more than `grace` seconds after its drain was announced."""
     violations = []
     for drain in record.drains:
         limit = drain.announced_at + grace + SOCKET_SLACK_SECONDS + READ_DELAY_SECONDS
@@ -302,14 +312,14 @@
                 continue
             if arrival.began > limit:
                 late = arrival.began - drain.announced_at
-                what = f"{arrival.courier} called {drain.endpoint} {late:.2f} s behind its drain"
+                what = f"{arrival.courier} called {drain.endpoint} {late:.2f} s after its drain was announced"
                 violations.append(Violation("drain", what))
     return violations
 
 
 def check_order(record: Record, settle: float) -> list[Violation]:
-    """Messages of one key run one at a time, in the order in which their courier took them, and `settle` (s)
-    behind a call that may still be running.
+    """Messages of one key that overtook or overlapped an earlier one of their courier, or began less than
+    `settle` seconds after a call that may still be running.
     """
     calls, sequences, violations = defaultdict(list), defaultdict(list), []
     for arrival in record.arrivals:
@@ -323,14 +333,16 @@
             earlier = [arrival for other in sequence[:position] for arrival in calls[other.ident]]
             for arrival in calls[message.ident]:
                 if any(breaks_order(arrival, other, settle) for other in earlier):
-                    what = f"{message.ident} of key {key} at {courier} did not wait for its turn"
+                    what = (
+                        f"{message.ident} of key {key} at {courier} did not wait for the messages before it"
+                    )
                     violations.append(Violation("order", what))
     return violations
 
 
 def breaks_order(arrival: Arrival, earlier: Arrival, settle: float) -> bool:
-    """Whether a call began before one with an earlier message of its key, while that was out, or too soon
-    behind it.
+    """Whether a call began before a call with an earlier message of its key, while that one was in flight,
+    or too soon after it.
     """
     if arrival.at < earlier.at:
         return True
@@ -342,10 +354,10 @@
 def find_violations(
     record: Record, capacities: dict[int, float], rule: SlowStart, once_only: set[str], limits: TimeLimits
 ) -> list[Violation]:
-    """All broken invariants of a run."""
+    """All violated invariants of a run."""
     violations = [Violation("crash", what) for what in record.crashes]
     violations += [Violation("invariant", what) for what in record.invariants]
-    violations += [Violation("lost", f"{what} was read and got no answer") for what in record.unanswered]
+    violations += [Violation("lost", f"{what} was read and not answered") for what in record.unanswered]
     violations += check_slow_start(record, capacities, rule)
     violations += check_completion(record)
     violations += check_duplicates(record, once_only)
--- a/calicopin/soak/run.py
+++ b/calicopin/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one plan: traffic and faults at their times, then the verdict."""
+"""Runs one plan: traffic and scheduled faults, then the verdict."""
 
 import asyncio
 import random
@@ -12,18 +12,18 @@
 from calicopin.soak.plan import Plan, SystemFault
 from calicopin.soak.rules import Violation, worst_window
 
-PRODUCT_SHARES = (0.5, 0.25, 0.1, 0.15)  # of the products, as they stand
+PRODUCT_SHARES = (0.5, 0.25, 0.1, 0.15)  # of the traffic, in the order of PRODUCTS
 # A courier whose calls of these kinds fail may not learn of a drain.
 DISCOVERY_CALLS = ("socket", "connect", "send", "recv", "epoll_ctl")
-MAX_DISCOVERY_SILENCE_SECONDS = 8.0  # seconds that discovery may be silent, so that a drain is told later
-DISCOVERY_RECOVERY_SECONDS = 2.0  # seconds behind faults of these until a courier surely hears
+MAX_DISCOVERY_SILENCE_SECONDS = 8.0  # a drain may be announced so much later than planned
+DISCOVERY_RECOVERY_SECONDS = 2.0  # after such faults until a courier certainly learns of a drain
 START_SECONDS, START_SECONDS_PER_COURIER = 3.0, 0.15  # time reserved for starting the whole fleet
-TRAFFIC_AFTER_FAULTS_SECONDS = 2.0  # seconds behind the last fault in which traffic goes on
+TRAFFIC_AFTER_FAULTS_SECONDS = 2.0  # for which traffic goes on after the plan's end
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What one soak showed."""
+    """The result of one soak."""
 
     seed: int
     plan: str
@@ -31,12 +31,12 @@
     arrivals: int = 0
     refused: int = 0
     delivered: int = 0
-    tightest: float = float("-inf")  # calls over the budget in the worst window of all returns; under 0: kept
+    tightest: float = float("-inf")  # excess calls in the worst window after any recovery
     violations: list[Violation] = field(default_factory=list)
 
 
 async def run_soak(plan: Plan, folder: Path) -> Verdict:
-    """One run; raises NotReadyError where a courier does not come up."""
+    """Runs one plan; raises NotReadyError if a courier does not start."""
     fleet = Fleet(folder, plan.couriers, plan.destinations, plan.rule, plan.seed)
     try:
         return await Soak(plan, fleet).run()
@@ -45,17 +45,17 @@
 
 
 class Soak:
-    """One plan under way."""
+    """One running plan."""
 
     def __init__(self, plan: Plan, fleet: Fleet):
         self.plan, self.fleet = plan, fleet
         self.rng = random.Random(f"soak/{plan.seed}/traffic")
         self.traffic_start, self.down, self.refused = 0.0, set(), 0
         self.tasks: list[asyncio.Task] = []
-        self.key_locks: dict[tuple[str, str], asyncio.Lock] = defaultdict(asyncio.Lock)  # by courier and key
+        self.key_locks: dict[tuple[str, str], asyncio.Lock] = defaultdict(asyncio.Lock)  # by courier, key
 
     async def run(self) -> Verdict:
-        """Start, traffic under faults, the ends of all messages, and the verdict."""
+        """Starts the fleet, runs the traffic under faults, waits for all messages and returns the verdict."""
         plan, fleet = self.plan, self.fleet
         self.traffic_start = time.monotonic() + START_SECONDS + START_SECONDS_PER_COURIER * plan.couriers
         await fleet.start(lambda number: courier_faults(plan, self.traffic_start, number))
@@ -93,14 +93,14 @@
         await asyncio.sleep(max(0.0, self.traffic_start + at - time.monotonic()))
 
     def _sample_couriers(self, share: float, salt: str) -> list:
-        """That share of the couriers, the same ones each time."""
+        """A random share of the couriers, the same in each run of a seed and `salt`."""
         rng = random.Random(f"soak/{self.plan.seed}/{salt}")
         return rng.sample(self.fleet.couriers, max(1, round(share * len(self.fleet.couriers))))
 
     # Traffic.
 
     async def _traffic(self, destination: int) -> None:
-        """A Poisson stream of messages for one destination, dealt unevenly to the couriers."""
+        """Sends a Poisson stream of messages for one destination, distributed unevenly over the couriers."""
         plan, fleet = self.plan, self.fleet
         rng = random.Random(f"soak/{plan.seed}/traffic/{destination}")
         shares = [rng.paretovariate(plan.skew) for _ in fleet.couriers]
@@ -112,7 +112,7 @@
             self.tasks.append(asyncio.create_task(self._send_message(courier, destination, product)))
 
     async def _send_message(self, courier, destination: int, product: dict) -> None:
-        """Of one key a message is handed in behind the answer to the one before."""
+        """Sends one message; a message of an order key only after the one before it was answered."""
         name, validity = product["name"], product["giveUp"]
         if name in ORDERED_PRODUCTS:
             key = f"k{self.rng.randrange(KEYS_PER_COURIER)}"
@@ -133,7 +133,7 @@
         await self.fleet.end_outage(step.destination)
 
     async def _restarts(self) -> None:
-        """One after the other: a courier is not ended while it starts."""
+        """Runs the restarts one after the other, so that no courier is stopped while it starts."""
         for number, step in enumerate(self.plan.restarts):
             await self._sleep_until(step.at)
             affected = self._sample_couriers(step.share, f"restart/{number}")
@@ -169,8 +169,10 @@
 
 
 def courier_faults(plan: Plan, traffic_start: float, courier: int) -> list[dict]:
-    """The faults of system calls of one courier, as its process is told them; `began` is when the traffic
-    begins."""
+    """The system call faults of one courier as JSON values for its process.
+
+    `traffic_start` is in seconds of the monotonic clock.
+    """
     return [
         _fault_json(fault, traffic_start)
         for position, fault in enumerate(plan.system)
@@ -179,7 +181,7 @@
 
 
 def is_affected(plan: Plan, position: int, courier: int) -> bool:
-    """Whether a courier meets a fault."""
+    """Whether a courier is among those that the fault at this position of the plan affects."""
     rng = random.Random(f"soak/{plan.seed}/system/{position}/{courier}")
     return rng.random() < plan.system[position].couriers
 
