--- a/calicopin/soak/client.py
+++ b/calicopin/soak/client.py
@@ -75,7 +75,7 @@
         idle_connection = self._take_idle(address)
         if idle_connection is not None:
             status = await self._exchange(request, address, idle_connection)
-        if status == UNANSWERED:  # the courier may have closed the idle connection: send once more
+        if status == UNANSWERED:  # none idle, or closed before the request was read
             try:
                 new_connection = await asyncio.wait_for(asyncio.open_connection(*address), TIMEOUT_SECONDS)
             except (OSError, TimeoutError):
--- a/calicopin/soak/rules.py
+++ b/calicopin/soak/rules.py
@@ -213,7 +213,7 @@
 
 
 def check_slow_start(record: Record, capacities: dict[int, float], rule: SlowStart) -> list[Violation]:
-    """Each recovery in which a destination was sent more calls than its budget."""
+    """Recoveries in which a destination was sent more calls than its budget."""
     violations = []
     for outage in record.outages:
         worst = worst_window(record, outage, capacities[outage.destination], rule)
@@ -227,7 +227,7 @@
 
 
 def check_completion(record: Record) -> list[Violation]:
-    """Each accepted message without a final result in time: a delivered call, or a notice."""
+    """Accepted messages without a final result (a delivered call or a notice) in time."""
     answered_at = defaultdict(list)
     for arrival in record.arrivals:
         if arrival.outcome == "delivered":
--- a/calicopin/soak/run.py
+++ b/calicopin/soak/run.py
@@ -31,7 +31,7 @@
     arrivals: int = 0
     refused: int = 0
     delivered: int = 0
-    tightest: float = float("-inf")  # excess calls in the worst window after any recovery
+    tightest: float = float("-inf")  # excess calls in the worst window of all recoveries; negative: none
     violations: list[Violation] = field(default_factory=list)
 
 
