--- a/calicopin/soak/faulty_courier.py
+++ b/calicopin/soak/faulty_courier.py
@@ -1,8 +1,10 @@
-"""A courier process with faults of system calls: `python -m calicopin.soak.faulty_courier`, configured as any
-courier, with the faults as JSON in `LB_SOAK_FAULTS`. Without them it is a courier as in service.
+"""A courier process with faults of system calls: `python -m calicopin.soak.faulty_courier`.
 
-`LB_SOAK_VARIANT=forgets` makes the fault of issue 43 again, for the tests of the soak itself: a start passes
-over what the last process knew of outages, and the guard lets everything go.
+It is configured like any courier, with the faults as JSON in `LB_SOAK_FAULTS`. Without faults it is
+the same as in production.
+
+`LB_SOAK_VARIANT=forgets` is for the tests of the soak itself: a restarted courier then ignores the outages
+that its previous process recorded, and the send guard lets every call pass.
 """
 
 import json
@@ -10,13 +12,13 @@
 import sys
 
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.soak.faulty_system import Faults, FaultySystem, read_faults
+from calicopin.soak.faulty_system import FaultInjector, FaultySystem, parse_faults
 
-VARIANT, FORGETS = "LB_SOAK_VARIANT", "forgets"
+VARIANT_VARIABLE, FORGETS = "LB_SOAK_VARIANT", "forgets"
 
 
-def forget() -> None:
-    """From here on outages are forgotten by a restart, and nothing holds a call back for it."""
+def disable_outage_recovery() -> None:
+    """Makes restarts ignore recorded outages, and the send guard hold back no call."""
     from calicopin.facade import Facade
     from calicopin.send_guard import SendGuard
 
@@ -26,18 +28,18 @@
 
 
 def main() -> int:
-    """Serves until a signal; the exit code is a courier's own."""
+    """Serves until a signal; returns the courier's exit code."""
     signal_reader = SignalReader()
     from calicopin.lifecycle.log_import import load_logging
 
     load_logging()
     from calicopin.lifecycle import start
 
-    if os.environ.get(VARIANT) == FORGETS:
-        forget()
-    told = json.loads(os.environ.get("LB_SOAK_FAULTS") or "[]")
-    if told:
-        return start.main(signal_reader, FaultySystem(Faults(read_faults(told), os.getpid())))
+    if os.environ.get(VARIANT_VARIABLE) == FORGETS:
+        disable_outage_recovery()
+    faults = json.loads(os.environ.get("LB_SOAK_FAULTS") or "[]")
+    if faults:
+        return start.main(signal_reader, FaultySystem(FaultInjector(parse_faults(faults), os.getpid())))
     return start.main(signal_reader)
 
 
--- a/calicopin/soak/faulty_system.py
+++ b/calicopin/soak/faulty_system.py
@@ -1,6 +1,6 @@
 """System calls that fail for a while, in the ways that Linux documents, and a wall clock that is stepped.
 
-It stands in `System`'s place in a courier process; the courier's own code is as it is in service.
+It replaces `System` in a courier process; the courier's other code is the same as in production.
 """
 
 import errno
@@ -16,8 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Between two times (s, monotonic) a share of the calls of a kind fail with an errno's name, or with
-    `short` move one byte only; for `wall`, the clock is `step` seconds off.
+    """From `begin` to `end` (s, monotonic) a share of the calls of one kind fails.
+
+    `error` is the name of an errno, or `short`: only a part of the data is transferred. For `wall`, the clock
+    is off by `step` seconds.
 
     Kinds: accept, socket, connect, send, recv, epoll_ctl, read, write, cut, sync, create, replace, wall.
     """
@@ -30,162 +32,169 @@
     step: float = 0.0
 
 
-def read_faults(told: Iterable[dict]) -> list[Fault]:
-    """From plain values; TypeError where one is none."""
-    return [Fault(**each) for each in told]
+def parse_faults(values: Iterable[dict]) -> list[Fault]:
+    """The faults from JSON objects; raises TypeError for a missing or unknown key."""
+    return [Fault(**value) for value in values]
 
 
-class Faults:
-    """What is due now, by its own draws."""
+class FaultInjector:
+    """Decides for each system call whether it fails, with a random generator of its own."""
 
     def __init__(self, faults: list[Fault], seed: int):
-        self.faults, self.draw = faults, random.Random(seed)
+        self.faults, self.rng = faults, random.Random(seed)
 
-    def due(self, call: str) -> Fault | None:
-        """The fault that this call meets, or None."""
+    def find_active(self, call: str) -> Fault | None:
+        """The fault that affects this call, or None."""
         now = time.monotonic()
         for fault in self.faults:
-            if fault.call == call and fault.begin <= now < fault.end and self.draw.random() < fault.share:
+            if fault.call == call and fault.begin <= now < fault.end and self.rng.random() < fault.share:
                 return fault
         return None
 
-    def meet(self, call: str, breaks: bool = True) -> bool:
-        """Raises what is due, where a call of that kind may break; whether it is to be a short one."""
-        fault = self.due(call)
+    def inject(self, call: str, breakable: bool = True) -> bool:
+        """Raises the OSError of an active fault; returns whether the call is to be a short one.
+
+        If not `breakable`, only transient errors are raised.
+        """
+        fault = self.find_active(call)
         if fault is None:
             return False
         if fault.error == "short":
             return True
         code = getattr(errno, fault.error)
-        if not breaks and code not in PASSING:
+        if not breakable and code not in PASSING:
             return False
-        raise OSError(code, f"{fault.error} (soak)")
+        raise OSError(code, f"{fault.error} (injected by the soak)")
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls may fail; its `faults` are set behind its making. Connections of clients do not
-    `break`: their other sides are whole, and wait for their answers. They meet faults that pass.
+    """A socket whose calls may fail; `injector` has to be set after it is created.
+
+    Connections accepted from clients are not `breakable`, since the clients are alive and wait for their
+    answers: only transient errors are raised on them.
     """
 
-    faults: Faults
-    breaks = True
+    injector: FaultInjector
+    breakable = True
 
     def accept(self):
-        """As a socket's own, or the fault that is due."""
-        self.faults.meet("accept")
+        """Accepts a connection, or raises the active fault."""
+        self.injector.inject("accept")
         descriptor, address = self._accept()
         accepted = FaultySocket(self.family, self.type, self.proto, fileno=descriptor)
-        accepted.faults, accepted.breaks = self.faults, False
+        accepted.injector, accepted.breakable = self.injector, False
         return accepted, address
 
     def connect(self, address):
-        """As a socket's own, or the fault that is due."""
-        self.faults.meet("connect")
+        """Connects, or raises the active fault."""
+        self.injector.inject("connect")
         return super().connect(address)
 
     def send(self, data, *flags):
-        """As a socket's own, one byte alone, or the fault that is due."""
-        short = self.faults.meet("send", self.breaks)
+        """Sends the data or only its first byte, or raises the active fault."""
+        short = self.injector.inject("send", self.breakable)
         return super().send(data[:1] if short else data, *flags)
 
     def recv(self, size, *flags):
-        """As a socket's own, one byte alone, or the fault that is due; a look at what lies there is left as
-        it is."""
+        """Receives up to `size` bytes or one byte, or raises the active fault.
+
+        Calls with flags (MSG_PEEK) are not affected.
+        """
         if flags:
             return super().recv(size, *flags)
-        return super().recv(1 if self.faults.meet("recv", self.breaks) else size)
+        return super().recv(1 if self.injector.inject("recv", self.breakable) else size)
 
 
 class FaultyPoller:
-    """An epoll that may have no room to watch one more descriptor."""
+    """An epoll that may fail to register or modify a descriptor."""
 
-    def __init__(self, faults: Faults):
-        self.faults, self.poller = faults, System.poller()
+    def __init__(self, injector: FaultInjector):
+        self.injector, self.poller = injector, System.poller()
 
     def register(self, descriptor, mask):
-        """As epoll's own, or the fault that is due."""
-        self.faults.meet("epoll_ctl")
+        """Registers the descriptor, or raises the active fault."""
+        self.injector.inject("epoll_ctl")
         self.poller.register(descriptor, mask)
 
     def modify(self, descriptor, mask):
-        """As epoll's own, or the fault that is due."""
-        self.faults.meet("epoll_ctl")
+        """Modifies the registration, or raises the active fault."""
+        self.injector.inject("epoll_ctl")
         self.poller.modify(descriptor, mask)
 
     def unregister(self, descriptor):
-        """As epoll's own."""
+        """Unregisters the descriptor."""
         self.poller.unregister(descriptor)
 
     def poll(self, seconds):
-        """As epoll's own."""
+        """Polls for up to so many seconds."""
         return self.poller.poll(seconds)
 
 
 class FaultySystem(System):
-    """The operating system with these faults."""
+    """The operating system with injected faults."""
 
-    def __init__(self, faults: Faults):
-        self.faults = faults
+    def __init__(self, injector: FaultInjector):
+        self.injector = injector
 
-    def _socket(self, plain: socket.socket) -> FaultySocket:
+    def _wrap_socket(self, plain: socket.socket) -> FaultySocket:
         faulty = FaultySocket(plain.family, plain.type, plain.proto, fileno=plain.detach())
         faulty.setblocking(False)
-        faulty.faults = self.faults
+        faulty.injector = self.injector
         return faulty
 
     def wall(self):
-        """Unix time in ms, stepped while that is due."""
-        fault = self.faults.due("wall")
+        """Unix time in ms, stepped while such a fault is active."""
+        fault = self.injector.find_active("wall")
         return System.wall() + (fault.step * 1000.0 if fault else 0.0)
 
     def listen(self, host, port):
-        """A listening socket whose accepts may fail."""
-        return self._socket(System.listen(host, port))
+        """A listening socket on which accept may fail."""
+        return self._wrap_socket(System.listen(host, port))
 
     def stream(self):
-        """A socket for one connection, whose calls may fail."""
-        self.faults.meet("socket")
-        return self._socket(System.stream())
+        """A socket for one connection, whose calls may fail; raises the active fault."""
+        self.injector.inject("socket")
+        return self._wrap_socket(System.stream())
 
     def poller(self):
         """An epoll whose calls may fail."""
-        return FaultyPoller(self.faults)
+        return FaultyPoller(self.injector)
 
     def read(self, path):
-        """A file's contents, or the fault that is due."""
-        self.faults.meet("read")
+        """A file's contents, or raises the active fault."""
+        self.injector.inject("read")
         return System.read(path)
 
     def boot(self):
-        """The machine's run, or the fault that is due."""
-        self.faults.meet("read")
+        """The machine's boot id, or raises the active fault."""
+        self.injector.inject("read")
         return System.boot()
 
     def cut(self, file, size):
-        """A cut, or the fault that is due."""
-        self.faults.meet("cut")
+        """Truncates a file, or raises the active fault."""
+        self.injector.inject("cut")
         return System.cut(file, size)
 
     def write(self, file, data):
-        """A plain write, a short one, or the fault that is due, then perhaps behind a half write."""
-        fault = self.faults.due("write")
+        """Writes the data or only a part of it, or raises the active fault."""
+        fault = self.injector.find_active("write")
         if fault is None:
             return System.write(file, data)
         if fault.error == "short":
             return System.write(file, data[: max(1, len(data) // 2)])
-        raise OSError(getattr(errno, fault.error), f"{fault.error} (soak)")
+        raise OSError(getattr(errno, fault.error), f"{fault.error} (injected by the soak)")
 
     def create(self, path):
-        """A new file, or the fault that is due."""
-        self.faults.meet("create")
+        """Creates a file, or raises the active fault."""
+        self.injector.inject("create")
         return System.create(path)
 
     def replace(self, old, new):
-        """A rename, or the fault that is due."""
-        self.faults.meet("replace")
+        """Renames a file, or raises the active fault."""
+        self.injector.inject("replace")
         return System.replace(old, new)
 
     def sync(self, file):
-        """A sync, or the fault that is due."""
-        self.faults.meet("sync")
+        """Syncs a file, or raises the active fault."""
+        self.injector.inject("sync")
         return System.sync(file)
