--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -350,9 +350,9 @@
     told, sink = capture_log()
     renewal(courier).renew()
     courier.advance(TRY_JITTER)
-    _, asked = other.hear()
+    _, asked = other.next_request()
     assert asked["lease"] is None and asked["subscribe"] == [7]
-    other.tell(asked, 1, [served(endpoint)], full=True)
+    other.respond(asked, 1, [served(endpoint)], full=True)
     courier.posts.append(replace(courier.posts[0], nodes=(), fleet="other", disk=1_000_000))
     renewal(courier).renew()
     logger.remove(sink)
