--- a/calicopin/admin/server.py
+++ b/calicopin/admin/server.py
@@ -77,20 +77,20 @@
         """Reads and handles one call: (status, body) of the answer; status 0 if the caller is gone."""
         head = yield from connection.event(until)
         if isinstance(head, h11.RemoteProtocolError):
-            return self.refuse(400, f"malformed request: {head}")
+            return self.refuse(400, f"a call that cannot be read: {head}")
         if not isinstance(head, h11.Request):
-            return self.refuse(408, "no request received in time") if head is None else (0, None)
+            return self.refuse(408, "a call that does not come") if head is None else (0, None)
         body = yield from connection.body(MAX_BODY_BYTES, until)
         if body is TOO_LONG:
-            return self.refuse(400, f"request body over {MAX_BODY_BYTES} bytes")
+            return self.refuse(400, f"a body over {MAX_BODY_BYTES} bytes")
         if body is None:
-            return self.refuse(400, "request body incomplete or malformed")
+            return self.refuse(400, "a body that does not come or cannot be read")
         path = head.target.split(b"?")[0].decode("latin-1")
         if path not in self.handlers:
-            return self.refuse(404, f"unknown path {path[:60]!r}; known are {', '.join(self.handlers)}")
+            return self.refuse(404, f"no call {path[:60]!r}; there are {', '.join(self.handlers)}")
         method, handler = self.handlers[path]
         if head.method.decode() != method:
-            return self.refuse(405, f"{path} requires {method}")
+            return self.refuse(405, f"{path} takes {method}")
         try:
             return 200, handler()
         except ValueError as fault:  # not possible in the courier's current state
