--- a/calicopin/decisions.py
+++ b/calicopin/decisions.py
@@ -18,7 +18,7 @@
 from calicopin.scheduler import Scheduler
 from calicopin.slow_start import COLD, OUT, OUTAGE_STREAK
 
-HARMLESS = (How.FULL, How.UNREACHED, How.NOT_SENT)  # outcomes that prove that the submit never ran
+NEVER_RAN = (How.FULL, How.UNREACHED, How.NOT_SENT)  # outcomes that prove that the submit never ran
 MAINTENANCE_INTERVAL_MS = 250.0
 
 
@@ -108,7 +108,7 @@
 
     def current_idle_limit(self, now):
         """How long (ms) an idle connection may be reused; unlimited once the last stale one is long ago."""
-        return self.idle_limit if now < self.last_stale_at + Route.IDLE else float("inf")
+        return self.idle_limit if now < self.last_stale_at + Route.RETENTION_MS else float("inf")
 
 
 class Endpoint:
@@ -140,7 +140,7 @@
         cost needless reconnects.
         """
         now, kind = self.scheduler.now, self.kind
-        contended = self.keep_open_until <= now < kind.last_unreached_at + Route.IDLE
+        contended = self.keep_open_until <= now < kind.last_unreached_at + Route.RETENTION_MS
         if not self.calls and (contended or self.idle_since + kind.current_idle_limit(now) <= now):
             self.scheduler.actions.append(Close(self.ident))
 
@@ -159,7 +159,7 @@
             route.patient_call = call
         for text in texts:
             text.call, text.tries = call, text.tries + 1
-            usual_timeout = (32.0 if in_outage else 8.0) * route.usual or text.product.sla
+            usual_timeout = (32.0 if in_outage else 8.0) * route.usual_latency or text.product.sla
             if text.product.repeat == Repeat.ONCE_ONLY:  # a time-out ends it: not while it earns in full
                 usual_timeout = max(usual_timeout, text.product.sla)
             timeout = min(
@@ -185,7 +185,7 @@
             self.scheduler.post(self.dest.pool, "release", self.dest)
             self.idle_since = self.scheduler.now
             if self.dest.closes_idle:
-                self.keep_open_until = self.idle_since + max(route.usual, self.dest.tick)
+                self.keep_open_until = self.idle_since + max(route.usual_latency, self.dest.tick)
                 self.scheduler.later(self.keep_open_until, self, "close_idle")
                 if (idle_limit := self.kind.current_idle_limit(self.idle_since)) < float("inf"):
                     self.scheduler.later(self.idle_since + idle_limit, self, "close_idle")
@@ -194,7 +194,7 @@
         if outcome == How.UNREACHED:
             self.kind.last_unreached_at = self.scheduler.now
             # without a delay a text would use up its submits while the endpoint is full or down
-            delay = max(route.usual, 20.0 * self.dest.tick) * 2.0**self.misses
+            delay = max(route.usual_latency, 20.0 * self.dest.tick) * 2.0**self.misses
             self.retry_at = self.scheduler.now + delay * (0.5 + self.scheduler.draw(self.ident))
         if (
             first_of_call
@@ -236,7 +236,7 @@
             )
             if outcome == How.BROKEN:  # one lost answer fails every text of the call
                 self.dest.bundle_size = max(1, min(self.dest.bundle_size, call.size // 2))
-        if outcome not in HARMLESS and text.ran_at is None:
+        if outcome not in NEVER_RAN and text.ran_at is None:
             text.ran_at, text.ran_zone = call.sent_at, self.zone
         self.scheduler.post(self.dest, "submit_ended", text, event)
 
@@ -316,7 +316,7 @@
         """Whether the destination can be forgotten: no text and no endpoint, no restriction in force, and no
         call within the time that routes are remembered.
         """
-        horizon, routes = self.scheduler.now - Route.IDLE, self.routes.values()
+        horizon, routes = self.scheduler.now - Route.RETENTION_MS, self.routes.values()
         retained = any(
             route.call_times or route.last_call_at >= horizon or route.is_restricted() for route in routes
         )
@@ -374,7 +374,7 @@
 
     def endpoint_openings(self):
         """Each endpoint with the time (ms) from which it takes a call. A shared route is asked once."""
-        opens = {route: route.opens() for route in self.listed_routes()}
+        opens = {route: route.next_call_at() for route in self.listed_routes()}
         return [
             (endpoint, max(opens[endpoint.route], endpoint.retry_at)) for endpoint in self.endpoints.values()
         ]
@@ -437,7 +437,7 @@
 
     def usual_latency(self):
         """The usual time (ms) from a call to its answer, of the slowest listed route."""
-        return max((route.usual for route in self.listed_routes()), default=0.0)
+        return max((route.usual_latency for route in self.listed_routes()), default=0.0)
 
     def give_up_late(self):
         """Keeps an overloaded queue from delivering every text too late: gives up what would earn nothing or,
@@ -686,7 +686,7 @@
             scheduler.actions.append(Wake(scheduler.wake_at - now, scheduler.wake_token))
         return scheduler.actions
 
-    def still(self, now, ident, texts):
+    def may_begin(self, now, ident, texts):
         """Whether a call that needed time to connect may begin; the facade asks before it sends. Meanwhile
         its endpoint may have left the list, a wait or an outage may have come up, or the time for a submit
         may have run out.
@@ -695,7 +695,7 @@
         return (
             endpoint
             and ident in endpoint.dest.endpoints
-            and now >= endpoint.route.pause
+            and now >= endpoint.route.blocked_until
             and endpoint.route.slow_start.admits(self.decided_at(texts, now))
             and all(now < self.registry.texts[text].last_submit() for text in texts)
         )
@@ -805,7 +805,7 @@
         back. With a released destination, a restriction in force keeps it longer.
         """
         now = self.scheduler.now
-        for endpoint in self.departures.overdue(now, Route.IDLE):
+        for endpoint in self.departures.overdue(now, Route.RETENTION_MS):
             if endpoint.dest.released_at is not None and endpoint.route.is_restricted():
                 self.departures.renew(endpoint, now)
             elif not endpoint.calls:
@@ -833,7 +833,7 @@
             dest.endpoints.clear()
             self.departures.update(unlisted, self.scheduler.now)
             self.scheduler.later(
-                self.scheduler.now + Route.IDLE + MAINTENANCE_INTERVAL_MS,
+                self.scheduler.now + Route.RETENTION_MS + MAINTENANCE_INTERVAL_MS,
                 self,
                 "expire_destination",
                 dest,
@@ -851,4 +851,6 @@
             del self.dests[dest.ident]
             self.faded.append(dest.ident)
         else:
-            self.scheduler.later(self.scheduler.now + Route.IDLE, self, "expire_destination", dest, since)
+            self.scheduler.later(
+                self.scheduler.now + Route.RETENTION_MS, self, "expire_destination", dest, since
+            )
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 
 from calicopin import deployment_settings, route_state
-from calicopin.decisions import HARMLESS
+from calicopin.decisions import NEVER_RAN
 from calicopin.interface import (
     CallsPaused,
     Close,
@@ -237,7 +237,7 @@
         for route in changed:
             dest, endpoint = route.key
             if dest in self.dests.ident and (endpoint is None or endpoint in self.endpoints.ident):
-                state = route_state.values(route) if route.kept else None
+                state = route_state.values(route) if route.has_stored_state else None
                 yield (
                     self.dests.ident[dest],
                     (None if endpoint is None else self.endpoints.ident[endpoint]),
@@ -386,7 +386,7 @@
             Outcome(text.number, call.endpoint, outcome, wait, elapsed, ended, load.get("x0"), load.get("x1"))
         )
         if not ended:
-            self.returned_texts.append((text, outcome not in HARMLESS))
+            self.returned_texts.append((text, outcome not in NEVER_RAN))
         elif self.texts.pop(text.number, None):
             delivered = outcome == How.DELIVERED
             why = f"delivered to {call.place.ident}" if delivered else f"over, says {call.place.ident}"
@@ -415,8 +415,10 @@
                     out=sum(len(endpoint.calls) for endpoint in dest.endpoints.values()) if dest else 0,
                     endpoints=len(dest.endpoints) if dest else 0,
                     pace=round(worst.rate * 1000.0, 3) if worst and worst.rate else None,
-                    usual_ms=round(worst.usual, 1) if worst else 0.0,
-                    wait_ms=round(max(0.0, worst.pause - self.module.scheduler.now), 1) if worst else 0.0,
+                    usual_ms=round(worst.usual_latency, 1) if worst else 0.0,
+                    wait_ms=round(max(0.0, worst.blocked_until - self.module.scheduler.now), 1)
+                    if worst
+                    else 0.0,
                 )
             )
         return states
@@ -492,7 +494,7 @@
 
     def still(self, call, now):
         """Whether a picked call may still be sent, once its connection is established."""
-        return bool(self.module.still(now, call.endpoint, [text.number for text in call.texts]))
+        return bool(self.module.may_begin(now, call.endpoint, [text.number for text in call.texts]))
 
     def back(self):
         """Returns the next text whose submit ended without a final answer, or None.
--- a/calicopin/route.py
+++ b/calicopin/route.py
@@ -17,12 +17,12 @@
     `key` is the number of the destination, and that of the endpoint or None. `known_since` is the time (ms)
     since which its calls are known. `limit` is the limit that answers report, `limit_left` the share of it
     that is left, and `listed_limit` the limit that the list of endpoints gives. `demand_waited` says that a
-    text has waited for the bucket since the rate last changed. `pause` is the time until which no call may
-    go, `usual` the usual latency.
+    text has waited for the bucket since the rate last changed. `blocked_until` is the time until which no
+    call may go, `usual_latency` an average (ms).
     """
 
     # INCREASE_STEP is a share of the initial rate, MIN_LIMIT a rate.
-    BURST_MS, COOLDOWN_MS, CUT_FACTOR, INCREASE_STEP, MIN_LIMIT, IDLE = (
+    BURST_MS, COOLDOWN_MS, CUT_FACTOR, INCREASE_STEP, MIN_LIMIT, RETENTION_MS = (
         300.0,
         4000.0,
         0.7,
@@ -36,7 +36,7 @@
         self.scheduler, self.name, self.senders, self.key = scheduler, name, senders, key
         self.slow_start = SlowStart(fail_back, senders)
         self.rate = self.initial_rate = self.listed_limit = self.limit = None
-        self.tokens, self.refilled_at, self.pause, self.patient_call = 1.0, scheduler.now, 0.0, None
+        self.tokens, self.refilled_at, self.blocked_until, self.patient_call = 1.0, scheduler.now, 0.0, None
         self.cut_at, self.changed_at, self.demand_waited, self.limit_left = -1e12, -1e12, False, 0.5
         self.call_times, self.last_call_at, self.known_since = (
             deque(),
@@ -44,9 +44,9 @@
             known_since or scheduler.now,
         )
         self.first_attempt_times = deque()  # without repeats, which are no traffic
-        self.usual = self.usual_rate = self.longest_timeout = 0.0
+        self.usual_latency = self.usual_rate = self.longest_timeout = 0.0
         self.fastest_answer = float("inf")  # ms
-        self.kept = False  # whether the state stored for the next process restricts anything
+        self.has_stored_state = False  # whether the state stored for the next process restricts anything
 
     @property
     def mode(self):
@@ -118,14 +118,14 @@
         if rate is not None:
             capacity = max(1.0, rate * max(self.BURST_MS, self.scheduler.late)) if self.mode == WELL else 1.0
             self.tokens = min(
-                capacity, self.tokens + max(0.0, now - max(self.refilled_at, self.pause)) * rate
+                capacity, self.tokens + max(0.0, now - max(self.refilled_at, self.blocked_until)) * rate
             )
         self.refilled_at = now
         return rate
 
-    def opens(self):
+    def next_call_at(self):
         """The time (ms) at which the next call may go."""
-        rate, start = self.refill(), max(self.scheduler.now, self.pause)
+        rate, start = self.refill(), max(self.scheduler.now, self.blocked_until)
         return start if rate is None or self.tokens >= 1.0 - 1e-9 else start + (1.0 - self.tokens) / rate
 
     def take_token(self, first=True):
@@ -145,15 +145,17 @@
         unchanged rate needs no new record.
         """
         persist = self.must_persist()
-        if persist or self.kept:
+        if persist or self.has_stored_state:
             self.scheduler.touched[self] = None
-        self.kept = persist
+        self.has_stored_state = persist
 
     def must_persist(self):
         """Whether a restart has to know the route: it has an outage, a wait or a rate limit. Without the
         rate, all that waited for it would go at once.
         """
-        return self.rate is not None or self.slow_start.must_persist() or self.pause > self.scheduler.now
+        return (
+            self.rate is not None or self.slow_start.must_persist() or self.blocked_until > self.scheduler.now
+        )
 
     def start_pacing(self, rate, why):
         """Sets the first rate; later increases are steps of a fixed share of it. `why` goes to the log."""
@@ -184,19 +186,23 @@
         empty.
         """
         self.refill()
-        self.pause, self.tokens = max(self.pause, self.scheduler.now + wait), 0.0
+        self.blocked_until, self.tokens = max(self.blocked_until, self.scheduler.now + wait), 0.0
         self.mark_changed()
 
     def is_restricted(self):
         """Whether a wait is in force, or an outage or the warm-up after it."""
-        return self.mode != WELL or self.pause > self.scheduler.now
+        return self.mode != WELL or self.blocked_until > self.scheduler.now
 
     def delivered(self, elapsed):
         """A call was delivered, `elapsed` ms after it was sent."""
         now, self.fastest_answer = self.scheduler.now, min(self.fastest_answer, elapsed)
         # slower answers timed out before: a higher usual latency lets the next ones arrive
-        least = elapsed / 4.0 if elapsed > 8.0 * self.usual else 0.0
-        self.usual = max(least, self.usual + 0.1 * (elapsed - self.usual)) if self.usual else elapsed
+        least = elapsed / 4.0 if elapsed > 8.0 * self.usual_latency else 0.0
+        self.usual_latency = (
+            max(least, self.usual_latency + 0.1 * (elapsed - self.usual_latency))
+            if self.usual_latency
+            else elapsed
+        )
         if self.rate is None and self.limit:
             self.start_pacing(
                 max(self.limit / self.senders, self.recent_rate()), "its share of the reported limit"
@@ -213,7 +219,7 @@
             self.rate
             and self.demand_waited
             and headroom > 0.0
-            and now >= max(self.pause, self.changed_at + 1000.0)
+            and now >= max(self.blocked_until, self.changed_at + 1000.0)
         ):
             self.refill()
             self.rate += self.INCREASE_STEP * self.initial_rate * headroom
@@ -251,7 +257,7 @@
             self.last_call_at = self.call_times.popleft()
         while self.first_attempt_times and self.first_attempt_times[0] <= now - self.MAX_WINDOW_MS:
             self.first_attempt_times.popleft()
-        if not self.call_times and now - self.last_call_at > self.IDLE and self.mode == WELL:
+        if not self.call_times and now - self.last_call_at > self.RETENTION_MS and self.mode == WELL:
             self.rate = None
         if outage := self.slow_start.detect_lasting_outage(now):
             self.mode_changed(outage)
@@ -269,5 +275,5 @@
             )
         elif self.slow_start.finish_warmup(now):
             self.mode_changed("warm-up over")
-        if self.kept and not self.must_persist():
+        if self.has_stored_state and not self.must_persist():
             self.mark_changed()
--- a/calicopin/route_state.py
+++ b/calicopin/route_state.py
@@ -13,13 +13,13 @@
     "limit": "limit",
     "tokens": "tokens",
     "filled": "refilled_at",
-    "pause": "pause",
+    "pause": "blocked_until",
     "cut_at": "cut_at",
     "changed": "changed_at",
     "waited": "demand_waited",
     "left": "limit_left",
     "sent_at": "last_call_at",
-    "usual": "usual",
+    "usual": "usual_latency",
     "flow": "usual_rate",
     "cut_off": "longest_timeout",
 }
@@ -97,4 +97,4 @@
     route.refilled_at = now
     for attribute in ("cut_at", "changed_at", "last_call_at"):
         setattr(route, attribute, min(getattr(route, attribute), now) if continuous else now)
-    route.pause = min(route.pause, now + wait) if continuous else now + wait
+    route.blocked_until = min(route.blocked_until, now + wait) if continuous else now + wait
--- a/calicopin/send_guard.py
+++ b/calicopin/send_guard.py
@@ -55,7 +55,7 @@
         unwritten = [text.ident for text in call.texts if text.out_at is None]
         holds = all(
             [
-                self._check(now >= route.pause, Invariant.WAIT_OVER, name),
+                self._check(now >= route.blocked_until, Invariant.WAIT_OVER, name),
                 self._check(not unwritten, Invariant.JOURNALLED, " ".join(unwritten)),
                 self._check(not outage or slow_start.mode != WELL, Invariant.OUTAGE_KNOWN, name),
             ]
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -173,8 +173,8 @@
     checked = []
     monkeypatch.setattr(
         decisions.Route,
-        "opens",
-        lambda route, opens=decisions.Route.opens: checked.append(route) or opens(route),
+        "next_call_at",
+        lambda route, next_call_at=decisions.Route.next_call_at: checked.append(route) or next_call_at(route),
     )
     courier = CourierFixture(tmp_path, asked=False, groupSize=1024)
     assert courier.post("a") == b"202"
--- a/tests/test_fleet_restarts.py
+++ b/tests/test_fleet_restarts.py
@@ -150,7 +150,7 @@
         old, self.couriers[number] = self.couriers[number], self.courier(number)
         events = [Listed(ENDPOINTS, whole=True)]
         for route in old.dests[0].routes.values():
-            if route.kept:
+            if route.has_stored_state:
                 state = json.loads(json.dumps(route_state.packed(route_state.values(route))))
                 events.append(RouteState(0, None, route_state.unpacked(state), True))
         if any(endpoint.calls for endpoint in old.endpoints.values()):
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -75,7 +75,7 @@
                 endpoint.dest.endpoints.pop(ident, None)
             if ident in endpoint.dest.endpoints:
                 endpoint.last_listed_at = self.scheduler.now
-            elif not endpoint.calls and self.scheduler.now - endpoint.last_listed_at > Route.IDLE:
+            elif not endpoint.calls and self.scheduler.now - endpoint.last_listed_at > Route.RETENTION_MS:
                 del self.endpoints[ident], endpoint.kind.endpoints[ident]
                 endpoint.dest.routes.pop(ident, None)
 
@@ -191,7 +191,7 @@
     fixture = DecisionsFixture()
     fixture.step([Listed([])], after=1000.0)
     fixture.step([Listed([Entry(0, 0, ready=False)])], after=500.0)  # last listed at 1000
-    fixture.step([Listed([])], after=Route.IDLE - 500.0)
+    fixture.step([Listed([])], after=Route.RETENTION_MS - 500.0)
     assert 0 in fixture.courier.endpoints
     fixture.step([Listed([])], after=1.0)
     assert sorted(fixture.courier.endpoints) == [1]
@@ -238,7 +238,7 @@
     fixture.outcome(submits(fixture.take(1))[0])
     fixture.step(after=30000.0)
     release(fixture)
-    fixture.step(after=Route.IDLE)
+    fixture.step(after=Route.RETENTION_MS)
     assert 0 in fixture.courier.dests and sorted(fixture.courier.endpoints) == [0, 1]
     fixture.step(after=1000.0)
     assert (
@@ -251,7 +251,7 @@
     release(fixture)
     assert not submits(fixture.take(1))
     assert len(submits(fixture.step([Listed([Entry(0, 0)])]))) == 1
-    fixture.step(after=5.0 * Route.IDLE)
+    fixture.step(after=5.0 * Route.RETENTION_MS)
     assert 0 in fixture.courier.dests and 0 in fixture.courier.endpoints
 
 
@@ -278,15 +278,15 @@
     route = fixture.courier.dests[0].routes[None]
     assert route.mode == "out"
     release(fixture)
-    fixture.step(after=10 * Route.IDLE)
+    fixture.step(after=10 * Route.RETENTION_MS)
     assert fixture.courier.dests[0].routes[None] is route
     other = DecisionsFixture()
-    out = submits(other.take(1, validity=10 * Route.IDLE))[0]
+    out = submits(other.take(1, validity=10 * Route.RETENTION_MS))[0]
     release(other)
-    other.step(after=3 * Route.IDLE)
+    other.step(after=3 * Route.RETENTION_MS)
     assert out.endpoint in other.courier.endpoints and 0 in other.courier.dests
     other.outcome(out)
-    other.step(after=3 * Route.IDLE)
+    other.step(after=3 * Route.RETENTION_MS)
     assert not other.courier.dests and not other.courier.endpoints
 
 
@@ -336,7 +336,7 @@
         while call := courier_facade.pick():
             courier_facade.report(call, Answer(Far.ANSWERED, status=200), 20.0)
         now = advance(courier_facade, now, 1000.0)
-    now = advance(courier_facade, now, 2.0 * Route.IDLE)
+    now = advance(courier_facade, now, 2.0 * Route.RETENTION_MS)
     courier_facade.listed([], False)
     now = advance(courier_facade, now, 1000.0)
     assert kept_objects(courier_facade) == before
@@ -346,7 +346,7 @@
 def test_a_destination_that_comes_back_is_served():
     courier_facade = facade(places=[listed_place(1), listed_place(40)])
     courier_facade.release(10)
-    now = advance(courier_facade, 0.0, 3.0 * Route.IDLE)
+    now = advance(courier_facade, 0.0, 3.0 * Route.RETENTION_MS)
     assert not courier_facade.serves(10)
     courier_facade.listed([listed_place(40)], False)
     courier_facade.hand_in(text("a", dest=10, until=now + 5000.0))
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -44,9 +44,9 @@
     guard, reports = guard_and_reports()
     assert not guard.may_call(call, None, None, 10.0)
     assert not guard.may_call(call, endpoint, OUTAGE, 10.0)
-    endpoint.route.pause = 500.0
+    endpoint.route.blocked_until = 500.0
     assert not guard.may_call(call, endpoint, None, 10.0)
-    endpoint.route.pause, call.texts[0].out_at = 0.0, None
+    endpoint.route.blocked_until, call.texts[0].out_at = 0.0, None
     assert not guard.may_call(call, endpoint, None, 10.0)
     call.texts[0].out_at = 0.0
     endpoint.dest.endpoints.clear()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -95,10 +95,10 @@
     fixture.step(after=700.0)
     after = route_of(new)
     assert (after.mode, after.slow_start.since) == (OUT, before.slow_start.since)
-    unaware, opens = new_courier(fixture.now), before.opens()
+    unaware, opens = new_courier(fixture.now), before.next_call_at()
     unaware.handle(fixture.now, [Listed([Entry(0, 0)], whole=True)])
-    assert route_of(unaware).opens() == fixture.now, "a courier that knows of no outage calls at once"
-    assert opens <= after.opens() <= opens + 1000.0, "no sooner than without a restart, nor much later"
+    assert route_of(unaware).next_call_at() == fixture.now, "a courier that knows of no outage calls at once"
+    assert opens <= after.next_call_at() <= opens + 1000.0, "no sooner than without a restart, nor much later"
     assert after.tokens <= before.tokens, "no tokens were saved up while there was no process"
 
 
@@ -155,12 +155,12 @@
     fixture = DecisionsFixture()
     fixture.outcome(submits(fixture.take(1))[0], How.FULL, wait=2500.0)
     route = route_of(fixture.courier)
-    assert route.kept
+    assert route.has_stored_state
     told = route_state.values(route)
     for continuous, now, left in ((True, fixture.now + 1000.0, 1500.0), (False, 20.0, 2500.0)):
         new = new_courier(now)
         new.handle(now, [RouteState(0, None, told, continuous)])
-        assert route_of(new).pause == pytest.approx(now + left, abs=1.0)
+        assert route_of(new).blocked_until == pytest.approx(now + left, abs=1.0)
 
 
 def test_a_call_cut_off_by_the_end_of_the_process_counts_as_one_failure(tmp_path):
@@ -185,12 +185,12 @@
     """Its connection was established late: it was decided on what was known when the connection was begun."""
     fixture = DecisionsFixture(senders=20)
     first, *others = submits(fixture.take(6))
-    assert fixture.courier.still(fixture.now, first.endpoint, [first.text])
+    assert fixture.courier.may_begin(fixture.now, first.endpoint, [first.text])
     fixture.step(after=10.0)
     for submit in others:
         fixture.outcome(submit, How.ERROR, elapsed=60.0)
     assert route_of(fixture.courier).mode == OUT
-    assert not fixture.courier.still(fixture.now, first.endpoint, [first.text])
+    assert not fixture.courier.may_begin(fixture.now, first.endpoint, [first.text])
 
 
 def test_calls_beyond_the_part_of_a_throttled_sender_are_counted():
@@ -251,7 +251,7 @@
     (first,) = submits(fixture.take(1))
     fixture.outcome(first, How.FULL)
     route = route_of(fixture.courier)
-    assert route.rate and route.kept
+    assert route.rate and route.has_stored_state
     new = new_courier(fixture.now)
     texts = [Taken(number, 0, 0, fixture.now + 20000.0, restored=True) for number in range(40)]
     state = RouteState(0, None, route_state.values(route), True)
@@ -336,9 +336,9 @@
     assert route_state.unpacked(route_state.packed(state)) == state
     bucket = route.rate, route.initial_rate, route.listed_limit, route.limit, route.tokens, route.refilled_at
     assert bucket == tuple(map(float, range(6)))
-    pace = route.pause, route.cut_at, route.changed_at, route.demand_waited, route.limit_left
+    pace = route.blocked_until, route.cut_at, route.changed_at, route.demand_waited, route.limit_left
     assert pace == tuple(map(float, range(6, 11)))
-    averages = route.last_call_at, route.usual, route.usual_rate, route.longest_timeout
+    averages = route.last_call_at, route.usual_latency, route.usual_rate, route.longest_timeout
     assert averages == tuple(map(float, range(11, 15)))
     known = route.slow_start
     assert (known.mode, known.since, known.fails) == (15.0, 16.0, 17.0)
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -324,7 +324,7 @@
     courier = started(tmp_path, node, endpoint)
     courier.advance(LOOK)
     facade, passed = courier.runtime.facade, 0.0
-    while passed < IDLE * (1.0 + IDLE_JITTER_FRACTION) + 3.0 * Route.IDLE:
+    while passed < IDLE * (1.0 + IDLE_JITTER_FRACTION) + 3.0 * Route.RETENTION_MS:
         _, asked = courier.node.next_request()
         courier.node.respond(asked, 3)
         courier.advance(2000.0)
