--- a/calicopin/decisions.py
+++ b/calicopin/decisions.py
@@ -114,8 +114,8 @@
 class Endpoint:
     """Sends calls to one endpoint and reports their outcomes to its destination.
 
-    `misses` counts the failures since the last delivery. `suspect_idle` holds how long (ms) a connection had
-    been idle whose call timed out, or 0, and when that call ended.
+    `consecutive_failures` counts the failures since the last delivery. `suspect_idle` holds how long (ms) a
+    connection had been idle whose call timed out, or 0, and when that call ended.
     """
 
     def __init__(self, scheduler, ident, zone, dest, route, kind):
@@ -128,7 +128,8 @@
             1e12,
             0.0,
         )
-        self.misses, self.failures_by_product = 0, Counter()  # in a row, of all products and of each product
+        # in a row, of all products and of each product
+        self.consecutive_failures, self.failures_by_product = 0, Counter()
         self.keep_open_until, self.suspect_idle, kind.endpoints[ident] = 0.0, (0.0, 0.0), self
 
     def on_close_idle(self):
@@ -194,7 +195,7 @@
         if outcome == How.UNREACHED:
             self.kind.last_unreached_at = self.scheduler.now
             # without a delay a text would use up its submits while the endpoint is full or down
-            delay = max(route.usual_latency, 20.0 * self.dest.tick) * 2.0**self.misses
+            delay = max(route.usual_latency, 20.0 * self.dest.tick) * 2.0**self.consecutive_failures
             self.retry_at = self.scheduler.now + delay * (0.5 + self.scheduler.draw(self.ident))
         if (
             first_of_call
@@ -224,13 +225,13 @@
         if first_of_outcome and outcome == How.DELIVERED:
             route.delivered(event.elapsed)
             self.dest.bundle_size = min(self.dest.max_bundle, self.dest.bundle_size + 1)
-            self.misses, self.failures_by_product[text.product] = (
+            self.consecutive_failures, self.failures_by_product[text.product] = (
                 0,
                 self.failures_by_product[text.product] // 2,
             )
         elif first_of_outcome and outcome not in (How.NOT_SENT, How.CALLED_OFF):
             route.failed(outcome.name.lower(), event.wait)
-            self.misses = min(OUTAGE_STREAK, self.misses + (outcome != How.FULL))
+            self.consecutive_failures = min(OUTAGE_STREAK, self.consecutive_failures + (outcome != How.FULL))
             self.failures_by_product[text.product] = min(
                 OUTAGE_STREAK, self.failures_by_product[text.product] + (outcome != How.FULL)
             )
@@ -244,8 +245,8 @@
 class Destination:
     """The queue of one destination, first in, first out, and the choice of an endpoint.
 
-    `held` counts its slots in use, `bundle_size` is how many texts may share a call at present, up to
-    `max_bundle`, and `arrival_rate` is its average of accepted texts per ms.
+    `slots_in_use` counts the slots of its calls, `bundle_size` is how many texts may share a call at present,
+    up to `max_bundle`, and `arrival_rate` is its average of accepted texts per ms.
     """
 
     def __init__(self, scheduler, ident, registry, pool, settings):
@@ -256,7 +257,7 @@
         (
             self.slot_requested,
             self.dispatch_at,
-            self.held,
+            self.slots_in_use,
             self.arrivals,
             self.arrival_rate,
             self.last_maintenance,
@@ -308,7 +309,7 @@
         """Whether maintenance can be left out: nothing waits, is in flight, was sent lately or warms up."""
         return not (
             self.queue
-            or self.held
+            or self.slots_in_use
             or any(route.mode == COLD or route.call_times for route in self.routes.values())
         )
 
@@ -320,7 +321,7 @@
         retained = any(
             route.call_times or route.last_call_at >= horizon or route.is_restricted() for route in routes
         )
-        return not (self.queue or self.held or self.slot_requested or self.endpoints or retained)
+        return not (self.queue or self.slots_in_use or self.slot_requested or self.endpoints or retained)
 
     def on_maintain(self, number):
         """Periodic maintenance, run `number`: averages make up for the runs that were skipped while the
@@ -397,7 +398,7 @@
         available = [endpoint for endpoint, at in self.endpoint_openings() if at <= self.scheduler.now]
         eligible = [endpoint for endpoint in available if not (zone_bound and endpoint.zone != text.ran_zone)]
         weights = [
-            0.5 ** max(candidate.misses, candidate.failures_by_product[text.product])
+            0.5 ** max(candidate.consecutive_failures, candidate.failures_by_product[text.product])
             / (1 + len(candidate.calls))
             for candidate in eligible
         ]
@@ -487,7 +488,7 @@
 
     def on_release(self, dest):
         """A destination returns a slot."""
-        self.free, dest.held = self.free + 1, dest.held - 1
+        self.free, dest.slots_in_use = self.free + 1, dest.slots_in_use - 1
         self.grant_slots()
 
     def on_resume(self):
@@ -499,10 +500,10 @@
         while self.requests and self.free > 0 and not self.paused:
             request = min(
                 self.requests,
-                key=lambda entry: (entry[0].held / max(0.5, entry[2]), entry[1], entry[0].ident),
+                key=lambda entry: (entry[0].slots_in_use / max(0.5, entry[2]), entry[1], entry[0].ident),
             )
             self.requests.remove(request)
-            self.free, request[0].held = self.free - 1, request[0].held + 1
+            self.free, request[0].slots_in_use = self.free - 1, request[0].slots_in_use + 1
             self.scheduler.post(request[0], "grant")
 
 
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -357,7 +357,7 @@
         """Whether a text for the destination is queued, in a call, or added since the last tick."""
         number = self.dests.index.get(dest)
         known = self.module.dests.get(number)
-        return (known is not None and bool(known.queue or known.held)) or any(
+        return (known is not None and bool(known.queue or known.slots_in_use)) or any(
             isinstance(event, Taken) and event.dest == number for event in self.events
         )
 
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -17,7 +17,7 @@
 # Fields on the wire between two builds, with the attribute that holds each.
 DESTINATION = {"most": "max_bundle", "bundle": "bundle_size", "came": "arrivals", "load": "arrival_rate"}
 CALL = {"timeout": "timeout", "told": "told", "waited": "waited"}
-ENDPOINT = {"misses": "misses", "seen": "last_listed_at", "shy": "retry_at"}
+ENDPOINT = {"misses": "consecutive_failures", "seen": "last_listed_at", "shy": "retry_at"}
 
 
 # Writing.
@@ -62,7 +62,7 @@
             ident=endpoints[number],
             dest=facade.dests.ident[endpoint.dest.ident],
             zone=facade.zones.ident.get(endpoint.zone, ""),
-            misses=endpoint.misses,
+            misses=endpoint.consecutive_failures,
             missed=[endpoint.failures_by_product[product] for product in module.products],
             shy=endpoint.retry_at,
             kind=module.kinds.index(endpoint.kind),
@@ -243,7 +243,7 @@
         known = decisions.Call(target, one["sent"], len(call.open))
         known.size, known.last_outcome = one["size"], one["mode"]
         target.calls.append(known)
-        module.pool.free, target.dest.held = module.pool.free - 1, target.dest.held + 1
+        module.pool.free, target.dest.slots_in_use = module.pool.free - 1, target.dest.slots_in_use + 1
         if one["patient"]:
             target.route.patient_call = known
         for text in call.open:
--- a/calicopin/route.py
+++ b/calicopin/route.py
@@ -266,7 +266,7 @@
             # a random start, so that the first calls of all senders together keep to their rate
             self.tokens = min(self.tokens, self.scheduler.draw(self.name))
             lasted = now - self.slow_start.first_failure_at
-            self.scheduler.log(f"{self.name} doubted: {self.slow_start.fails} failures in {lasted:.0f} ms")
+            self.scheduler.log(f"{self.name} doubted: {self.slow_start.failures} failures in {lasted:.0f} ms")
         elif self.mode == WELL and not self.slow_start.suspects_outage(now):
             # starts at 0 and counts over the whole window, so that a burst does not count as the usual rate
             span = self.counting_window()
--- a/calicopin/slow_start.py
+++ b/calicopin/slow_start.py
@@ -22,7 +22,7 @@
 STATE = {
     "mode": "mode",
     "since": "since",
-    "fails": "fails",
+    "fails": "failures",
     "refused": "only_refusals",
     "last_refused": "last_was_refusal",
     "fail_since": "first_failure_at",
@@ -37,7 +37,7 @@
     """What one sender knows of the outages of one route, and the rate that this allows.
 
     `mode` is well, out (in an outage, as far as is known) or cold (it has answered since); `since` is when
-    that began. `fails` counts the failures since the last delivery, from `first_failure_at` to
+    that began. `failures` counts the failures since the last delivery, from `first_failure_at` to
     `last_failure_at`; `usual_failures` is the average number of failures between two deliveries.
     `only_refusals` says that all of them were refusals, `last_was_refusal` that the last one was.
     `suspected_since` is the `first_failure_at` of failures that may be an outage, or None.
@@ -46,7 +46,7 @@
     def __init__(self, rule: FailBack, senders: int):
         self.rule, self.senders = rule, senders
         self.mode, self.since, self.warm_at = WELL, 0.0, 0.0
-        self.fails, self.only_refusals, self.first_failure_at, self.last_failure_at = 0, False, 0.0, 0.0
+        self.failures, self.only_refusals, self.first_failure_at, self.last_failure_at = 0, False, 0.0, 0.0
         self.usual_failures, self.suspected_since, self.last_was_refusal = 0.0, None, False
         # time (ms) and rate of each call that was sent while throttled
         self.recent_calls: deque[tuple[float, float]] = deque()
@@ -61,8 +61,8 @@
         """
         return (
             now - self.first_failure_at >= self.rule.span
-            and self.fails > self.only_refusals
-            and (self.usual_failures / (1.0 + self.usual_failures)) ** self.fails * self.senders < 1.0
+            and self.failures > self.only_refusals
+            and (self.usual_failures / (1.0 + self.usual_failures)) ** self.failures * self.senders < 1.0
         )
 
     def is_throttled(self, now: float) -> bool:
@@ -77,7 +77,7 @@
             shared = self.shared_rate(now, share)
             return shared if rate is None else min(rate, shared)
         lasted = now - self.first_failure_at
-        if self.fails > 1 and lasted >= self.rule.span:  # losses are usual here
+        if self.failures > 1 and lasted >= self.rule.span:  # losses are usual here
             return min(rate or 1.0, 1.0 / lasted)
         return rate
 
@@ -130,9 +130,9 @@
             # with few calls, it may have returned as early as the last failure, but only this call proves it
             self.mode, self.since = COLD, self.last_failure_at
             self.warm_at = now + self.rule.cold
-            self.fails = 0
-        self.usual_failures += 0.1 * (self.fails - self.usual_failures)
-        self.fails, self.suspected_since = 0, None
+            self.failures = 0
+        self.usual_failures += 0.1 * (self.failures - self.usual_failures)
+        self.failures, self.suspected_since = 0, None
         return why
 
     def failed(self, now: float, why: str, wait: float) -> str | None:
@@ -141,11 +141,11 @@
         mode changed, or None.
         """
         refusal = why == "full"
-        self.only_refusals = refusal and (self.only_refusals or not self.fails)
+        self.only_refusals = refusal and (self.only_refusals or not self.failures)
         self._count_failure(now)
         self.last_failure_at, self.last_was_refusal = now, refusal
         streak = max(OUTAGE_STREAK, RARE_STREAK_EXPONENT / log(1.0 + 1.0 / max(1e-9, self.usual_failures)))
-        many = not refusal and self.fails >= streak
+        many = not refusal and self.failures >= streak
         if self.mode == OUT or not (self.is_lasting(now) or many or wait > self.rule.span):
             return None
         return self._enter_outage(now, f"last {why}, requested wait {wait:.0f} ms")
@@ -153,11 +153,11 @@
     def is_lasting(self, now: float) -> bool:
         """Whether failures have lasted long enough, and are enough, to be an outage."""
         min_failures = OUTAGE_STREAK if self.last_was_refusal else MIN_LASTING_FAILURES
-        return self.fails >= min_failures and now - self.first_failure_at >= self.rule.span
+        return self.failures >= min_failures and now - self.first_failure_at >= self.rule.span
 
     def _enter_outage(self, now: float, detail: str) -> str:
-        reason = f"{self.fails} failures in {now - self.first_failure_at:.0f} ms, {detail}"
-        self.mode, self.since, self.fails, self.suspected_since = OUT, now, 0, None
+        reason = f"{self.failures} failures in {now - self.first_failure_at:.0f} ms, {detail}"
+        self.mode, self.since, self.failures, self.suspected_since = OUT, now, 0, None
         return reason
 
     def detect_lasting_outage(self, now: float) -> str | None:
@@ -172,7 +172,10 @@
         return None
 
     def _count_failure(self, at: float) -> None:
-        self.first_failure_at, self.fails = self.first_failure_at if self.fails else at, self.fails + 1
+        self.first_failure_at, self.failures = (
+            self.first_failure_at if self.failures else at,
+            self.failures + 1,
+        )
 
     def interrupted(self, now: float) -> None:
         """The end of the last process cut off a call: its outcome is unknown, so it counts as a failure now,
@@ -197,14 +200,14 @@
         """Ends the warm-up of a cold destination once its time has passed; returns whether it did."""
         if self.mode != COLD or now < self.warm_at:
             return False
-        self.mode, self.since, self.fails, self.suspected_since = WELL, now, 0, None
+        self.mode, self.since, self.failures, self.suspected_since = WELL, now, 0, None
         return True
 
     # Restarts.
 
     def must_persist(self) -> bool:
         """Whether the next process has to know this state."""
-        return self.mode != WELL or self.fails > self.only_refusals
+        return self.mode != WELL or self.failures > self.only_refusals
 
     def restore_clock(self, now: float, continuous: bool) -> None:
         """Adjusts the times after a restart: none may lie in the future but the end of the warm-up. Where the
@@ -218,6 +221,6 @@
         self.since = min(self.since, now)
         self.last_failure_at = min(self.last_failure_at, now)
         self.warm_at = min(self.warm_at, now + self.rule.cold)
-        if self.mode == WELL and self.fails > self.only_refusals:
+        if self.mode == WELL and self.failures > self.only_refusals:
             # all waiting texts are ready to go and the last calls failed: one call probes first
             self.first_failure_at = self.suspected_since = min(self.first_failure_at, now - self.rule.span)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -269,9 +269,9 @@
     overloaded it on its return.
     """
     route = DecisionsFixture(senders=200).courier.dests[0].routes[None]
-    route.rate, route.slow_start.fails, route.slow_start.first_failure_at = 0.001, 2, -8000.0
+    route.rate, route.slow_start.failures, route.slow_start.first_failure_at = 0.001, 2, -8000.0
     assert route.speed() == pytest.approx(0.2 * 2.0**0.5 / (8000.0 + 3000.0)), "at most one call in their age"
-    route.slow_start.fails = 1
+    route.slow_start.failures = 1
     assert route.speed() == pytest.approx(0.2 * 2.0**0.5 / (8000.0 + 3000.0)), (
         "a sender with few calls sees one failure"
     )
@@ -481,14 +481,15 @@
     done = fixture.outcome(submit, How.BROKEN, elapsed=50.0)
     assert closes(done) == [1], "only of the same kind, and idle for longer than half of that time"
     assert (
-        not fixture.courier.dests[0].routes[None].slow_start.fails and not fixture.courier.endpoints[0].misses
+        not fixture.courier.dests[0].routes[None].slow_start.failures
+        and not fixture.courier.endpoints[0].consecutive_failures
     )
     (again,) = submits(done) or submits(fixture.step(after=100.0))
     fixture.outcome(again)
     assert not closes(fixture.step(after=900.0)) and closes(fixture.step(after=200.0)) == [0]
     (late,) = submits(fixture.take())
     fixture.outcome(late, How.BROKEN, elapsed=500.0)
-    assert fixture.courier.dests[0].routes[None].slow_start.fails == 1, (
+    assert fixture.courier.dests[0].routes[None].slow_start.failures == 1, (
         "slower than the fastest answer: a failure of the endpoint"
     )
 
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -182,7 +182,7 @@
     second = CourierFixture(tmp_path, endpoint=first.endpoint)
     spin(second.loop, lambda: second.runtime.facade.module.dests)
     route = second.runtime.facade.module.dests[0].routes[None]
-    assert route.slow_start.fails == 1
+    assert route.slow_start.failures == 1
     assert client(second.loop, second.listen) is not None
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -176,7 +176,7 @@
     new = new_courier(12000.0)
     new.handle(12000.0, [Interrupted(0)])
     known = route_of(new).slow_start
-    assert known.fails == 1 and not known.is_throttled(14999.0) and known.is_throttled(15001.0)
+    assert known.failures == 1 and not known.is_throttled(14999.0) and known.is_throttled(15001.0)
     known.delivered(12100.0)
     assert not known.is_throttled(20000.0)
 
@@ -341,7 +341,7 @@
     averages = route.last_call_at, route.usual_latency, route.usual_rate, route.longest_timeout
     assert averages == tuple(map(float, range(11, 15)))
     known = route.slow_start
-    assert (known.mode, known.since, known.fails) == (15.0, 16.0, 17.0)
+    assert (known.mode, known.since, known.failures) == (15.0, 16.0, 17.0)
     assert (known.only_refusals, known.last_was_refusal) == (18.0, 19.0)
     failures = known.first_failure_at, known.last_failure_at, known.suspected_since, known.usual_failures
     assert (*failures, known.warm_at) == (20.0, 21.0, 22.0, 23.0, 24.0)
@@ -355,7 +355,7 @@
     (known,) = courier_facade.module.dests.values()
     known.max_bundle, known.bundle_size, known.arrivals, known.arrival_rate = 5, 3, 2, 0.25
     endpoint = courier_facade.endpoint_of(call)
-    endpoint.misses, endpoint.retry_at = 4, 70.0
+    endpoint.consecutive_failures, endpoint.retry_at = 4, 70.0
     endpoint.kind.last_unreached_at, endpoint.kind.last_stale_at, endpoint.kind.idle_limit = 11.0, 12.0, 13.0
     call.waited = 90.0
     state = written(courier_facade, [call])
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -34,7 +34,7 @@
 def endpoint_failures(courier):
     """The counters of endpoint failures, which a failed call would change."""
     return [
-        (each.misses, each.route.slow_start.fails)
+        (each.consecutive_failures, each.route.slow_start.failures)
         for each in courier.runtime.facade.module.endpoints.values()
     ]
 
