--- a/calicopin/decisions.py
+++ b/calicopin/decisions.py
@@ -517,7 +517,7 @@
 
     def __init__(self, scheduler, settings):
         self.scheduler, self.capacity, self.tick = scheduler, settings.room, settings.tick
-        self.settle, self.advice = settings.settle, settings.most_advice
+        self.settle, self.max_retry_after = settings.settle, settings.most_advice
         self.inbox, self.texts, self.keys, self.settling = deque(), {}, {}, {}
         self.settled_at = settings.restarted + settings.settle
 
@@ -614,7 +614,7 @@
         undeliverable otherwise.
         """
         if not text.over:
-            text.over, advice = True, min(stay_away, self.advice)
+            text.over, advice = True, min(stay_away, self.max_retry_after)
             self.scheduler.actions.append(
                 Nack(text.ident, advice, why) if text.nackable() else Undeliverable(text.ident, why)
             )
@@ -643,9 +643,9 @@
         self.kinds = [Kind(partner) for partner in settings.partners]
         self.pool = Pool(self.scheduler, settings.slots)
         self.registry = Registry(self.scheduler, settings)
-        self.dests, self.endpoints, self.inbox, self.live, self.maintenance_runs = {}, {}, deque(), {}, 0
+        self.dests, self.endpoints, self.inbox, self.active, self.maintenance_runs = {}, {}, deque(), {}, 0
         # the endpoints and the destinations that the last batch forgot
-        self.departures, self.forgotten, self.faded = Departures(), [], []
+        self.departures, self.forgotten_endpoints, self.forgotten_destinations = Departures(), [], []
         self.scheduler.later(0.0, self, "maintain")  # after the texts that a restart hands in
         if settings.asks:
             self.scheduler.post(self, "request_list")
@@ -673,12 +673,17 @@
         and the simulator adapter call it. Raises AttributeError for an event of an unknown type.
         """
         scheduler = self.scheduler
-        scheduler.late = max(
+        scheduler.lag = max(
             0.0,
-            scheduler.late - (now - scheduler.now),
+            scheduler.lag - (now - scheduler.now),
             now - scheduler.timers[0][0] if self.maintenance_runs else 0.0,
         )
-        scheduler.now, scheduler.actions, self.forgotten, self.faded = now, [], [], []
+        scheduler.now, scheduler.actions, self.forgotten_endpoints, self.forgotten_destinations = (
+            now,
+            [],
+            [],
+            [],
+        )
         for event in events:
             getattr(self, "on_" + type(event).__name__.lower())(event)
         scheduler.run()
@@ -714,14 +719,16 @@
 
     def advice(self, dest):
         """After how many ms a text that was turned away for lack of room may be handed in again."""
-        return min(max(0.0, self.dest(dest).next_call_at() - self.scheduler.now), self.registry.advice)
+        return min(
+            max(0.0, self.dest(dest).next_call_at() - self.scheduler.now), self.registry.max_retry_after
+        )
 
     def on_maintain(self):
         """Periodic maintenance of the destinations that are not idle."""
         self.scheduler.later(self.scheduler.now + MAINTENANCE_INTERVAL_MS, self, "maintain")
         self.maintenance_runs += 1
-        self.live = {dest: None for dest in self.live if not dest.idle()}
-        for dest in self.live:
+        self.active = {dest: None for dest in self.active if not dest.idle()}
+        for dest in self.active:
             self.scheduler.post(dest, "maintain", self.maintenance_runs)
 
     def on_woken(self, event):
@@ -736,8 +743,8 @@
         text = Text(event, dest, self.products[event.product], self.scheduler.now)
         if event.restored:
             dest.note_restored(text.until - text.product.validity)
-        if dest not in self.live:
-            self.live[dest] = None
+        if dest not in self.active:
+            self.active[dest] = None
             self.scheduler.post(dest, "maintain", self.maintenance_runs)
         self.scheduler.post(self.registry, "take", text)
 
@@ -813,7 +820,7 @@
                 self.departures.forget(endpoint)
                 del self.endpoints[endpoint.ident], endpoint.kind.endpoints[endpoint.ident]
                 endpoint.dest.routes.pop(endpoint.ident, None)
-                self.forgotten.append(endpoint.ident)
+                self.forgotten_endpoints.append(endpoint.ident)
 
     def on_routestate(self, event):
         """Restores what the last process knew of a route; comes before any text."""
@@ -850,7 +857,7 @@
         self.forget()
         if dest.unused():
             del self.dests[dest.ident]
-            self.faded.append(dest.ident)
+            self.forgotten_destinations.append(dest.ident)
         else:
             self.scheduler.later(
                 self.scheduler.now + Route.RETENTION_MS, self, "expire_destination", dest, since
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -189,7 +189,7 @@
     def advice(self, text):
         """The ms after which a text that is turned away may be sent again; 0: no advice."""
         if text.dest not in self.dests.index:  # creates no state for an unknown destination
-            return self.module.registry.advice
+            return self.module.registry.max_retry_after
         return self.module.advice(self.dests(text.dest))
 
     def hand_in(self, text, restored=False):
@@ -233,7 +233,7 @@
 
         A state of None means that nothing has to be persisted any more.
         """
-        changed, self.module.scheduler.touched = self.module.scheduler.touched, {}
+        changed, self.module.scheduler.changed_routes = self.module.scheduler.changed_routes, {}
         for route in changed:
             dest, endpoint = route.key
             if dest in self.dests.ident and (endpoint is None or endpoint in self.endpoints.ident):
@@ -244,9 +244,9 @@
                     state,
                 )
 
-    def overran(self):
+    def over_budget(self):
         """Names of the routes that exceeded their slow-start limit since the last call of this method."""
-        names, self.module.scheduler.overran = self.module.scheduler.overran, []
+        names, self.module.scheduler.over_budget = self.module.scheduler.over_budget, []
         return [self._with_destination_id(name) for name in names]
 
     def endpoint_of(self, call):
@@ -433,11 +433,11 @@
         if self.events:
             events, self.events = self.events, []
             self._apply_actions(now, self.module.handle(now, events))
-            self.unlisted |= dict.fromkeys(self.module.forgotten)
-            for number in self.module.faded:
+            self.unlisted |= dict.fromkeys(self.module.forgotten_endpoints)
+            for number in self.module.forgotten_destinations:
                 self.dropped_dests.append(self.dests.ident[number])
                 self.dests.forget(self.dests.ident[number])
-            if self.module.faded:
+            if self.module.forgotten_destinations:
                 self._forget_unlisted(())
         return self.wake[0] if self.wake else float("inf")
 
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -166,8 +166,8 @@
     )
     facade.listed([], False)  # an empty change of the list, so that the next batch delivers all messages
     for dest in module.dests.values():
-        if not dest.idle() and dest not in module.live:
-            module.live[dest] = None
+        if not dest.idle() and dest not in module.active:
+            module.active[dest] = None
             scheduler.post(dest, "maintain", module.maintenance_runs)
     return calls
 
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -316,8 +316,8 @@
         if self.restored_state is not None:
             self.guard.started(self.facade.unknown(*self.restored_state, now))
             self.restored_state = None
-        for name in self.facade.overran():
-            self.guard.overran(name)
+        for name in self.facade.over_budget():
+            self.guard.over_budget(name)
         return due
 
     @property
@@ -436,7 +436,7 @@
                 journal_stuck=self.stuck,
                 idle_connections=self.lines.count,
                 destinations=self.facade.state(),
-                invariants_broken=self.guard.told(),
+                invariants_broken=self.guard.counts_by_name(),
             )
             | (dict(subscription=self.subscribed.status()) if self.subscribed else {})
         ).encode()
--- a/calicopin/route.py
+++ b/calicopin/route.py
@@ -116,7 +116,7 @@
         """Refills the bucket up to now. Returns the rate at which it did, or None where nothing limits it."""
         now, rate = self.scheduler.now, self.speed()
         if rate is not None:
-            capacity = max(1.0, rate * max(self.BURST_MS, self.scheduler.late)) if self.mode == WELL else 1.0
+            capacity = max(1.0, rate * max(self.BURST_MS, self.scheduler.lag)) if self.mode == WELL else 1.0
             self.tokens = min(
                 capacity, self.tokens + max(0.0, now - max(self.refilled_at, self.blocked_until)) * rate
             )
@@ -132,7 +132,7 @@
         """Counts a call. Every call passes here, repeats and restored texts too; `first`: it is no repeat."""
         now, rate = self.scheduler.now, self.speed()
         if not self.slow_start.record_call(now, rate):
-            self.scheduler.overran.append(self.name)
+            self.scheduler.over_budget.append(self.name)
         self.tokens -= float(rate is not None)
         self.call_times.append(now)
         if first:
@@ -146,7 +146,7 @@
         """
         persist = self.must_persist()
         if persist or self.has_stored_state:
-            self.scheduler.touched[self] = None
+            self.scheduler.changed_routes[self] = None
         self.has_stored_state = persist
 
     def must_persist(self):
--- a/calicopin/scheduler.py
+++ b/calicopin/scheduler.py
@@ -14,17 +14,17 @@
 class Scheduler:
     """A cooperative event loop: each actor has an inbox of messages, and timers are kept in one heap.
 
-    `now` is the time of the current batch, and `late` how far the batches lag behind their timers. `actions`
-    collects the actions of the batch, `touched` the routes whose state has to be journalled again, and
-    `overran` the names of routes that got more calls than slow start allows. `number` and `seed` make the
+    `now` is the time of the current batch, and `lag` how far the batches lag behind their timers. `actions`
+    collects the actions of the batch, `changed_routes` the routes whose state has to be journalled again, and
+    `over_budget` the names of routes that got more calls than slow start allows. `number` and `seed` make the
     random draws of each sender its own.
     """
 
     def __init__(self, number, seed):
-        self.now, self.late, self.actions = 0.0, 0.0, []
+        self.now, self.lag, self.actions = 0.0, 0.0, []
         self.pending, self.timers, self.sequence, self.wake_at = deque(), [], count(), float("inf")
         self.wake_token, self.number, self.draw_counter = 0, number, count(seed & 0xFFFFFFFF)
-        self.touched, self.overran = {}, []
+        self.changed_routes, self.over_budget = {}, []
 
     def post(self, actor, message, *args):
         """Puts a message into the actor's inbox: its method `on_MESSAGE` is called with these arguments."""
--- a/calicopin/send_guard.py
+++ b/calicopin/send_guard.py
@@ -73,7 +73,7 @@
         ended = now >= before["failed_at"] + self.cold if mode == OUT else now >= before["warm_at"]
         return self._check(ended, Invariant.OUTAGE_ENDS, name)
 
-    def overran(self, name: str) -> None:
+    def over_budget(self, name: str) -> None:
         """A throttled sender made more calls than its part."""
         self._check(False, Invariant.SLOW_START, name)
 
@@ -89,6 +89,6 @@
         """The courier closed a client's connection without an answer to a request that it had read."""
         self._check(False, Invariant.ANSWERED, request)
 
-    def told(self) -> dict[str, int]:
+    def counts_by_name(self) -> dict[str, int]:
         """The counts by invariant, for operators."""
         return {invariant.name.lower(): self.counts[invariant] for invariant in Invariant}
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -182,7 +182,7 @@
     facade = make_facade(now=1e9)
     facade.hand_in(text("a", until=1e9 + 9000.0))
     facade.tick(1e9)
-    assert facade.module.scheduler.late == 0.0 and facade.module.live
+    assert facade.module.scheduler.lag == 0.0 and facade.module.active
 
 
 def test_a_submit_of_a_withdrawn_text_is_not_made():
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -298,7 +298,7 @@
         endpoints=len(module.endpoints),
         by_kind=[len(kind.endpoints) for kind in module.kinds],
         left=len(module.departures.unlisted),
-        live=len(module.live),
+        live=len(module.active),
         due=len(module.scheduler.timers),
         names=[
             len(table)
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -35,7 +35,7 @@
     courier_facade, call = one_call()
     guard, reports = guard_and_reports()
     assert guard.may_call(call, courier_facade.endpoint_of(call), None, 10.0) and not reports
-    assert guard.told() == dict.fromkeys((each.name.lower() for each in Invariant), 0)
+    assert guard.counts_by_name() == dict.fromkeys((each.name.lower() for each in Invariant), 0)
 
 
 def test_each_broken_invariant_is_counted_and_the_call_not_made():
@@ -53,7 +53,7 @@
     assert not guard.may_call(call, endpoint, None, 10.0)
     guard.call_ended(call)
     guard.started(["t1"])
-    guard.overran("destination 7")
+    guard.over_budget("destination 7")
     assert [invariant for invariant, _ in reports] == [
         Invariant.LISTED,
         Invariant.OUTAGE_KNOWN,
@@ -136,7 +136,7 @@
 
 def test_operators_read_the_counts(tmp_path):
     courier = CourierFixture(tmp_path)
-    courier.runtime.guard.overran("destination 7")
+    courier.runtime.guard.over_budget("destination 7")
     told = json.loads(courier.runtime.status())
     assert told["invariants_broken"]["slow_start"] == 1
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -88,7 +88,7 @@
 def test_an_outage_outlives_the_process_with_its_bucket():
     fixture = after_failures()
     before = route_of(fixture.courier)
-    assert before.mode == OUT and before.kept
+    assert before.mode == OUT and before.has_stored_state
     told = route_state.values(before)
     new = new_courier(fixture.now + 700.0)
     new.handle(fixture.now + 700.0, [RouteState(0, None, told, True), Listed([Entry(0, 0)], whole=True)])
@@ -264,14 +264,14 @@
     (first,) = submits(fixture.take(1))
     fixture.outcome(first, How.FULL)
     scheduler = fixture.courier.scheduler
-    assert list(scheduler.touched) == [route_of(fixture.courier)]
+    assert list(scheduler.changed_routes) == [route_of(fixture.courier)]
     (again,) = submits(fixture.step(after=5000.0))
     fixture.outcome(again)  # the text had waited: the rate rises
     fixture.step(after=10000.0)
-    scheduler.touched.clear()
+    scheduler.changed_routes.clear()
     (free,) = submits(fixture.take(1))
     fixture.outcome(free)
-    assert not scheduler.touched
+    assert not scheduler.changed_routes
 
 
 def test_states_that_do_not_fit_are_dropped_rate_limits_before_outages():
