--- a/calicopin/handover/giver.py
+++ b/calicopin/handover/giver.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from calicopin.handover.meeting import Channel, HandoverError, is_same_user
-from calicopin.handover.state import FORM, written
+from calicopin.handover.state import FORM, snapshot
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
 ANSWER_TIMEOUT_S = 2.0  # this process serves nothing while it waits
@@ -147,7 +147,7 @@
         """The state for the successor: decisions, calls in flight, the list, and figures of connections."""
         stop, calls = self.stop, [flight.call for flight in flights]
         pool = self.runtime.lines
-        return written(self.runtime.facade, calls) | dict(
+        return snapshot(self.runtime.facade, calls) | dict(
             until=[flight.until for flight in flights],
             began=[flight.began for flight in flights],
             version=None if self.runtime.subscribed else getattr(self.discovery, "version", None),
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -23,7 +23,7 @@
 # Writing.
 
 
-def written(facade, calls):
+def snapshot(facade, calls):
     """The state of the decisions behind `facade`, with the calls in flight, in values that JSON can hold."""
     module, endpoints, texts = facade.module, facade.endpoints.ident, {}
     registry = module.registry
@@ -116,7 +116,7 @@
 # Reading.
 
 
-def read(facade, state, texts, now):
+def restore(facade, state, texts, now):
     """Restores the state into a new facade; `texts` are those in its journal, in the order in which they were
     accepted. Returns the calls in flight.
     """
--- a/calicopin/handover/taker.py
+++ b/calicopin/handover/taker.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from calicopin.handover.meeting import Channel, HandoverError
-from calicopin.handover.state import FORM, read
+from calicopin.handover.state import FORM, restore
 from calicopin.wire.clients import Visit
 from calicopin.wire.endpoints import Flight
 from calicopin.wire.http import Line
@@ -40,7 +40,7 @@
     def read(self, facade, journal, now):
         """Restores the decisions into `facade`; returns the texts that only wait for a notice."""
         live = [text for text in journal.texts.values() if text.verdict is None]
-        self.calls = read(facade, self.told, live, now)
+        self.calls = restore(facade, self.told, live, now)
         return [text for text in journal.texts.values() if text.verdict is not None]
 
     def take(self, loop, runtime, clients):
--- a/calicopin/route_state.py
+++ b/calicopin/route_state.py
@@ -63,7 +63,7 @@
     write_fields(route.slow_start, slow_start.STATE, state)
 
 
-def moved(state, offset):
+def shift_times(state, offset):
     """The state with all times shifted by `offset` ms."""
     return {
         name: value if value is None or name not in TIME_FIELDS else value + offset
--- a/calicopin/state/journal.py
+++ b/calicopin/state/journal.py
@@ -189,7 +189,9 @@
         if kind == ROUTE:  # (endpoint or "", destination, state or None)
             dest, state = values
             state_here = (
-                None if state is None else route_state.moved(route_state.unpacked(state), -self.read_offset)
+                None
+                if state is None
+                else route_state.shift_times(route_state.unpacked(state), -self.read_offset)
             )
             self.routes.put((dest, ident or None), state_here, state_here and len(payload))
             return
@@ -242,7 +244,7 @@
 
     def _route_record(self, key, state):
         dest, endpoint = key
-        packed = state and route_state.packed(route_state.moved(state, self.offset))
+        packed = state and route_state.packed(route_state.shift_times(state, self.offset))
         return self._record(ROUTE, json.dumps([endpoint or "", dest, packed], separators=(",", ":")).encode())
 
     def route(self, dest, endpoint, state):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,14 +29,14 @@
 from calicopin import send_guard
 from calicopin.handover import giver, meeting, state, taker
 if sys.argv[1] == "loses-waits":
-    original = state.written
+    original = state.snapshot
     def without_waits(facade, calls):
         snapshot = original(facade, calls)
         for route in (route for dest in snapshot["dests"] for route in dest.get("routes", ())):
             for name in ("pause", "tokens", "mode"):
                 del route[name]
         return snapshot
-    giver.written = without_waits
+    giver.snapshot = without_waits
 if sys.argv[1] == "loses-drains":
     send_guard.SendGuard.may_call = lambda *_: True  # else the guard would delay the call
     real = giver.Giver.snapshot
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 from calicopin import route_state
 from calicopin.decisions import Courier
 from calicopin.facade import Answer, Far
-from calicopin.handover.state import written
+from calicopin.handover.state import snapshot
 from calicopin.interface import (
     CourierSettings,
     Entry,
@@ -358,7 +358,7 @@
     endpoint.consecutive_failures, endpoint.retry_at = 4, 70.0
     endpoint.kind.last_unreached_at, endpoint.kind.last_stale_at, endpoint.kind.idle_limit = 11.0, 12.0, 13.0
     call.waited = 90.0
-    state = written(courier_facade, [call])
+    state = snapshot(courier_facade, [call])
     (destination,), (sent,) = state["dests"], state["calls"]
     assert {name: destination[name] for name in ("most", "bundle", "came", "load")} == {
         "most": 5,
