--- a/calicopin/configuration/convert.py
+++ b/calicopin/configuration/convert.py
@@ -12,7 +12,7 @@
 from calicopin.configuration import units
 from calicopin.configuration.model import Configuration, CourierPart, KindPart, ProductPart, ReturnPart
 from calicopin.configuration.read import LoadedConfiguration, merge
-from calicopin.deployment_settings import gives_back
+from calicopin.deployment_settings import closes_idle
 
 IDEMPOTENCY_BY_REPEAT = {
     "resendable": "read_like",
@@ -187,7 +187,7 @@
                 disk=units.format_size(float(limits.get("disk_mb") or 3) * 1e6),
                 connect=format_seconds(ceilings.get("connectTimeout", 1.0)),
                 idle=format_seconds(ceilings.get("idleClose", 10.0)),
-                give_back=gives_back(ceilings),
+                give_back=closes_idle(ceilings),
                 advice=format_seconds(ceilings.get("maxRetryAfter") if ceilings.get("retryAfter") else 0.0),
                 settle=format_seconds(rules.get("orderSettle")),
                 tick=format_seconds(settings["tick"]),
--- a/calicopin/decisions.py
+++ b/calicopin/decisions.py
@@ -89,8 +89,8 @@
 
     def __init__(self, partner):
         self.max_bundle, self.per_endpoint_routes, self.last_unreached_at = (
-            partner.bundle,
-            partner.apart,
+            partner.max_bundle,
+            partner.per_endpoint_routes,
             -1e12,
         )
         self.last_stale_at, self.idle_limit, self.endpoints = -1e12, float("inf"), {}
@@ -251,7 +251,7 @@
 
     def __init__(self, scheduler, ident, registry, pool, settings):
         self.scheduler, self.ident, self.registry, self.pool = scheduler, ident, registry, pool
-        self.max_attempts, self.tick, self.closes_idle = settings.tries, settings.tick, settings.gives_back
+        self.max_attempts, self.tick, self.closes_idle = settings.tries, settings.tick, settings.closes_idle
         self.max_bundle, self.bundle_size = 1, 1e9
         self.inbox, self.queue, self.endpoints, self.routes = deque(), deque(), {}, {}
         (
@@ -517,7 +517,7 @@
 
     def __init__(self, scheduler, settings):
         self.scheduler, self.capacity, self.tick = scheduler, settings.room, settings.tick
-        self.settle, self.max_retry_after = settings.settle, settings.most_advice
+        self.settle, self.max_retry_after = settings.settle, settings.max_retry_after
         self.inbox, self.texts, self.keys, self.settling = deque(), {}, {}, {}
         self.settled_at = settings.restarted + settings.settle
 
--- a/calicopin/deployment_settings.py
+++ b/calicopin/deployment_settings.py
@@ -125,8 +125,8 @@
     kinds = max(len(settings.get("kinds") or []), len(apart), len(bundles), 1)
     return [
         Partner(
-            bundle=max(1, int(bundles[i])) if i < len(bundles) else 1,
-            apart=bool(apart[i]) if i < len(apart) else False,
+            max_bundle=max(1, int(bundles[i])) if i < len(bundles) else 1,
+            per_endpoint_routes=bool(apart[i]) if i < len(apart) else False,
         )
         for i in range(kinds)
     ]
@@ -142,7 +142,7 @@
     return settings.get("discovery") != "ask"
 
 
-def gives_back(ceilings):
+def closes_idle(ceilings):
     """Whether surplus idle connections are closed; by default, if `idleClose` is set."""
     return bool(ceilings.get("giveBack", ceilings.get("idleClose")))
 
@@ -172,8 +172,8 @@
             span=max(1.0, milliseconds(rules["fall"])),
         ),
         settle=milliseconds(rules.get("orderSettle")),
-        gives_back=gives_back(ceilings),
-        most_advice=milliseconds(ceilings.get("maxRetryAfter")) if ceilings.get("retryAfter") else 0.0,
+        closes_idle=closes_idle(ceilings),
+        max_retry_after=milliseconds(ceilings.get("maxRetryAfter")) if ceilings.get("retryAfter") else 0.0,
         asks=not pushed(settings),
         ask_within=milliseconds(rules.get("askWithin", 10.0)),
     )
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -475,7 +475,7 @@
         if text is None:  # withdrawn in the meantime
             self.events.append(Outcome(action.text, action.endpoint, How.NOT_SENT, ended=True))
             return
-        bundle = self.partners[min(self.kinds(place.kind), len(self.partners) - 1)].bundle
+        bundle = self.partners[min(self.kinds(place.kind), len(self.partners) - 1)].max_bundle
         call = shared.get(action.endpoint)
         if call is None or len(call.texts) >= bundle:
             call = shared[action.endpoint] = Call(place, [], action.timeout, action.endpoint)
--- a/calicopin/interface.py
+++ b/calicopin/interface.py
@@ -59,8 +59,8 @@
 class Partner:
     """One kind of destination: the most texts per call, and whether each endpoint has a route of its own."""
 
-    bundle: int = 1
-    apart: bool = False
+    max_bundle: int = 1
+    per_endpoint_routes: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -83,9 +83,9 @@
 
     `number` is its index among `senders` instances that send to the same destinations; `slots` limits
     concurrent calls, `room` the texts held, `tries` the submits of one text. `tick` is the time between two
-    batches. `settle` is how long a submit without an answer may still run, `most_advice` the longest advice
-    to stay away, and `gives_back` says that idle connections are closed early. With `asks`, the list of
-    endpoints is asked for, and the courier counts as informed `ask_within` after its last request.
+    batches. `settle` is how long a submit without an answer may still run, `max_retry_after` the longest
+    advice to stay away, and `closes_idle` says that idle connections are closed early. With `asks`, the list
+    of endpoints is asked for, and the courier counts as informed `ask_within` after its last request.
     `restarted` is the time of a restart, after which texts of the last process may still run.
     """
 
@@ -100,8 +100,8 @@
     partners: list
     fail_back: FailBack
     settle: float = 0.0
-    most_advice: float = 0.0
-    gives_back: bool = False
+    max_retry_after: float = 0.0
+    closes_idle: bool = False
     asks: bool = False
     ask_within: float = 10000.0
     restarted: float = -1e12
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -374,4 +374,4 @@
         env["ceilings"] = {
             key: value for key, value in env["ceilings"].items() if key != "idleClose"
         } | ceilings
-        assert bool(deployment.courier(1, env).settings.gives_back) is want
+        assert bool(deployment.courier(1, env).settings.closes_idle) is want
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -107,7 +107,7 @@
     """A lost answer fails every text of its call: calls of ten broke again and again where one text in four
     did.
     """
-    fixture, sizes = DecisionsFixture(slots=1, partners=[Partner(bundle=8)]), []
+    fixture, sizes = DecisionsFixture(slots=1, partners=[Partner(max_bundle=8)]), []
     call = submits(fixture.take(1))
     fixture.take(60)
     for how in (
@@ -232,7 +232,7 @@
     were refused together, and slowed down together at the next one. Summed over 40 couriers after one call
     of ten each; for a single sender it still counts ten times.
     """
-    alone = DecisionsFixture(partners=[Partner(bundle=10)], senders=1)
+    alone = DecisionsFixture(partners=[Partner(max_bundle=10)], senders=1)
     alone.step(
         [
             Outcome(s.text, s.endpoint, How.DELIVERED, 0.0, 200.0, True, 1.0, 80.0)
@@ -242,7 +242,7 @@
     assert alone.courier.dests[0].routes[None].limit_left == pytest.approx(1.0 - 0.5 * 0.9**10)
     paces = 0.0
     for number in range(40):
-        fixture = DecisionsFixture(partners=[Partner(bundle=10)], senders=40, number=number)
+        fixture = DecisionsFixture(partners=[Partner(max_bundle=10)], senders=40, number=number)
         out = submits(fixture.take(10))
         assert len({submit.endpoint for submit in out}) == 1
         fixture.step([Outcome(s.text, s.endpoint, How.DELIVERED, 0.0, 200.0, True, 1.0, 80.0) for s in out])
@@ -345,7 +345,7 @@
 
 def test_after_a_refused_connection_idle_ones_to_endpoints_of_that_kind_are_closed():
     fixture = DecisionsFixture(
-        gives_back=True,
+        closes_idle=True,
         entries=[Entry(0, 0), Entry(1, 1), Entry(2, 2, kind=1)],
         partners=[Partner(), Partner()],
     )
@@ -399,7 +399,7 @@
     fixture = DecisionsFixture(
         [Product(Repeat.RESENDABLE, 800.0, 6000.0, 1.0, 0.0, late_halves=True)],
         senders=100,
-        most_advice=2000.0,
+        max_retry_after=2000.0,
     )
     fixture.step(after=20000.0)
     fixture.outcome(submits(fixture.take(1, validity=6000.0))[0], How.FULL)
@@ -471,7 +471,7 @@
     fixture = DecisionsFixture(
         entries=[Entry(0, 0), Entry(1, 1), Entry(2, 2, kind=1)],
         partners=[Partner(), Partner()],
-        gives_back=True,
+        closes_idle=True,
     )
     for dest in (0, 1, 2):
         (submit,) = submits(fixture.take(dest=dest))
@@ -497,7 +497,7 @@
 def test_a_time_out_on_an_idle_connection_counts_as_stale_once_the_next_call_is_answered():
     """Connections dropped without a reset cost each call over them a whole time-out: 150 calls in 5 s."""
     for answered in (True, False):
-        fixture = DecisionsFixture(entries=[Entry(0, 0), Entry(1, 1)], partners=[Partner()], gives_back=True)
+        fixture = DecisionsFixture(entries=[Entry(0, 0), Entry(1, 1)], partners=[Partner()], closes_idle=True)
         for dest in (0, 1):
             (submit,) = submits(fixture.take(dest=dest))
             fixture.outcome(submit)
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -257,7 +257,7 @@
 
 @pytest.mark.parametrize("apart", [False, True])
 def test_a_requested_wait_outlasts_the_release_of_its_destination(apart):
-    fixture = DecisionsFixture(partners=[Partner(apart=apart)])
+    fixture = DecisionsFixture(partners=[Partner(per_endpoint_routes=apart)])
     submit = submits(fixture.take(1))[0]
     fixture.outcome(submit, How.FULL, wait=170000.0, ended=True)
     until = fixture.now + 170000.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -147,7 +147,7 @@
         partners=[Partner(rng.choice([1, 5]), apart[0]), Partner()],
         room=rng.choice([25, 400]),
         settle=SETTLE,
-        most_advice=2000.0,
+        max_retry_after=2000.0,
     )
     fixture, kills = (
         DecisionsFixture(products, entries, **terms),
