--- a/calicopin/decisions.py
+++ b/calicopin/decisions.py
@@ -18,7 +18,7 @@
 from calicopin.scheduler import Scheduler
 from calicopin.slow_start import COLD, OUT, OUTAGE_STREAK
 
-HARMLESS = (How.FULL, How.UNREACHED, How.NOT_SENT)  # outcomes that prove that the submit never ran
+NEVER_RAN = (How.FULL, How.UNREACHED, How.NOT_SENT)  # outcomes that prove that the submit never ran
 MAINTENANCE_INTERVAL_MS = 250.0
 
 
@@ -89,8 +89,8 @@
 
     def __init__(self, partner):
         self.max_bundle, self.per_endpoint_routes, self.last_unreached_at = (
-            partner.bundle,
-            partner.apart,
+            partner.max_bundle,
+            partner.per_endpoint_routes,
             -1e12,
         )
         self.last_stale_at, self.idle_limit, self.endpoints = -1e12, float("inf"), {}
@@ -108,14 +108,14 @@
 
     def current_idle_limit(self, now):
         """How long (ms) an idle connection may be reused; unlimited once the last stale one is long ago."""
-        return self.idle_limit if now < self.last_stale_at + Route.IDLE else float("inf")
+        return self.idle_limit if now < self.last_stale_at + Route.RETENTION_MS else float("inf")
 
 
 class Endpoint:
     """Sends calls to one endpoint and reports their outcomes to its destination.
 
-    `misses` counts the failures since the last delivery. `suspect_idle` holds how long (ms) a connection had
-    been idle whose call timed out, or 0, and when that call ended.
+    `consecutive_failures` counts the failures since the last delivery. `suspect_idle` holds how long (ms) a
+    connection had been idle whose call timed out, or 0, and when that call ended.
     """
 
     def __init__(self, scheduler, ident, zone, dest, route, kind):
@@ -128,7 +128,8 @@
             1e12,
             0.0,
         )
-        self.misses, self.failures_by_product = 0, Counter()  # in a row, of all products and of each product
+        # in a row, of all products and of each product
+        self.consecutive_failures, self.failures_by_product = 0, Counter()
         self.keep_open_until, self.suspect_idle, kind.endpoints[ident] = 0.0, (0.0, 0.0), self
 
     def on_close_idle(self):
@@ -140,7 +141,7 @@
         cost needless reconnects.
         """
         now, kind = self.scheduler.now, self.kind
-        contended = self.keep_open_until <= now < kind.last_unreached_at + Route.IDLE
+        contended = self.keep_open_until <= now < kind.last_unreached_at + Route.RETENTION_MS
         if not self.calls and (contended or self.idle_since + kind.current_idle_limit(now) <= now):
             self.scheduler.actions.append(Close(self.ident))
 
@@ -159,7 +160,7 @@
             route.patient_call = call
         for text in texts:
             text.call, text.tries = call, text.tries + 1
-            usual_timeout = (32.0 if in_outage else 8.0) * route.usual or text.product.sla
+            usual_timeout = (32.0 if in_outage else 8.0) * route.usual_latency or text.product.sla
             if text.product.repeat == Repeat.ONCE_ONLY:  # a time-out ends it: not while it earns in full
                 usual_timeout = max(usual_timeout, text.product.sla)
             timeout = min(
@@ -185,7 +186,7 @@
             self.scheduler.post(self.dest.pool, "release", self.dest)
             self.idle_since = self.scheduler.now
             if self.dest.closes_idle:
-                self.keep_open_until = self.idle_since + max(route.usual, self.dest.tick)
+                self.keep_open_until = self.idle_since + max(route.usual_latency, self.dest.tick)
                 self.scheduler.later(self.keep_open_until, self, "close_idle")
                 if (idle_limit := self.kind.current_idle_limit(self.idle_since)) < float("inf"):
                     self.scheduler.later(self.idle_since + idle_limit, self, "close_idle")
@@ -194,7 +195,7 @@
         if outcome == How.UNREACHED:
             self.kind.last_unreached_at = self.scheduler.now
             # without a delay a text would use up its submits while the endpoint is full or down
-            delay = max(route.usual, 20.0 * self.dest.tick) * 2.0**self.misses
+            delay = max(route.usual_latency, 20.0 * self.dest.tick) * 2.0**self.consecutive_failures
             self.retry_at = self.scheduler.now + delay * (0.5 + self.scheduler.draw(self.ident))
         if (
             first_of_call
@@ -224,19 +225,19 @@
         if first_of_outcome and outcome == How.DELIVERED:
             route.delivered(event.elapsed)
             self.dest.bundle_size = min(self.dest.max_bundle, self.dest.bundle_size + 1)
-            self.misses, self.failures_by_product[text.product] = (
+            self.consecutive_failures, self.failures_by_product[text.product] = (
                 0,
                 self.failures_by_product[text.product] // 2,
             )
         elif first_of_outcome and outcome not in (How.NOT_SENT, How.CALLED_OFF):
             route.failed(outcome.name.lower(), event.wait)
-            self.misses = min(OUTAGE_STREAK, self.misses + (outcome != How.FULL))
+            self.consecutive_failures = min(OUTAGE_STREAK, self.consecutive_failures + (outcome != How.FULL))
             self.failures_by_product[text.product] = min(
                 OUTAGE_STREAK, self.failures_by_product[text.product] + (outcome != How.FULL)
             )
             if outcome == How.BROKEN:  # one lost answer fails every text of the call
                 self.dest.bundle_size = max(1, min(self.dest.bundle_size, call.size // 2))
-        if outcome not in HARMLESS and text.ran_at is None:
+        if outcome not in NEVER_RAN and text.ran_at is None:
             text.ran_at, text.ran_zone = call.sent_at, self.zone
         self.scheduler.post(self.dest, "submit_ended", text, event)
 
@@ -244,19 +245,19 @@
 class Destination:
     """The queue of one destination, first in, first out, and the choice of an endpoint.
 
-    `held` counts its slots in use, `bundle_size` is how many texts may share a call at present, up to
-    `max_bundle`, and `arrival_rate` is its average of accepted texts per ms.
+    `slots_in_use` counts the slots of its calls, `bundle_size` is how many texts may share a call at present,
+    up to `max_bundle`, and `arrival_rate` is its average of accepted texts per ms.
     """
 
     def __init__(self, scheduler, ident, registry, pool, settings):
         self.scheduler, self.ident, self.registry, self.pool = scheduler, ident, registry, pool
-        self.max_attempts, self.tick, self.closes_idle = settings.tries, settings.tick, settings.gives_back
+        self.max_attempts, self.tick, self.closes_idle = settings.tries, settings.tick, settings.closes_idle
         self.max_bundle, self.bundle_size = 1, 1e9
         self.inbox, self.queue, self.endpoints, self.routes = deque(), deque(), {}, {}
         (
             self.slot_requested,
             self.dispatch_at,
-            self.held,
+            self.slots_in_use,
             self.arrivals,
             self.arrival_rate,
             self.last_maintenance,
@@ -308,7 +309,7 @@
         """Whether maintenance can be left out: nothing waits, is in flight, was sent lately or warms up."""
         return not (
             self.queue
-            or self.held
+            or self.slots_in_use
             or any(route.mode == COLD or route.call_times for route in self.routes.values())
         )
 
@@ -316,11 +317,11 @@
         """Whether the destination can be forgotten: no text and no endpoint, no restriction in force, and no
         call within the time that routes are remembered.
         """
-        horizon, routes = self.scheduler.now - Route.IDLE, self.routes.values()
+        horizon, routes = self.scheduler.now - Route.RETENTION_MS, self.routes.values()
         retained = any(
             route.call_times or route.last_call_at >= horizon or route.is_restricted() for route in routes
         )
-        return not (self.queue or self.held or self.slot_requested or self.endpoints or retained)
+        return not (self.queue or self.slots_in_use or self.slot_requested or self.endpoints or retained)
 
     def on_maintain(self, number):
         """Periodic maintenance, run `number`: averages make up for the runs that were skipped while the
@@ -374,7 +375,7 @@
 
     def endpoint_openings(self):
         """Each endpoint with the time (ms) from which it takes a call. A shared route is asked once."""
-        opens = {route: route.opens() for route in self.listed_routes()}
+        opens = {route: route.next_call_at() for route in self.listed_routes()}
         return [
             (endpoint, max(opens[endpoint.route], endpoint.retry_at)) for endpoint in self.endpoints.values()
         ]
@@ -397,7 +398,7 @@
         available = [endpoint for endpoint, at in self.endpoint_openings() if at <= self.scheduler.now]
         eligible = [endpoint for endpoint in available if not (zone_bound and endpoint.zone != text.ran_zone)]
         weights = [
-            0.5 ** max(candidate.misses, candidate.failures_by_product[text.product])
+            0.5 ** max(candidate.consecutive_failures, candidate.failures_by_product[text.product])
             / (1 + len(candidate.calls))
             for candidate in eligible
         ]
@@ -437,7 +438,7 @@
 
     def usual_latency(self):
         """The usual time (ms) from a call to its answer, of the slowest listed route."""
-        return max((route.usual for route in self.listed_routes()), default=0.0)
+        return max((route.usual_latency for route in self.listed_routes()), default=0.0)
 
     def give_up_late(self):
         """Keeps an overloaded queue from delivering every text too late: gives up what would earn nothing or,
@@ -487,7 +488,7 @@
 
     def on_release(self, dest):
         """A destination returns a slot."""
-        self.free, dest.held = self.free + 1, dest.held - 1
+        self.free, dest.slots_in_use = self.free + 1, dest.slots_in_use - 1
         self.grant_slots()
 
     def on_resume(self):
@@ -499,10 +500,10 @@
         while self.requests and self.free > 0 and not self.paused:
             request = min(
                 self.requests,
-                key=lambda entry: (entry[0].held / max(0.5, entry[2]), entry[1], entry[0].ident),
+                key=lambda entry: (entry[0].slots_in_use / max(0.5, entry[2]), entry[1], entry[0].ident),
             )
             self.requests.remove(request)
-            self.free, request[0].held = self.free - 1, request[0].held + 1
+            self.free, request[0].slots_in_use = self.free - 1, request[0].slots_in_use + 1
             self.scheduler.post(request[0], "grant")
 
 
@@ -516,7 +517,7 @@
 
     def __init__(self, scheduler, settings):
         self.scheduler, self.capacity, self.tick = scheduler, settings.room, settings.tick
-        self.settle, self.advice = settings.settle, settings.most_advice
+        self.settle, self.max_retry_after = settings.settle, settings.max_retry_after
         self.inbox, self.texts, self.keys, self.settling = deque(), {}, {}, {}
         self.settled_at = settings.restarted + settings.settle
 
@@ -613,7 +614,7 @@
         undeliverable otherwise.
         """
         if not text.over:
-            text.over, advice = True, min(stay_away, self.advice)
+            text.over, advice = True, min(stay_away, self.max_retry_after)
             self.scheduler.actions.append(
                 Nack(text.ident, advice, why) if text.nackable() else Undeliverable(text.ident, why)
             )
@@ -642,9 +643,9 @@
         self.kinds = [Kind(partner) for partner in settings.partners]
         self.pool = Pool(self.scheduler, settings.slots)
         self.registry = Registry(self.scheduler, settings)
-        self.dests, self.endpoints, self.inbox, self.live, self.maintenance_runs = {}, {}, deque(), {}, 0
+        self.dests, self.endpoints, self.inbox, self.active, self.maintenance_runs = {}, {}, deque(), {}, 0
         # the endpoints and the destinations that the last batch forgot
-        self.departures, self.forgotten, self.faded = Departures(), [], []
+        self.departures, self.forgotten_endpoints, self.forgotten_destinations = Departures(), [], []
         self.scheduler.later(0.0, self, "maintain")  # after the texts that a restart hands in
         if settings.asks:
             self.scheduler.post(self, "request_list")
@@ -672,12 +673,17 @@
         and the simulator adapter call it. Raises AttributeError for an event of an unknown type.
         """
         scheduler = self.scheduler
-        scheduler.late = max(
+        scheduler.lag = max(
             0.0,
-            scheduler.late - (now - scheduler.now),
+            scheduler.lag - (now - scheduler.now),
             now - scheduler.timers[0][0] if self.maintenance_runs else 0.0,
         )
-        scheduler.now, scheduler.actions, self.forgotten, self.faded = now, [], [], []
+        scheduler.now, scheduler.actions, self.forgotten_endpoints, self.forgotten_destinations = (
+            now,
+            [],
+            [],
+            [],
+        )
         for event in events:
             getattr(self, "on_" + type(event).__name__.lower())(event)
         scheduler.run()
@@ -686,7 +692,7 @@
             scheduler.actions.append(Wake(scheduler.wake_at - now, scheduler.wake_token))
         return scheduler.actions
 
-    def still(self, now, ident, texts):
+    def may_begin(self, now, ident, texts):
         """Whether a call that needed time to connect may begin; the facade asks before it sends. Meanwhile
         its endpoint may have left the list, a wait or an outage may have come up, or the time for a submit
         may have run out.
@@ -695,7 +701,7 @@
         return (
             endpoint
             and ident in endpoint.dest.endpoints
-            and now >= endpoint.route.pause
+            and now >= endpoint.route.blocked_until
             and endpoint.route.slow_start.admits(self.decided_at(texts, now))
             and all(now < self.registry.texts[text].last_submit() for text in texts)
         )
@@ -713,14 +719,16 @@
 
     def advice(self, dest):
         """After how many ms a text that was turned away for lack of room may be handed in again."""
-        return min(max(0.0, self.dest(dest).next_call_at() - self.scheduler.now), self.registry.advice)
+        return min(
+            max(0.0, self.dest(dest).next_call_at() - self.scheduler.now), self.registry.max_retry_after
+        )
 
     def on_maintain(self):
         """Periodic maintenance of the destinations that are not idle."""
         self.scheduler.later(self.scheduler.now + MAINTENANCE_INTERVAL_MS, self, "maintain")
         self.maintenance_runs += 1
-        self.live = {dest: None for dest in self.live if not dest.idle()}
-        for dest in self.live:
+        self.active = {dest: None for dest in self.active if not dest.idle()}
+        for dest in self.active:
             self.scheduler.post(dest, "maintain", self.maintenance_runs)
 
     def on_woken(self, event):
@@ -735,8 +743,8 @@
         text = Text(event, dest, self.products[event.product], self.scheduler.now)
         if event.restored:
             dest.note_restored(text.until - text.product.validity)
-        if dest not in self.live:
-            self.live[dest] = None
+        if dest not in self.active:
+            self.active[dest] = None
             self.scheduler.post(dest, "maintain", self.maintenance_runs)
         self.scheduler.post(self.registry, "take", text)
 
@@ -805,14 +813,14 @@
         back. With a released destination, a restriction in force keeps it longer.
         """
         now = self.scheduler.now
-        for endpoint in self.departures.overdue(now, Route.IDLE):
+        for endpoint in self.departures.overdue(now, Route.RETENTION_MS):
             if endpoint.dest.released_at is not None and endpoint.route.is_restricted():
                 self.departures.renew(endpoint, now)
             elif not endpoint.calls:
                 self.departures.forget(endpoint)
                 del self.endpoints[endpoint.ident], endpoint.kind.endpoints[endpoint.ident]
                 endpoint.dest.routes.pop(endpoint.ident, None)
-                self.forgotten.append(endpoint.ident)
+                self.forgotten_endpoints.append(endpoint.ident)
 
     def on_routestate(self, event):
         """Restores what the last process knew of a route; comes before any text."""
@@ -833,7 +841,7 @@
             dest.endpoints.clear()
             self.departures.update(unlisted, self.scheduler.now)
             self.scheduler.later(
-                self.scheduler.now + Route.IDLE + MAINTENANCE_INTERVAL_MS,
+                self.scheduler.now + Route.RETENTION_MS + MAINTENANCE_INTERVAL_MS,
                 self,
                 "expire_destination",
                 dest,
@@ -849,6 +857,8 @@
         self.forget()
         if dest.unused():
             del self.dests[dest.ident]
-            self.faded.append(dest.ident)
+            self.forgotten_destinations.append(dest.ident)
         else:
-            self.scheduler.later(self.scheduler.now + Route.IDLE, self, "expire_destination", dest, since)
+            self.scheduler.later(
+                self.scheduler.now + Route.RETENTION_MS, self, "expire_destination", dest, since
+            )
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 
 from calicopin import deployment_settings, route_state
-from calicopin.decisions import HARMLESS
+from calicopin.decisions import NEVER_RAN
 from calicopin.interface import (
     CallsPaused,
     Close,
@@ -189,7 +189,7 @@
     def advice(self, text):
         """The ms after which a text that is turned away may be sent again; 0: no advice."""
         if text.dest not in self.dests.index:  # creates no state for an unknown destination
-            return self.module.registry.advice
+            return self.module.registry.max_retry_after
         return self.module.advice(self.dests(text.dest))
 
     def hand_in(self, text, restored=False):
@@ -233,20 +233,20 @@
 
         A state of None means that nothing has to be persisted any more.
         """
-        changed, self.module.scheduler.touched = self.module.scheduler.touched, {}
+        changed, self.module.scheduler.changed_routes = self.module.scheduler.changed_routes, {}
         for route in changed:
             dest, endpoint = route.key
             if dest in self.dests.ident and (endpoint is None or endpoint in self.endpoints.ident):
-                state = route_state.values(route) if route.kept else None
+                state = route_state.values(route) if route.has_stored_state else None
                 yield (
                     self.dests.ident[dest],
                     (None if endpoint is None else self.endpoints.ident[endpoint]),
                     state,
                 )
 
-    def overran(self):
+    def over_budget(self):
         """Names of the routes that exceeded their slow-start limit since the last call of this method."""
-        names, self.module.scheduler.overran = self.module.scheduler.overran, []
+        names, self.module.scheduler.over_budget = self.module.scheduler.over_budget, []
         return [self._with_destination_id(name) for name in names]
 
     def endpoint_of(self, call):
@@ -357,7 +357,7 @@
         """Whether a text for the destination is queued, in a call, or added since the last tick."""
         number = self.dests.index.get(dest)
         known = self.module.dests.get(number)
-        return (known is not None and bool(known.queue or known.held)) or any(
+        return (known is not None and bool(known.queue or known.slots_in_use)) or any(
             isinstance(event, Taken) and event.dest == number for event in self.events
         )
 
@@ -386,7 +386,7 @@
             Outcome(text.number, call.endpoint, outcome, wait, elapsed, ended, load.get("x0"), load.get("x1"))
         )
         if not ended:
-            self.returned_texts.append((text, outcome not in HARMLESS))
+            self.returned_texts.append((text, outcome not in NEVER_RAN))
         elif self.texts.pop(text.number, None):
             delivered = outcome == How.DELIVERED
             why = f"delivered to {call.place.ident}" if delivered else f"over, says {call.place.ident}"
@@ -415,8 +415,10 @@
                     out=sum(len(endpoint.calls) for endpoint in dest.endpoints.values()) if dest else 0,
                     endpoints=len(dest.endpoints) if dest else 0,
                     pace=round(worst.rate * 1000.0, 3) if worst and worst.rate else None,
-                    usual_ms=round(worst.usual, 1) if worst else 0.0,
-                    wait_ms=round(max(0.0, worst.pause - self.module.scheduler.now), 1) if worst else 0.0,
+                    usual_ms=round(worst.usual_latency, 1) if worst else 0.0,
+                    wait_ms=round(max(0.0, worst.blocked_until - self.module.scheduler.now), 1)
+                    if worst
+                    else 0.0,
                 )
             )
         return states
@@ -431,11 +433,11 @@
         if self.events:
             events, self.events = self.events, []
             self._apply_actions(now, self.module.handle(now, events))
-            self.unlisted |= dict.fromkeys(self.module.forgotten)
-            for number in self.module.faded:
+            self.unlisted |= dict.fromkeys(self.module.forgotten_endpoints)
+            for number in self.module.forgotten_destinations:
                 self.dropped_dests.append(self.dests.ident[number])
                 self.dests.forget(self.dests.ident[number])
-            if self.module.faded:
+            if self.module.forgotten_destinations:
                 self._forget_unlisted(())
         return self.wake[0] if self.wake else float("inf")
 
@@ -473,7 +475,7 @@
         if text is None:  # withdrawn in the meantime
             self.events.append(Outcome(action.text, action.endpoint, How.NOT_SENT, ended=True))
             return
-        bundle = self.partners[min(self.kinds(place.kind), len(self.partners) - 1)].bundle
+        bundle = self.partners[min(self.kinds(place.kind), len(self.partners) - 1)].max_bundle
         call = shared.get(action.endpoint)
         if call is None or len(call.texts) >= bundle:
             call = shared[action.endpoint] = Call(place, [], action.timeout, action.endpoint)
@@ -492,7 +494,7 @@
 
     def still(self, call, now):
         """Whether a picked call may still be sent, once its connection is established."""
-        return bool(self.module.still(now, call.endpoint, [text.number for text in call.texts]))
+        return bool(self.module.may_begin(now, call.endpoint, [text.number for text in call.texts]))
 
     def back(self):
         """Returns the next text whose submit ended without a final answer, or None.
