--- a/calicopin/scale/fault_command.py
+++ b/calicopin/scale/fault_command.py
@@ -4,7 +4,7 @@
 
 import click
 
-from calicopin.scale import faults, hollow, results
+from calicopin.scale import faults, results, simulated_couriers
 from calicopin.scale.faults import Fault, FaultPlan, FaultRun
 from calicopin.scale.nodes import NodeError
 from calicopin.scale.options import (
@@ -55,8 +55,8 @@
     ]
     allowed(faults.estimate(plans[0]), memory_mib, processes)
     try:
-        hollow.check_descriptors(couriers)
-    except hollow.DescriptorsError as refusal:
+        simulated_couriers.check_descriptors(couriers)
+    except simulated_couriers.DescriptorsError as refusal:
         stop(str(refusal))
     arguments = {
         "names": [plan.fault.value for plan in plans],
--- a/calicopin/scale/faults.py
+++ b/calicopin/scale/faults.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from calicopin.scale import guard, hollow, nodes
+from calicopin.scale import guard, nodes, simulated_couriers
 from calicopin.scale.change_feed import LEAST_GAP, Change, ChangeFeed, FeedPlan, now
 from calicopin.scale.fit import percentile
 from calicopin.scale.list_source import ListSize, write
@@ -91,13 +91,13 @@
         self,
         plan: FaultPlan,
         progress: Callable[[str], None],
-        fleet_class: type[hollow.HollowFleet] = hollow.HollowFleet,
+        fleet_class: type[simulated_couriers.HollowFleet] = simulated_couriers.HollowFleet,
         programs: Sequence[tuple[str, ...]] = (),
     ):
         self.plan, self.progress, self.fleet_class = plan, progress, fleet_class
         self.programs = [*programs, *[nodes.PROGRAM] * (plan.nodes - len(programs))]
         self.numbers = tuple(range(plan.couriers))
-        self.heard: list[hollow.Heard] = []
+        self.heard: list[simulated_couriers.Heard] = []
         self.reach: Callable[[Change, int], float] = change_due
         self.outcome = FaultOutcome()
         self.hollow_late = 0.0  # ms by which the loop of all couriers was behind its timers, at most
@@ -133,12 +133,16 @@
         for node in self.nodes:
             node.wait_ready(READY_PATIENCE)
         addresses = tuple(node.address for node in self.nodes)
-        self.courier_plan = hollow.CourierPlan(
+        self.courier_plan = simulated_couriers.CourierPlan(
             FLEET, addresses, plan.destinations, plan.seed, plan.endpoints_each
         )
-        self.sets = {number: hollow.destinations_of(number, self.courier_plan) for number in self.numbers}
-        self.holders = hollow.subscribers_of(self.numbers, self.courier_plan)
-        self.couriers = stack.enter_context(hollow.HollowProcess(self.courier_plan, self.fleet_class))
+        self.sets = {
+            number: simulated_couriers.destinations_of(number, self.courier_plan) for number in self.numbers
+        }
+        self.holders = simulated_couriers.subscribers_of(self.numbers, self.courier_plan)
+        self.couriers = stack.enter_context(
+            simulated_couriers.HollowProcess(self.courier_plan, self.fleet_class)
+        )
         self.progress(f"{plan.fault}: {plan.couriers} couriers start")
         self.couriers.start(self.numbers)
         self._wait_answered(self.numbers)
@@ -230,7 +234,7 @@
 
     # Waiting.
 
-    def _courier_figures(self) -> hollow.ProcessFigures:
+    def _courier_figures(self) -> simulated_couriers.ProcessFigures:
         figures = self.couriers.figures()
         self.hollow_late = max(self.hollow_late, figures.lateness_ms)
         return figures
@@ -275,7 +279,7 @@
         )
         return now()
 
-    def _wait_for(self, done: Callable[[hollow.CourierFigures], bool], why: str) -> float:
+    def _wait_for(self, done: Callable[[simulated_couriers.CourierFigures], bool], why: str) -> float:
         until = time.monotonic() + START_PATIENCE
         while time.monotonic() < until:
             figures = self._courier_figures()
--- a/calicopin/scale/node_command.py
+++ b/calicopin/scale/node_command.py
@@ -4,7 +4,7 @@
 
 import click
 
-from calicopin.scale import hollow, node_run, node_slopes, results
+from calicopin.scale import node_run, node_slopes, results, simulated_couriers
 from calicopin.scale.node_run import DAY, Group, Load, NodePlan, NodeRun
 from calicopin.scale.nodes import NodeError
 from calicopin.scale.options import (
@@ -86,8 +86,8 @@
     plan = NodePlan(destinations, tuple(groups), tuple(loads), down, seed)
     allowed(node_run.estimate(plan), memory_mib, processes)
     try:
-        hollow.check_descriptors(node_run.most_couriers(plan) + neighbour)
-    except hollow.DescriptorsError as fault:
+        simulated_couriers.check_descriptors(node_run.most_couriers(plan) + neighbour)
+    except simulated_couriers.DescriptorsError as fault:
         stop(str(fault))
     arguments = {
         "destinations": destinations,
--- a/calicopin/scale/node_run.py
+++ b/calicopin/scale/node_run.py
@@ -9,7 +9,7 @@
 from contextlib import ExitStack
 from dataclasses import dataclass, field
 
-from calicopin.scale import guard, hollow, nodes
+from calicopin.scale import guard, nodes, simulated_couriers
 from calicopin.scale.change_feed import LEAST_GAP, Change, ChangeFeed, FeedPlan
 from calicopin.scale.fit import percentile
 from calicopin.scale.list_source import ListSize, write
@@ -97,7 +97,7 @@
         self,
         plan: NodePlan,
         progress: Callable[[str], None],
-        fleet_class: type[hollow.HollowFleet] = hollow.HollowFleet,
+        fleet_class: type[simulated_couriers.HollowFleet] = simulated_couriers.HollowFleet,
         program: tuple[str, ...] = nodes.PROGRAM,
     ):
         self.plan, self.progress = plan, progress
@@ -137,8 +137,12 @@
         self._figure("time until the node serves", "s", load_seconds)
         self._figure("processor time until the node serves", "s", sample.cpu_seconds)
         self._figure("memory of the node with the list", "MiB", sample.resident_bytes / MIB)
-        self.courier_plan = hollow.CourierPlan(FLEET, (self.node.address,), plan.destinations, plan.seed)
-        self.couriers = stack.enter_context(hollow.HollowProcess(self.courier_plan, self.fleet_class))
+        self.courier_plan = simulated_couriers.CourierPlan(
+            FLEET, (self.node.address,), plan.destinations, plan.seed
+        )
+        self.couriers = stack.enter_context(
+            simulated_couriers.HollowProcess(self.courier_plan, self.fleet_class)
+        )
         empty = self.couriers.figures().resident_bytes
         self._figure("memory of the hollow process without a courier", "MiB", empty / MIB)
 
@@ -179,13 +183,13 @@
         self._figure(label + "processor time of a start, node", "ms", cpu)
         memory = (settled.resident_bytes - before.resident_bytes) / len(new)
         self._figure(label + "memory of a courier for control", "bytes", memory, COURIER_MEMORY_BOUND)
-        sets = [len(hollow.destinations_of(number, self.courier_plan)) for number in new]
+        sets = [len(simulated_couriers.destinations_of(number, self.courier_plan)) for number in new]
         self._figure(label + "destinations of a courier, mean", "destinations", mean(sets))
         self._figure(label + "destinations of a courier, most", "destinations", max(sets))
         if len(took) < len(mine):
             self.outcome.faults.append(f"{group.name}: {len(mine) - len(took)} couriers had no first answer")
 
-    def _wait_answered(self, numbers: Sequence[int]) -> hollow.ProcessFigures:
+    def _wait_answered(self, numbers: Sequence[int]) -> simulated_couriers.ProcessFigures:
         until = time.monotonic() + ANSWER_PATIENCE
         while True:
             figures = self.couriers.figures()
@@ -199,7 +203,7 @@
     def _load(self, group: Group, load: Load, stack: ExitStack) -> None:
         """Changes for a while, and what they take until they are in force."""
         self.progress(f"node: {group.name}: {load.name}, {load.per_second:.3g} changes a second")
-        holders = hollow.subscribers_of(self.present, self.courier_plan)
+        holders = simulated_couriers.subscribers_of(self.present, self.courier_plan)
         feed = ChangeFeed(self.path, self._feed_plan(load, tuple(holders)), self.next_revision)
         stack.callback(feed.stop)
         self.couriers.heard()
@@ -243,7 +247,7 @@
             least_gap=self.plan.least_gap,
         )
 
-    def _settle(self, feed: ChangeFeed, holders, heard: list[hollow.Heard]) -> list[InForce]:
+    def _settle(self, feed: ChangeFeed, holders, heard: list[simulated_couriers.Heard]) -> list[InForce]:
         """Until all is in force, or the time for it is up."""
         until = time.monotonic() + self.plan.settle
         while True:
@@ -266,7 +270,9 @@
     def _compare(self) -> None:
         """What each courier knows in the end against the source."""
         self.progress("node: what couriers know is compared with the source")
-        sets = {number: hollow.destinations_of(number, self.courier_plan) for number in self.present}
+        sets = {
+            number: simulated_couriers.destinations_of(number, self.courier_plan) for number in self.present
+        }
         source = read_source(self.path, {one for some in sets.values() for one in some})
         found = compare(self.couriers.known(), sets, source)
         self._figure("couriers compared with the source", "couriers", found.couriers)
@@ -301,7 +307,9 @@
     return sum(values) / len(values) if values else 0.0
 
 
-def courier_costs(before: hollow.ProcessFigures, after: hollow.ProcessFigures) -> dict:
+def courier_costs(
+    before: simulated_couriers.ProcessFigures, after: simulated_couriers.ProcessFigures
+) -> dict:
     """A courier's bytes a second each way, processor time in percent of a core, and memory of the process in
     all."""
     seconds = (after.at - before.at) / 1000.0
--- a/calicopin/scale/node_slopes.py
+++ b/calicopin/scale/node_slopes.py
@@ -12,7 +12,7 @@
 
 from calicopin.discovery_node.catalogue import Catalogue
 from calicopin.discovery_node.entry import decode_entry, read_line
-from calicopin.scale import guard, hollow, nodes
+from calicopin.scale import guard, nodes, simulated_couriers
 from calicopin.scale.change_feed import line_of
 from calicopin.scale.fit import Sample
 from calicopin.scale.list_source import ListSize, encode, entries, write
@@ -60,8 +60,8 @@
         node = stack.enter_context(nodes.NodeProcess("n0", path, FLEET, couriers, folder))
         node.wait_ready(READY_PATIENCE)
         empty = node.sample().resident_bytes
-        plan = hollow.CourierPlan(FLEET, (node.address,), LIST_FOR_COURIERS, seed)
-        process = stack.enter_context(hollow.HollowProcess(plan))
+        plan = simulated_couriers.CourierPlan(FLEET, (node.address,), LIST_FOR_COURIERS, seed)
+        process = stack.enter_context(simulated_couriers.HollowProcess(plan))
         at_start = process.start(range(couriers))
         while any(each.answered_at is None for each in process.figures().couriers):
             time.sleep(0.2)
@@ -87,10 +87,10 @@
     catalogue, table = Catalogue(), LeaseTable(FLEET, "n0", "run", LeaseBounds())
     for _ in catalogue.load(_lines(destinations, seed)):
         pass
-    plan = hollow.CourierPlan(FLEET, (), destinations, seed)
-    holders = hollow.subscribers_of(range(couriers), plan)
+    plan = simulated_couriers.CourierPlan(FLEET, (), destinations, seed)
+    holders = simulated_couriers.subscribers_of(range(couriers), plan)
     for courier in range(couriers):
-        wanted = hollow.destinations_of(courier, plan)
+        wanted = simulated_couriers.destinations_of(courier, plan)
         table.request(0.0, SubscribeRequest(FLEET, f"courier-{courier}", subscribe=wanted), None)
     # of destinations with one holder alone: the work by the subscribers is the same at every size
     single = [destination for destination, those in holders.items() if len(those) == 1]
--- a/calicopin/scale/verdict.py
+++ b/calicopin/scale/verdict.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from calicopin.scale.change_feed import Change
-from calicopin.scale.hollow import LEFT, Heard, Known, KnownEndpoint
+from calicopin.scale.simulated_couriers import LEFT, Heard, Known, KnownEndpoint
 
 SECOND = 1000.0
 
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -12,8 +12,8 @@
 import pytest
 
 from calicopin.scale.faults import Fault, FaultPlan, FaultRun, estimate
-from calicopin.scale.hollow import HollowCourier, HollowFleet
 from calicopin.scale.nodes import ROOT
+from calicopin.scale.simulated_couriers import HollowCourier, HollowFleet
 
 SMALL = FaultPlan(
     Fault.NODE_KILLED,
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_simulated_couriers.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner
 
-from calicopin.scale import change_feed, hollow, node_run, node_slopes, nodes, options, results
+from calicopin.scale import change_feed, node_run, node_slopes, nodes, options, results, simulated_couriers
 from calicopin.scale.__main__ import main
 from calicopin.scale.change_feed import (
     REVISION_BASE,
@@ -24,7 +24,9 @@
     now,
     revision_of,
 )
-from calicopin.scale.hollow import (
+from calicopin.scale.list_source import ListSize, write
+from calicopin.scale.node_run import Group, Load, NodePlan, NodeRun, last_courier_times
+from calicopin.scale.simulated_couriers import (
     LEFT,
     CourierPlan,
     Heard,
@@ -35,8 +37,6 @@
     destinations_of,
     subscribers_of,
 )
-from calicopin.scale.list_source import ListSize, write
-from calicopin.scale.node_run import Group, Load, NodePlan, NodeRun, last_courier_times
 from calicopin.scale.verdict import compare, in_force, read_source
 
 PLAN = CourierPlan("scale", ("127.0.0.1:9",), 10_000, 3)
@@ -76,9 +76,9 @@
 
 def test_more_couriers_than_descriptors_are_refused_beforehand():
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    hollow.check_descriptors(10)
-    with pytest.raises(hollow.DescriptorsError, match="descriptors"):
-        hollow.check_descriptors(limit)
+    simulated_couriers.check_descriptors(10)
+    with pytest.raises(simulated_couriers.DescriptorsError, match="descriptors"):
+        simulated_couriers.check_descriptors(limit)
 
 
 # Changes.
@@ -343,7 +343,7 @@
 
     path: str
     node: nodes.NodeProcess
-    couriers: hollow.HollowProcess
+    couriers: simulated_couriers.HollowProcess
     holders: dict[int, list[int]]
     sets: dict[int, tuple[int, ...]]
     revision: int = 0
@@ -378,7 +378,7 @@
         node.wait_ready(60.0)
         plan = CourierPlan("scale", (node.address,), destinations, seed)
         sets = {number: destinations_of(number, plan) for number in range(couriers)}
-        with hollow.HollowProcess(plan) as process:
+        with simulated_couriers.HollowProcess(plan) as process:
             process.start(range(couriers))
             stand = Stand(path, node, process, subscribers_of(range(couriers), plan), sets)
             assert stand.wait_until_known().none
