--- a/calicopin/scale/couriers.py
+++ b/calicopin/scale/couriers.py
@@ -161,7 +161,7 @@
         seconds, count = self.plan.seconds, max(1, round(self.plan.couriers * RESTARTED_SHARE))
         steps = [(NODE_KILLED_AT_SHARE * seconds, self.nodes[0].kill)]
         steps += [(RESTART_AT_SHARE * seconds, courier.restart) for courier in self.couriers[:count]]
-        used = sorted({destination for client in self.clients for destination in client.used})
+        used = sorted({each for client in self.clients for each in client.used})
         leaving = self.draw.sample(used, max(1, round(len(used) * LEAVING_SHARE)))
         for number, destination in enumerate(leaving):
             at = (LEAVES_FROM_SHARE + 0.4 * number / len(leaving)) * seconds
--- a/calicopin/scale/faults.py
+++ b/calicopin/scale/faults.py
@@ -314,7 +314,7 @@
         out, pairs = self.outcome, self.outcome.pairs
         out.max_lateness_ms = feed.max_lateness_ms
         never = [pair for pair in pairs if pair.at is None]
-        latencies = [pair.latencies for pair in pairs if pair.at is not None]
+        latencies = [pair.latency_ms for pair in pairs if pair.at is not None]
         over_bound = [latency for latency in latencies if latency > self.plan.bound]
         self._figure("changes", "changes", len(feed.changes), note=f"{feed.skipped} skipped")
         self._figure("changes at couriers that use their destination", "pairs", len(pairs))
--- a/calicopin/scale/measures.py
+++ b/calicopin/scale/measures.py
@@ -200,7 +200,7 @@
             )
             while self.answers and self.answers[0][0] <= now:
                 self.facade.report(
-                    self.answers.popleft()[1], Answer(Far.ANSWER_DELAY_MS, status=200), ANSWER_DELAY_MS
+                    self.answers.popleft()[1], Answer(Far.ANSWERED, status=200), ANSWER_DELAY_MS
                 )
             while arrivals and arrivals[0][0] <= now:
                 self._submit(arrivals.popleft()[1], now)
--- a/calicopin/scale/one_courier.py
+++ b/calicopin/scale/one_courier.py
@@ -285,8 +285,8 @@
     resident_bytes = process_resident(courier.process.pid)
     bytes_a_second, core_share = _control_load(plan, provider, courier, draw, port)
     times = [
-        _time_to_in_force_ms(provider, courier, entry(destination, port, 1))
-        for destination in used[: plan.timed_changes]
+        _time_to_in_force_ms(provider, courier, entry(changed, port, 1))
+        for changed in used[: plan.timed_changes]
     ]
     return CourierFigures(
         provider.name,
--- a/calicopin/scale/options.py
+++ b/calicopin/scale/options.py
@@ -36,7 +36,7 @@
         return self
 
     def __exit__(self, *_):
-        self.status.exit_with_error()
+        self.status.stop()
 
     def __call__(self, line: str) -> None:
         """Says what is done now."""
@@ -72,7 +72,10 @@
     found."""
     late = max_lateness_ms > lateness_bound_ms
     if late:
-        run.void = f"the generator was {max_lateness_ms:.0f} ms behind its schedule, {lateness_bound_ms:.0f} ms is the bound"
+        run.void = (
+            f"the generator was {max_lateness_ms:.0f} ms behind its schedule,"
+            f" {lateness_bound_ms:.0f} ms is the bound"
+        )
     results.record_end(run, began)
     results.show(run)
     if path:
--- a/calicopin/scale/simulated_couriers.py
+++ b/calicopin/scale/simulated_couriers.py
@@ -153,7 +153,7 @@
 def destinations_of(courier: int, plan: CourierPlan) -> tuple[int, ...]:
     """The courier's set, by the seed: skewed in its size and in which destinations are used by many."""
     draw = random.Random(f"set/{plan.seed}/{courier}")
-    drawn = round(draw.lognormvariate(math.updates(MEDIAN_SET_SIZE), SET_SIZE_SIGMA))
+    drawn = round(draw.lognormvariate(math.log(MEDIAN_SET_SIZE), SET_SIZE_SIGMA))
     size = max(1, min(drawn, MAX_SET_SIZE, plan.destinations // 2))
     chosen: dict[int, None] = {}
     while len(chosen) < size:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -82,7 +82,7 @@
     source, seen = ChangeSource(size, 1, draw_seed=3, aims=range(40), aimed=0.5), set()
     for _ in range(50):
         change = source.next()
-        entry = json.loads(change.fit_line)
+        entry = json.loads(change.line)
         assert (entry["cell"], entry["state"]) == (change.destination, change.state)
         assert entry != known[change.destination]
         assert known[change.destination]["state"] == "active" or change.state == "active"
