--- a/calicopin/scale/couriers.py
+++ b/calicopin/scale/couriers.py
@@ -19,7 +19,7 @@
 from calicopin.scale.one_courier import BODY, FLEET, NODE_READY_TIMEOUT_S, Courier, entry
 from calicopin.scale.standin import Arrival, DestinationServer
 
-LEAVE_DEADLINE_S = 6.0  # from an announced leave until no courier may start a call there
+LEAVE_DEADLINE_S = 6.0  # from an announced leave to the last call there, with a node reachable
 CALL_TIME_ALLOWANCE_S = 0.3  # from the start of a call until the stub has read it, on a busy machine
 END_TIMEOUT_S = 30.0  # for the last messages to be called or reported as undeliverable
 MAX_REPORTED_FAULTS = 5  # of one kind
--- a/calicopin/scale/fault_command.py
+++ b/calicopin/scale/fault_command.py
@@ -42,12 +42,11 @@
 @PROCESSES
 @OUTPUT
 def fault(names, nodes, destinations, couriers, rate, during, seed, late_bound, memory_mib, processes, path):
-    """A node killed, all gone and back, a tenth of the couriers restarted, a half-open node; all of them, or
-    NAMES.
+    """Kill a node, kill and restart all nodes, restart a tenth of the couriers, suspend a node; or NAMES.
 
-    Changes go on meanwhile. Each has to be in force within 12 s of a node's reach, and at the end every
-    courier has to know exactly what the source has; else the exit code is 1. Exit code 3: the run is void,
-    its generator was late.
+    The list keeps changing. Each change must be in force 12 s after a node is reachable, and at the end every
+    courier must know exactly the endpoints of the source; otherwise the exit code is 1. Exit code 3: the run
+    is void because the load generator was late.
     """
     plans = [
         FaultPlan(Fault(name), nodes, destinations, couriers, rate, seed, during=during)
--- a/calicopin/scale/faults.py
+++ b/calicopin/scale/faults.py
@@ -1,8 +1,8 @@
-"""Faults of discovery nodes and couriers under a list that goes on changing, and the verdict on each.
+"""Faults of discovery nodes and couriers while the list keeps changing, with a verdict on each.
 
-Real nodes as processes, hollow couriers in one process, changes on a schedule of their own. A change has to
-be in force at each courier within a bound of the time at which a node is within that courier's reach, and at
-the end each courier has to know exactly what the source has.
+Runs real node processes, simulated couriers in one process, and an open-loop feed of changes. A change must
+be in force at each courier within a bound, counted from when the courier can reach a node; at the end each
+courier must know exactly the endpoints of the source.
 """
 
 import os
@@ -23,17 +23,17 @@
 from calicopin.scale.verdict import Differences, Propagation, change_due, compare, propagations, read_source
 
 FLEET = "scale"
-IN_FORCE_BOUND_MS = 12_000.0  # ms from a change to in force at the last courier
-READY_TIMEOUT_S = 300.0  # seconds that nodes have to read the list
-START_TIMEOUT_S = 60.0  # seconds that couriers have for their first answer
-POLL_INTERVAL_S = 0.2  # seconds between two looks at what was heard
+IN_FORCE_BOUND_MS = 12_000.0  # from a change until it is in force at the last courier
+READY_TIMEOUT_S = 300.0  # for nodes to read the list
+START_TIMEOUT_S = 60.0  # until the couriers' first response
+POLL_INTERVAL_S = 0.2  # of the couriers' updates and figures
 RESTARTED_SHARE = 0.1
-NODE_BYTES_PER_DESTINATION = 1_000  # of a node's memory, for the estimate before a run
-SIMULATION_BYTES_PER_COURIER = 400_000  # of the hollow process' memory, for the same
+NODE_BYTES_PER_DESTINATION = 1_000  # for the estimate of a run
+SIMULATION_BYTES_PER_COURIER = 400_000  # likewise
 
 
 class Fault(StrEnum):
-    """What is done to the nodes or couriers."""
+    """The injected fault."""
 
     NODE_KILLED = "node-killed"
     ALL_GONE_AND_BACK = "all-gone-and-back"
@@ -43,8 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPlan:
-    """One run. `lead` seconds of changes come before the fault, `during` while it lasts, `after` behind
-    it."""
+    """One run; changes go on for `lead` seconds before, `during` in and `after` seconds after the fault.
+
+    `bound` is in ms.
+    """
 
     fault: Fault
     nodes: int = 4
@@ -58,12 +60,12 @@
     bound: float = IN_FORCE_BOUND_MS
     endpoints_per_destination: int = 1
     min_gap_ms: float = MIN_GAP_MS
-    settle_timeout: float = IN_FORCE_BOUND_MS / 1000.0 + 8.0  # seconds for the last change to be in force
+    settle_timeout: float = IN_FORCE_BOUND_MS / 1000.0 + 8.0  # s, for the last change to be in force
 
 
 @dataclass(slots=True)
 class FaultOutcome:
-    """What was found; `faults` are plain lines, none where all held."""
+    """The measured figures and detected faults; `faults` has one line each."""
 
     figures: list[Figure] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
@@ -73,12 +75,12 @@
 
     @property
     def holds(self) -> bool:
-        """Whether nothing was found."""
+        """Whether no fault was detected."""
         return not self.faults
 
 
 def estimate(plan: FaultPlan) -> guard.Estimate:
-    """What the run will take."""
+    """Expected resources of the run."""
     memory = plan.nodes * (guard.PROCESS_BYTES + plan.destinations * NODE_BYTES_PER_DESTINATION)
     return guard.Estimate(
         memory + plan.couriers * SIMULATION_BYTES_PER_COURIER + 2 * guard.PROCESS_BYTES, plan.nodes + 2
@@ -86,8 +88,7 @@
 
 
 class FaultRun:
-    """One run, step by step. `fleet_class` and `programs` are others in tests that show a fault to be
-    found."""
+    """One run, step by step. Tests replace `fleet_class` and `programs` to inject faults."""
 
     def __init__(
         self,
@@ -102,19 +103,19 @@
         self.updates: list[simulated_couriers.ReceivedUpdate] = []
         self.reachable_since: Callable[[Change, int], float] = change_due
         self.outcome = FaultOutcome()
-        self.max_loop_lateness_ms = 0.0  # ms by which the loop of all couriers was behind its timers, at most
+        self.max_loop_lateness_ms = 0.0  # largest timer delay in the event loop of the simulated couriers
 
     def run(self) -> FaultOutcome:
-        """The whole run; its processes and files are gone behind it."""
+        """Executes the run; its processes and files are removed at the end."""
         with tempfile.TemporaryDirectory(prefix="calicopin-scale-") as folder, ExitStack() as stack:
             self._start(folder, stack)
             feed = ChangeFeed(self.path, self._feed_plan())
             stack.callback(feed.stop)
             feed.start()
             self._wait(self.plan.lead)
-            self.progress(f"{self.plan.fault}: the fault")
+            self.progress(f"{self.plan.fault}: injecting the fault")
             getattr(self, "_" + self.plan.fault.replace("-", "_"))()
-            self.progress(f"{self.plan.fault}: changes go on")
+            self.progress(f"{self.plan.fault}: waiting for the last changes")
             feed.join()
             self._wait_in_force(feed)
             self._evaluate(feed)
@@ -161,10 +162,10 @@
             min_gap_ms=plan.min_gap_ms,
         )
 
-    # The faults.
+    # Faults.
 
     def _node_killed(self) -> None:
-        """SIGKILL of one node: its couriers spread over the rest."""
+        """Kills one node with SIGKILL; its couriers must spread over the other nodes."""
         killed = self.nodes[0]
         affected = self._couriers_of(killed.address)
         others = Counter(
@@ -186,10 +187,9 @@
         self._figure("couriers of the rest before", "couriers", sum(before), note=f"each: {before}")
 
     def _all_gone_and_back(self) -> None:
-        """SIGKILL of all nodes; after a while all are back on the same addresses.
+        """Kills all nodes with SIGKILL; later starts all of them on the same addresses.
 
-        A node's reach begins with the start of their processes: the time that they take to read the list
-        counts.
+        Nodes count as reachable from the start of their processes, so the time to read the list is included.
         """
         began = now()
         for node in self.nodes:
@@ -225,7 +225,7 @@
         self._wait(self.plan.during)
 
     def _half_open(self) -> None:
-        """SIGSTOP of one node: its connections stay open and nothing comes; later SIGCONT."""
+        """Suspends one node with SIGSTOP, later resumes it: its connections stay open without any response."""
         suspended = self.nodes[0]
         affected = self._couriers_of(suspended.address)
         began = now()
@@ -251,7 +251,7 @@
         return frozenset(each.courier for each in self._courier_figures().couriers if each.node == address)
 
     def _wait_answered(self, numbers: Sequence[int]) -> float:
-        """When the last of these couriers had its first answer."""
+        """Waits for the first response to each courier; returns the time of the last one (ms)."""
         wanted, until = set(numbers), time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
             started = [each for each in self._courier_figures().couriers if each.courier in wanted]
@@ -264,8 +264,7 @@
         return now()
 
     def _wait_moved(self, numbers: frozenset[int], address: str) -> float:
-        """When the last of these couriers was answered by another node; to within the time between two
-        looks."""
+        """Waits until these couriers use other nodes; returns the time, to within `POLL_INTERVAL_S`."""
         if not numbers:
             return now()
         return self._wait_for(
@@ -274,7 +273,7 @@
         )
 
     def _wait_leases(self, leases: int) -> float:
-        """When the nodes held so many leases, all together."""
+        """Waits until the nodes hold this many leases in total; returns the time (ms)."""
         until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
             if sum(node.status()["leases"] for node in self.nodes) >= leases:
@@ -298,7 +297,7 @@
     # The verdict.
 
     def _wait_in_force(self, feed: ChangeFeed) -> None:
-        """Until all is in force and every courier knows what the source has, or the time for it is up."""
+        """Waits until all changes are in force and every courier matches the source, or the time-out."""
         until = time.monotonic() + self.plan.settle_timeout
         source = read_source(self.path, set(self.subscribers))
         while True:
--- a/calicopin/scale/node_command.py
+++ b/calicopin/scale/node_command.py
@@ -20,9 +20,9 @@
     finish_load,
 )
 
-COURIERS_PER_MACHINE = 613  # couriers of one control machine
-COURIERS_FROM_LOST_MACHINE = 20  # more, where one of 31 machines is gone
-COURIERS_PER_ZONE = 1_118  # couriers of a zone, all back at once
+COURIERS_PER_MACHINE = 613  # one control machine
+COURIERS_FROM_LOST_MACHINE = 20  # additional ones if one of 31 machines fails
+COURIERS_PER_ZONE = 1_118  # all reconnect at once
 CHANGES_A_DAY = 11_000
 
 
@@ -46,7 +46,13 @@
     "--zone", type=click.IntRange(min=0), default=COURIERS_PER_ZONE, show_default=True, help="Third group."
 )
 @click.option("--changes-a-day", type=click.FloatRange(min=1.0), default=CHANGES_A_DAY, show_default=True)
-@click.option("--down", type=click.FloatRange(0.0, 0.5), default=0.037, show_default=True, help="Share down.")
+@click.option(
+    "--down",
+    type=click.FloatRange(0.0, 0.5),
+    default=0.037,
+    show_default=True,
+    help="Share of destinations down.",
+)
 @click.option(
     "--mean-down",
     type=click.FloatRange(min=1.0),
@@ -75,13 +81,13 @@
     processes,
     path,
 ):
-    """One real discovery node and hollow couriers: memory, processor time, bytes, and how soon changes are
-    in force.
+    """One real discovery node with simulated couriers: memory, processor time, bytes, and time until changes
+    are in force.
 
-    Three groups of couriers in turn, each arriving at once, and for each of them three loads: the changes of
-    a day, ten times as many, and those that follow from destinations which are down and come back. Every
-    change is of a destination that some courier of the run uses, which is more than a node has of the day's
-    changes. Exit code 3: the run is void, its generator was late.
+    Three groups of couriers start in turn, each group at once. Each group gets three loads: the changes of a
+    day, ten times as many, and those of destinations that go down and return. Every change is of a
+    destination that some courier of the run uses, which is more than a node gets of the day's changes. Exit
+    code 3: the run is void because the load generator was late.
     """
     groups = [Group(f"{couriers} couriers", couriers)]
     if neighbour:
@@ -132,8 +138,7 @@
 @PROCESSES
 @OUTPUT
 def node_slopes_(names, sizes, repeats, seed, memory_mib, processes, path):
-    """A node's memory over destinations, its processor time over couriers, and one change over destinations
-    known."""
+    """A node's memory over destinations, processor time over couriers, cost of a change over list size."""
     chosen = names or tuple(node_slopes.MEASUREMENTS)
     check_limits(node_slopes.estimate(chosen, tuple(sizes)), memory_mib, processes)
     arguments = {"names": list(chosen), "sizes": list(sizes), "repeats": repeats}
--- a/calicopin/scale/node_run.py
+++ b/calicopin/scale/node_run.py
@@ -1,6 +1,5 @@
-"""One real discovery node with the whole list and hollow couriers before it: what it takes, and how soon
-changes are in force. Groups of couriers arrive one after the other, each group at once; each then meets loads
-of changes in turn."""
+"""One real discovery node with the whole list and simulated couriers: resource use, and time until changes
+are in force. Groups of couriers start one after the other, each group at once, followed by the loads."""
 
 import os
 import tempfile
@@ -17,23 +16,23 @@
 from calicopin.scale.verdict import Propagation, compare, propagations, read_source
 
 FLEET = "scale"
-SECONDS_PER_DAY = 86_400.0  # seconds
-IN_FORCE_BOUND_MS = 12_000.0  # ms from a change to in force at the last courier
+SECONDS_PER_DAY = 86_400.0
+IN_FORCE_BOUND_MS = 12_000.0  # from a change until it is in force at the last courier
 COURIER_BYTES_BOUND = 13_000.0  # a second, for control
 COURIER_CPU_BOUND = 1.2  # percent of a core, for control
 COURIER_MEMORY_BOUND = 32 << 20  # bytes, for control
-PAUSE_S = 5.0  # seconds between an arrival and the first load
-POLL_INTERVAL_S = 0.25  # seconds between two looks at what was heard
-READY_TIMEOUT_S = 600.0  # seconds that a node has to read its list
-ANSWER_TIMEOUT_S = 120.0  # seconds that couriers have for their first answer
-NODE_BYTES_PER_DESTINATION = 700  # of a node's memory, for the estimate before a run
-SIMULATION_BYTES_PER_COURIER = 400_000  # of the hollow process' memory, for the same
+PAUSE_S = 5.0  # between the start of a group and its first load
+POLL_INTERVAL_S = 0.25  # of the couriers' updates and figures
+READY_TIMEOUT_S = 600.0  # for a node to read its list
+ANSWER_TIMEOUT_S = 120.0  # until the couriers' first response
+NODE_BYTES_PER_DESTINATION = 700  # for the estimate of a run
+SIMULATION_BYTES_PER_COURIER = 400_000  # likewise
 MIB = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Changes for a while; `churn` keeps as many destinations down as there were."""
+    """Changes at a rate for a time; `churn` keeps the number of left endpoints about constant."""
 
     name: str
     per_second: float
@@ -43,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Couriers that end, and couriers that arrive at once, before the next loads."""
+    """`end` couriers stop, then `arrive` new ones start at once, before the next loads."""
 
     name: str
     arrive: int
@@ -52,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodePlan:
-    """One run."""
+    """Sizes, groups and loads of one run; `pause` and `settle_timeout` in seconds."""
 
     destinations: int
     groups: tuple[Group, ...]
@@ -61,23 +60,21 @@
     seed: int = 1
     min_gap_ms: float = MIN_GAP_MS
     pause: float = PAUSE_S
-    settle_timeout: float = (
-        IN_FORCE_BOUND_MS / 1000.0 + 3.0
-    )  # seconds that the last changes have to be in force
+    settle_timeout: float = IN_FORCE_BOUND_MS / 1000.0 + 3.0  # for the last changes to be in force
 
 
 @dataclass(slots=True)
 class NodeOutcome:
-    """What was measured; `faults` are plain lines, none where all held."""
+    """The measured figures and detected faults; `faults` has one line each."""
 
     figures: list[Figure] = field(default_factory=list)
     rows: list[dict] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
-    max_lateness_ms: float = 0.0  # ms by which the generator was behind its schedule
+    max_lateness_ms: float = 0.0  # of the load generator behind its schedule
 
 
 def max_couriers(plan: NodePlan) -> int:
-    """Couriers at once."""
+    """The largest number of concurrent couriers."""
     most = present = 0
     for group in plan.groups:
         present += group.arrive - group.end
@@ -86,7 +83,7 @@
 
 
 def estimate(plan: NodePlan) -> guard.Estimate:
-    """What the run will take."""
+    """Expected resources of the run."""
     memory = (
         plan.destinations * NODE_BYTES_PER_DESTINATION + max_couriers(plan) * SIMULATION_BYTES_PER_COURIER
     )
@@ -94,8 +91,7 @@
 
 
 class NodeRun:
-    """One run, step by step. `fleet_class` and `program` are others in tests that show a fault to be
-    found."""
+    """One run, step by step. Tests replace `fleet_class` and `program` to inject faults."""
 
     def __init__(
         self,
@@ -111,7 +107,7 @@
         self.outcome = NodeOutcome()
 
     def run(self) -> NodeOutcome:
-        """The whole run; its processes and files are gone behind it."""
+        """Executes the run; its processes and files are removed at the end."""
         with tempfile.TemporaryDirectory(prefix="calicopin-scale-") as folder, ExitStack() as stack:
             self._start(folder, stack)
             for group in self.plan.groups:
@@ -124,13 +120,13 @@
     def _start(self, folder: str, stack: ExitStack) -> None:
         plan = self.plan
         self.path = os.path.join(folder, "list.log")
-        self.progress(f"node: a list of {plan.destinations:,} destinations is written")
+        self.progress(f"node: writing a list of {plan.destinations:,} destinations")
         with open(self.path, "w", encoding="ascii") as file:
             write(file, FLEET, ListSize(plan.destinations, 1, plan.down_share), plan.seed)
         couriers = max_couriers(plan) + max(group.end for group in plan.groups)
         self.node = nodes.NodeProcess("n0", self.path, FLEET, couriers, folder, self.program)
         stack.enter_context(self.node)
-        self.progress("node: it reads the list")
+        self.progress("node: reading the list")
         load_seconds = self.node.wait_ready(READY_TIMEOUT_S)
         status, sample = self.node.status(), self.node.sample()
         self._figure("size of the list's file", "MiB", os.path.getsize(self.path) / MIB)
@@ -150,11 +146,11 @@
         empty = self.couriers.figures().resident_bytes
         self._figure("memory of the hollow process without a courier", "MiB", empty / MIB)
 
-    # Couriers arrive.
+    # Start of couriers.
 
     def _start_group(self, group: Group) -> None:
-        """All couriers of the group at once: their first answers, and what that costs."""
-        self.progress(f"node: {group.name}: {group.arrive} couriers arrive")
+        """Starts all couriers of the group at once; measures first responses and the cost of the start."""
+        self.progress(f"node: {group.name}: starting {group.arrive} couriers")
         if group.end:
             self.couriers.stop(self.present[-group.end :])
             del self.present[-group.end :]
@@ -213,7 +209,7 @@
     # Loads.
 
     def _load(self, group: Group, load: Load, stack: ExitStack) -> None:
-        """Changes for a while, and what they take until they are in force."""
+        """Applies one load; measures its cost and the time until its changes are in force."""
         self.progress(f"node: {group.name}: {load.name}, {load.per_second:.3g} changes a second")
         subscribers = simulated_couriers.subscribers_of(self.present, self.courier_plan)
         feed = ChangeFeed(self.path, self._feed_plan(load, tuple(subscribers)), self.next_revision)
@@ -262,7 +258,7 @@
     def _wait_in_force(
         self, feed: ChangeFeed, subscribers, updates: list[simulated_couriers.ReceivedUpdate]
     ) -> list[Propagation]:
-        """Until all is in force, or the time for it is up."""
+        """Waits until all changes are in force, or until the time-out."""
         until = time.monotonic() + self.plan.settle_timeout
         while True:
             pairs = propagations(feed.changes, subscribers, updates)
@@ -282,8 +278,8 @@
             self.outcome.faults.append(f"{where}: {feed.skipped} changes found no destination to change")
 
     def _compare(self) -> None:
-        """What each courier knows in the end against the source."""
-        self.progress("node: what couriers know is compared with the source")
+        """Compares each courier's endpoints with the source at the end of the run."""
+        self.progress("node: comparing the couriers' endpoints with the source")
         sets = {
             number: simulated_couriers.destinations_of(number, self.courier_plan) for number in self.present
         }
@@ -306,7 +302,7 @@
 
 
 def last_courier_times(changes: Sequence[Change], pairs: Sequence[Propagation]) -> dict:
-    """How long changes took until they were in force at the last of their couriers; of those that are."""
+    """Times until changes were in force at the last of their couriers; without changes that never were."""
     last_latency: dict[int, float] = {}
     for pair in pairs:
         at = float("inf") if pair.at is None else pair.latency_ms
@@ -319,15 +315,14 @@
 
 
 def mean(values: Sequence[float]) -> float:
-    """0 of none."""
+    """The arithmetic mean; 0 if empty."""
     return sum(values) / len(values) if values else 0.0
 
 
 def courier_costs(
     before: simulated_couriers.ProcessFigures, after: simulated_couriers.ProcessFigures
 ) -> dict:
-    """A courier's bytes a second each way, processor time in percent of a core, and memory of the process in
-    all."""
+    """Bytes and requests a second of a courier, and its processor time in percent of a core."""
     seconds = (after.at - before.at) / 1000.0
     earlier = {each.courier: each for each in before.couriers}
     sent, received, calls = [], [], 0
@@ -346,6 +341,6 @@
 
 
 def node_costs(before: nodes.NodeSample, after: nodes.NodeSample) -> dict:
-    """A node's processor time in percent of a core, and its memory."""
+    """A node's processor time in percent of a core, and its memory in MiB."""
     share = (after.cpu_seconds - before.cpu_seconds) / (after.at - before.at)
     return {"node_cpu_percent": share * 100.0, "node_memory_mib": after.resident_bytes / MIB}
--- a/calicopin/scale/node_slopes.py
+++ b/calicopin/scale/node_slopes.py
@@ -1,5 +1,5 @@
-"""Slopes of the discovery node: memory and load over destinations, processor time over couriers, and the work
-of one change over destinations known. Repeated runs; each of them in processes of its own."""
+"""Cost of the discovery node over size: memory and load time over destinations, processor time over couriers,
+and the work of one change over list size. Runs are repeated, each in fresh processes."""
 
 import multiprocessing
 import os
@@ -32,15 +32,15 @@
 FLEET = "scale"
 DESTINATIONS = (100_000, 400_000, 1_700_000)
 COURIERS = (200, 613, 1_731)
-LIST_FOR_COURIERS = 100_000  # destinations known where the couriers are what varies
-MAX_CHANGES = 10_000  # of one measurement of a change, at most
+LIST_FOR_COURIERS = 100_000  # destinations, while the number of couriers varies
+MAX_CHANGES = 10_000  # in one measurement
 CHANGE_COURIERS = 613
-MEASURE_SECONDS = 15.0  # of one measurement of processor time
-PAUSE_S = 4.0  # seconds between the couriers' arrival and that
+MEASURE_SECONDS = 15.0  # length of one measurement of processor time
+PAUSE_S = 4.0  # between the start of the couriers and the measurement
 
 
 def destination_costs(destinations: int, seed: int) -> dict[str, float]:
-    """A real node with so many destinations: its memory, and its time until it serves."""
+    """A real node with this many destinations: memory, and time until it serves."""
     with tempfile.TemporaryDirectory(prefix="calicopin-scale-") as folder:
         path = os.path.join(folder, "list.log")
         with open(path, "w", encoding="ascii") as file:
@@ -51,8 +51,7 @@
 
 
 def courier_count_costs(couriers: int, seed: int) -> dict[str, float]:
-    """A real node and so many couriers without a change of the list: processor time, and bytes of a
-    courier."""
+    """A real node and this many couriers without changes of the list: processor time, memory and bytes."""
     with tempfile.TemporaryDirectory(prefix="calicopin-scale-") as folder, ExitStack() as stack:
         path = os.path.join(folder, "list.log")
         with open(path, "w", encoding="ascii") as file:
@@ -82,8 +81,7 @@
 
 
 def change_costs(destinations: int, seed: int, couriers: int = CHANGE_COURIERS) -> dict[str, float]:
-    """One change in the node's decisions, of a destination that somebody holds: rows and leases looked at,
-    and time."""
+    """One change of a destination with a subscriber, without I/O: rows and leases examined, and time."""
     catalogue, table = Catalogue(), LeaseTable(FLEET, "n0", "run", LeaseBounds())
     for _ in catalogue.load(_lines(destinations, seed)):
         pass
@@ -92,11 +90,11 @@
     for courier in range(couriers):
         wanted = simulated_couriers.destinations_of(courier, plan)
         table.request(0.0, SubscribeRequest(FLEET, f"courier-{courier}", subscribe=wanted), None)
-    # of destinations with one holder alone: the work by the subscribers is the same at every size
+    # Only destinations with one subscriber: the work per subscriber is the same at every size.
     single = [
         destination for destination, courier_numbers in subscribers.items() if len(courier_numbers) == 1
     ]
-    # and each of them once: the first change of a destination reads its loaded rows
+    # Each of them once, as the first change of a destination reads its loaded rows.
     chosen = random.Random(f"change/{seed}").sample(single, min(MAX_CHANGES, len(single)))
     lines = [line_of(destination, 0, "active", 1).encode() for destination in chosen]
     changes = [(decode_entry(line), line) for line in lines]
@@ -115,7 +113,7 @@
 def destination_slopes(
     repeats: int, seed: int, progress: Callable[[str], None], sizes: tuple[int, ...] = DESTINATIONS
 ) -> list[Slope]:
-    """The node's memory and load."""
+    """The node's memory and load time."""
     samples = _measure_repeatedly("destinations", destination_costs, sizes, repeats, seed, progress)
     return [
         slope("memory of the node", "MiB", "destination", samples["memory"]),
@@ -144,7 +142,7 @@
 def change_slopes(
     repeats: int, seed: int, progress: Callable[[str], None], sizes: tuple[int, ...] = DESTINATIONS
 ) -> list[Slope]:
-    """One change in the node's decisions."""
+    """Work and processor time of one change in the node."""
     samples = _measure_repeatedly("change", change_costs, sizes, repeats, seed, progress, run_in_subprocess)
     return [
         slope("rows looked at by one change", "rows", "destination known", samples["rows"]),
@@ -156,7 +154,7 @@
 def run_in_subprocess(
     measure: Callable[[int, int], dict[str, float]], size: int, seed: int
 ) -> dict[str, float]:
-    """The measurement in a fresh process, its collector as a node's is."""
+    """Runs the measurement in a fresh process with the garbage collector set up as in a node."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(1, context, HERE.settle) as pool:
         return pool.submit(measure, size, seed).result()
@@ -171,7 +169,7 @@
     progress: Callable[[str], None],
     call: Callable = lambda measure, *arguments: measure(*arguments),
 ) -> dict[str, list[Sample]]:
-    """Sizes in turn, so that a change of the machine's load meets all alike."""
+    """Alternates the sizes, so that varying machine load affects all alike."""
     samples: dict[str, list[Sample]] = {}
     for repeat in range(repeats):
         for size in sizes:
@@ -185,7 +183,7 @@
 
 
 def estimate(names: Sequence[str], sizes: tuple[int, ...]) -> guard.Estimate:
-    """What the largest of these measurements will take."""
+    """Expected resources of the largest of these measurements."""
     couriers = max(sizes or COURIERS) if "couriers" in names else CHANGE_COURIERS
     known = max(sizes or DESTINATIONS) if set(names) - {"couriers"} else LIST_FOR_COURIERS
     memory = known * NODE_BYTES_PER_DESTINATION + couriers * SIMULATION_BYTES_PER_COURIER
--- a/calicopin/scale/nodes.py
+++ b/calicopin/scale/nodes.py
@@ -1,4 +1,4 @@
-"""Real discovery nodes as processes: started, killed, stopped and asked for their figures."""
+"""Real discovery nodes as child processes: start, kill, suspend, and read their status."""
 
 import http.client
 import json
@@ -13,20 +13,20 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 PROGRAM = (sys.executable, "-m", "calicopin", "discovery-node")
-SPARE_LEASES = 512  # over the couriers: those of a courier that was restarted last until they are over
+SPARE_LEASES = 512  # beyond one per courier: leases of restarted couriers remain until they expire
 LEAST_LEASES = 1024
-STATUS_TIMEOUT_S = 30.0  # seconds
-READY_POLL_INTERVAL_S = 0.05  # seconds between two looks whether a node is ready
-TERMINATE_TIMEOUT_S = 5.0  # seconds that a node has to end
+STATUS_TIMEOUT_S = 30.0
+READY_POLL_INTERVAL_S = 0.05
+TERMINATE_TIMEOUT_S = 5.0
 
 
 class NodeError(RuntimeError):
-    """A node that did not start; the message has its last lines."""
+    """A node did not start; the message has the end of its log."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSample:
-    """What the machine's accounts say of a node's process."""
+    """Resource use of a node's process."""
 
     at: float  # seconds, monotonic
     cpu_seconds: float
@@ -34,25 +34,25 @@
 
 
 def free_port() -> int:
-    """A port of this machine that nobody listens on."""
+    """A free TCP port on loopback."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
 
 
 def process_cpu(pid: int) -> float:
-    """Seconds of processor time of a process."""
+    """Processor time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def process_resident(pid: int) -> int:
-    """Bytes that a process holds resident."""
+    """Resident set size of a process in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 class NodeProcess:
-    """One discovery node on an address of its own; it may be started again on the same one."""
+    """One discovery node on its own address; it can be restarted on the same address."""
 
     def __init__(
         self,
@@ -83,20 +83,22 @@
 
     @property
     def address(self) -> str:
-        """As couriers ask it."""
+        """Host and port that couriers connect to."""
         return f"127.0.0.1:{self.port}"
 
     def start(self) -> None:
-        """Begins the process; `wait_ready` tells when it serves."""
+        """Starts the process; use `wait_ready` to wait until it serves."""
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(self.command, cwd=ROOT, stdin=subprocess.DEVNULL, stderr=log)
 
     def wait_ready(self, seconds: float) -> float:
-        """The seconds until it served; raises NodeError where that took longer, or where it ended."""
+        """Waits until it serves and returns the seconds; raises NodeError on time-out or if it ends."""
         began = time.monotonic()
         while time.monotonic() < began + seconds:
             if self.process.poll() is not None:
-                raise NodeError(f"{self.name} ended with {self.process.returncode}: {self.log_tail()}")
+                raise NodeError(
+                    f"{self.name} ended with exit code {self.process.returncode}: {self.log_tail()}"
+                )
             if self.is_ready():
                 return time.monotonic() - began
             time.sleep(READY_POLL_INTERVAL_S)
@@ -110,7 +112,7 @@
             return False
 
     def status(self) -> dict:
-        """Its own figures."""
+        """The figures of its status endpoint."""
         return json.loads(self._get("/-/status")[1])
 
     def _get(self, path: str) -> tuple[int, bytes]:
@@ -123,31 +125,31 @@
             connection.close()
 
     def sample(self) -> NodeSample:
-        """Of the process as the machine accounts for it."""
+        """Current resource use of the process."""
         pid = self.process.pid
         return NodeSample(time.monotonic(), process_cpu(pid), process_resident(pid))
 
     def log_tail(self) -> str:
-        """The end of what it wrote."""
+        """The last 400 characters of its log."""
         return Path(self.log).read_text(errors="replace")[-400:].strip()
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Sends SIGKILL and waits for the end of the process."""
         self.process.kill()
         self.process.wait()
 
     def suspend(self) -> None:
-        """SIGSTOP: its connections stay open, and nothing is answered."""
+        """Sends SIGSTOP: its connections stay open, but nothing is answered."""
         self.process.send_signal(signal.SIGSTOP)
         self.is_suspended = True
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """Sends SIGCONT."""
         self.process.send_signal(signal.SIGCONT)
         self.is_suspended = False
 
     def end(self) -> None:
-        """SIGTERM, and SIGKILL where that is not enough."""
+        """Sends SIGTERM, then SIGKILL if it has not ended after `TERMINATE_TIMEOUT_S`."""
         if self.process is None or self.process.poll() is not None:
             return
         if self.is_suspended:
--- a/calicopin/scale/one_courier.py
+++ b/calicopin/scale/one_courier.py
@@ -146,7 +146,8 @@
                 pass
             time.sleep(0.05)
         raise MeasureError(
-            f"courier was not {what} within {READY_TIMEOUT_S:g} s: {self.log.read_text(errors='replace')[-400:]}"
+            f"courier was not {what} within {READY_TIMEOUT_S:g} s:"
+            f" {self.log.read_text(errors='replace')[-400:]}"
         )
 
     def submit(self, destination: int) -> None:
--- a/calicopin/scale/one_courier_command.py
+++ b/calicopin/scale/one_courier_command.py
@@ -46,7 +46,7 @@
 def courier(
     destinations, all_destinations, used, changes, seconds, in_force, seed, memory_mib, processes, path
 ):
-    """One real courier: with the whole list, with a subscription, and with a subscription to a larger list."""
+    """One real courier: the whole list, a subscription to part of it, and one to part of a larger list."""
     if used > destinations or in_force > used:
         exit_with_error("--used is at most --destinations, --in-force at most --used")
     needed = max(destinations * LIST_BYTES_PER_DESTINATION, all_destinations * NODE_BYTES_PER_DESTINATION)
--- a/calicopin/scale/sender_count.py
+++ b/calicopin/scale/sender_count.py
@@ -1,7 +1,7 @@
-"""What a told sender count costs where only few of the senders send: the decisions alone, in virtual time.
+"""Cost of an overstated sender count: the decisions alone, in virtual time.
 
-One destination with a limit that its answers tell. Twenty couriers send to it; each is told how many senders
-there are, and takes its share of the limit by that number.
+One destination reports its rate limit in its answers. Twenty couriers send to it; each is given a number of
+senders and takes that fraction of the limit.
 """
 
 import heapq
@@ -29,8 +29,8 @@
 )
 
 MS_PER_SECOND = 1000.0
-ANSWER_DELAY_MS = 150.0  # milliseconds from a call to the answer that it was delivered
-REFUSAL_DELAY_MS = 40.0  # and to the answer that the limit is reached
+ANSWER_DELAY_MS = 150.0  # from a call to its delivery
+REFUSAL_DELAY_MS = 40.0  # from a call to the answer that the limit is reached
 SLA_TIME_MS = 4.0 * MS_PER_SECOND
 VALIDITY_MS = 24.0 * MS_PER_SECOND
 PRODUCT = Product(Repeat.RESENDABLE, SLA_TIME_MS, VALIDITY_MS, 1.0, 0.3)
@@ -39,21 +39,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One run's sizes; rates are calls or messages a second."""
+    """Parameters of one run; `limit` in calls and `offered` in messages a second."""
 
     reported_senders: int
     senders: int = 20
     limit: float = 50.0
     offered: float = 40.0
     seconds: float = 60.0
-    in_list: bool = True  # the list tells the limit
-    in_answers: bool = True  # each answer tells the limit and what is left of it
+    in_list: bool = True  # the list has the limit
+    in_answers: bool = True  # each answer reports the limit and the remaining share
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What became of the messages, as shares of those offered; `served` counts a late one by what it still
-    earns."""
+    """Outcome as shares of the messages offered; `revenue` counts late ones by their remaining revenue."""
 
     offered: int
     revenue: float
@@ -64,7 +63,7 @@
     refused_calls: int
 
 
-FIGURES = {  # on the page, by the field
+FIGURES = {  # names in the report -> fields of Result
     "served, late ones by what they earn": "revenue",
     "delivered": "delivered",
     "delivered before the last was offered": "delivered_by_end",
@@ -74,15 +73,14 @@
 
 
 class LimitedDestination:
-    """Takes `limit` calls in any second; where it `tells`, each answer has the limit and what is left of
-    it."""
+    """Accepts `limit` calls in any second; with `reports_limit` answers have the limit and remaining share."""
 
     def __init__(self, limit: float, reports_limit: bool):
         self.limit, self.reports_limit = limit, reports_limit
         self.accepted_at: list[float] = []
 
     def answer(self, submit: Submit, now: float) -> Outcome:
-        """The outcome of a call that begins now."""
+        """The outcome of a call that starts at `now` (ms)."""
         used = sum(at > now - MS_PER_SECOND for at in self.accepted_at[-int(self.limit) - 1 :])
         full = used >= self.limit
         if not full:
@@ -96,14 +94,14 @@
 
 
 def revenue_share(delay_ms: float) -> float:
-    """The share of its worth that a message earns so long after it was handed in."""
+    """The share of its revenue that a message earns when delivered `delay_ms` after its submission."""
     if delay_ms <= SLA_TIME_MS:
         return 1.0
     return 1.0 - (1.0 - PRODUCT.late_revenue) * (delay_ms - SLA_TIME_MS) / (VALIDITY_MS - SLA_TIME_MS)
 
 
 def settings(scenario: Scenario, number: int, seed: int) -> CourierSettings:
-    """Those of one of the senders."""
+    """Settings of one sender."""
     return CourierSettings(
         seed=seed * 1000 + number,
         number=number,
@@ -119,7 +117,7 @@
 
 
 class _Simulation:
-    """One run: couriers, the destination, and what is due."""
+    """One run: the couriers, the destination and a heap of scheduled events."""
 
     def __init__(self, scenario: Scenario, seed: int):
         self.scenario, self.draw, self.sequence = scenario, random.Random(f"senders/{seed}"), count()
@@ -135,7 +133,7 @@
         heapq.heappush(self.events, (at, next(self.sequence), courier, event))
 
     def schedule_arrivals(self) -> None:
-        """The list at each courier, and the arrivals of all messages, each at a courier by chance."""
+        """Schedules the list at each courier, and all messages, each at a random courier."""
         for number in range(self.scenario.senders):
             listed = Listed(
                 [Entry(0, 0, agreed=self.scenario.limit if self.scenario.in_list else None)], whole=True
@@ -153,7 +151,7 @@
             )
 
     def process_events(self) -> None:
-        """Until the last message is over."""
+        """Processes events until every message is delivered or given up."""
         while self.events and len(self.delivered_at) + len(self.undelivered) < len(self.submitted_at):
             now, _, number, event = heapq.heappop(self.events)
             if isinstance(event, Outcome) and event.how == How.DELIVERED:
@@ -162,7 +160,7 @@
                 self.apply(now, number, action)
 
     def apply(self, now: float, number: int, action) -> None:
-        """One action of a courier's."""
+        """Applies one action of a courier."""
         if isinstance(action, Wake):
             self.schedule(now + action.after, number, Woken(action.token))
         elif isinstance(action, Submit):
@@ -174,7 +172,7 @@
 
 
 def simulate(scenario: Scenario, seed: int) -> Result:
-    """One run; the same seed offers the same messages whatever is told."""
+    """Runs a scenario; the same seed offers the same messages for any `reported_senders`."""
     simulation = _Simulation(scenario, seed)
     simulation.schedule_arrivals()
     simulation.process_events()
--- a/calicopin/scale/simulated_couriers.py
+++ b/calicopin/scale/simulated_couriers.py
@@ -25,9 +25,7 @@
 MEDIAN_SET_SIZE = 60  # destinations of one courier; the mean is about 90
 SET_SIZE_SIGMA = 0.9  # of the log-normal set size
 MAX_SET_SIZE = 2000
-POPULARITY_EXPONENT = (
-    3.0  # exponent of the skew: few destinations are used by many couriers, most by one or none
-)
+POPULARITY_EXPONENT = 3.0  # skew: few destinations are used by many couriers, most by one or none
 MAX_LONG_POLL_MS = 2000.0  # that the node holds a request
 LEFT = -1  # in place of a revision: the endpoint was removed
 SPARE_DESCRIPTORS = 64  # in addition to one connection per courier
--- a/calicopin/scale/slopes.py
+++ b/calicopin/scale/slopes.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One measurement over several sizes; `tuned_gc`: the garbage collector runs as rarely as in a courier."""
+    """One measurement over several sizes; `tuned_gc`: the garbage collector is set up as in a courier."""
 
     name: str
     measure: Callable[[int, int], dict[str, float]]
--- a/calicopin/scale/verdict.py
+++ b/calicopin/scale/verdict.py
@@ -1,5 +1,5 @@
-"""Whether each change came into force at each courier that uses its destination, and whether each courier
-knows what the source has. No I/O but the reading of the source; times are milliseconds."""
+"""Checks that each change is in force at each courier that uses its destination, and that each courier knows
+exactly the endpoints of the source. No I/O except reading the source; times are milliseconds."""
 
 from bisect import bisect_right
 from collections import defaultdict
@@ -16,17 +16,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Propagation:
-    """One change at one courier; `at` is None where the courier never heard of it."""
+    """One change at one courier; `at` is when it was received, None if never."""
 
     change: Change
     courier: int
     at: float | None
-    reachable_since: float  # since when both the change and a node were within the courier's reach
+    reachable_since: float  # from when the change existed and the courier could reach a node
 
     @property
     def latency_ms(self) -> float | None:
-        """From the change until it was in force; from a node's reach where it was not in force before
-        that."""
+        """Time until the change was in force: from `reachable_since`, or from the change if it was in force
+        before that."""
         if self.at is None:
             return None
         return self.at - (self.reachable_since if self.at >= self.reachable_since else self.change.due)
@@ -34,22 +34,22 @@
 
 @dataclass(slots=True)
 class Differences:
-    """What couriers know against the source; each figure counts endpoints of all couriers."""
+    """Differences between the couriers' endpoints and the source, counted over all couriers."""
 
     couriers: int = 0
-    missing: int = 0  # the source has them
-    left_but_known: int = 0  # the source has them no longer
-    outdated: int = 0  # known with another state, address or weight
+    missing: int = 0  # in the source only
+    left_but_known: int = 0  # no longer in the source
+    outdated: int = 0  # different state, address or weight
     examples: list[str] = field(default_factory=list)
 
     @property
     def none(self) -> bool:
-        """Whether all know exactly what the source has."""
+        """Whether all couriers match the source."""
         return not (self.missing or self.left_but_known or self.outdated)
 
 
 def change_due(change: Change, _: int) -> float:
-    """The reach of a change where a node could be reached all the time."""
+    """The default `reachable_since`: a node is reachable all the time."""
     return change.due
 
 
@@ -59,7 +59,7 @@
     updates: Iterable[ReceivedUpdate],
     reachable_since: Callable[[Change, int], float] = change_due,
 ) -> list[Propagation]:
-    """Each change with each courier that holds its destination."""
+    """Pairs each change with each courier that subscribes to its destination."""
     revisions = resolve_leaves(changes, updates)
     result = []
     for change in changes:
@@ -72,8 +72,7 @@
 def resolve_leaves(
     changes: Sequence[Change], updates: Iterable[ReceivedUpdate]
 ) -> dict[tuple[int, str], list[ReceivedUpdate]]:
-    """What was heard, by courier and endpoint, with a revision in place of each LEFT: that of the last time
-    the endpoint left before it was heard."""
+    """The updates by courier and endpoint; each LEFT gets the revision of the last leave appended before it."""
     left: dict[str, list[Change]] = defaultdict(list)
     for change in changes:
         if change.state == "left":
@@ -89,13 +88,13 @@
 
 
 def first_received_at(updates: Sequence[ReceivedUpdate], change: Change) -> float | None:
-    """When the change or a later one of its endpoint was heard first."""
+    """When the change, or a later one of the same endpoint, was first received; None if never."""
     times = [update.at for update in updates if update.revision >= change.revision]
     return min(times, default=None)
 
 
 class _SourceEntry(msgspec.Struct):
-    """An entry of the source as it is compared."""
+    """The compared fields of a source entry."""
 
     id: str
     addr: str
@@ -108,7 +107,7 @@
 
 
 def read_source(path: str, wanted: set[int]) -> dict[int, dict[str, KnownEndpoint]]:
-    """The endpoints of the wanted destinations as the file has them: the last line of each holds."""
+    """The endpoints of the wanted destinations in the file; the last line of an endpoint counts."""
     by_destination: dict[int, dict[str, KnownEndpoint]] = {}
     with open(path, "rb") as file:
         next(file)  # the header
@@ -131,8 +130,7 @@
     sets: Mapping[int, Iterable[int]],
     source: Mapping[int, Mapping[str, KnownEndpoint]],
 ) -> Differences:
-    """What each courier knows of its set against the source: by its subscription, and as its data path was
-    told."""
+    """Compares each courier with the source: its subscription, and what was passed to its data path."""
     differences = Differences()
     for view in known:
         differences.couriers += 1
