--- a/calicopin/scale/faults.py
+++ b/calicopin/scale/faults.py
@@ -208,12 +208,12 @@
         self._figure("until the last courier had a lease again, from then", "s", (last - ready) / 1000.0)
 
     def _restart_tenth(self) -> None:
-        """A tenth of the couriers ends without a word and starts with nothing, at once."""
+        """Restarts a tenth of the couriers at once, without notifying the nodes and without stored state."""
         count = max(1, round(len(self.numbers) * RESTARTED_SHARE))
         chosen = random.Random(f"restart/{self.plan.seed}").sample(self.numbers, count)
         before = {node.name: node.status()["cpu_seconds"] for node in self.nodes}
         began = now()
-        self.couriers.retire(chosen)
+        self.couriers.stop(chosen)
         self.couriers.start(chosen)
         last = self._wait_answered(chosen)
         restarted = set(chosen)
@@ -225,7 +225,7 @@
         self._wait(self.plan.during)
 
     def _half_open(self) -> None:
-        """Suspends one node with SIGSTOP, later resumes it: its connections stay open without any response."""
+        """Suspends one node with SIGSTOP, later resumes it: its connections stay open without responses."""
         suspended = self.nodes[0]
         affected = self._couriers_of(suspended.address)
         began = now()
--- a/calicopin/scale/guard.py
+++ b/calicopin/scale/guard.py
@@ -49,10 +49,10 @@
     if estimate.memory > allowed.memory:
         raise RunRefusedError(
             f"refused: the run would take some {estimate.memory / MIB:,.0f} MiB of memory,"
-            f" and {allowed.memory / MIB:,.0f} MiB is the bound; ask for smaller sizes"
+            f" and {allowed.memory / MIB:,.0f} MiB is the limit; use smaller sizes"
         )
     if estimate.processes > allowed.processes:
         raise RunRefusedError(
             f"refused: the run would take {estimate.processes} processes,"
-            f" and {allowed.processes} is the bound; ask for fewer"
+            f" and {allowed.processes} is the limit; use fewer"
         )
--- a/calicopin/scale/one_courier.py
+++ b/calicopin/scale/one_courier.py
@@ -209,7 +209,7 @@
 
     def control_bytes(self, _: Courier) -> int:
         """So far, both ways."""
-        return self.agent.traffic.received + self.agent.traffic.sent
+        return self.agent.byte_counts.received + self.agent.byte_counts.sent
 
     def close(self) -> None:
         """Stops the agent."""
@@ -324,9 +324,7 @@
     provider.change(changed)
     while courier.known() == before:
         if time.monotonic() > began + IN_FORCE_TIMEOUT_S:
-            raise MeasureError(
-                f"the new endpoint {changed['id']} was not in force after {IN_FORCE_TIMEOUT_S:g} s"
-            )
+            raise MeasureError(f"{changed['id']} was not in force after {IN_FORCE_TIMEOUT_S:g} s")
         time.sleep(POLL_INTERVAL_S)
     return (time.monotonic() - began) * 1000.0
 
--- a/calicopin/scale/sender_count.py
+++ b/calicopin/scale/sender_count.py
@@ -73,7 +73,7 @@
 
 
 class LimitedDestination:
-    """Accepts `limit` calls in any second; with `reports_limit` answers have the limit and remaining share."""
+    """Accepts `limit` calls in any second; with `reports_limit` answers have the limit and what is left."""
 
     def __init__(self, limit: float, reports_limit: bool):
         self.limit, self.reports_limit = limit, reports_limit
--- a/calicopin/scale/simulated_couriers.py
+++ b/calicopin/scale/simulated_couriers.py
@@ -142,7 +142,7 @@
     allowed, needed = resource.getrlimit(resource.RLIMIT_NOFILE)[0], couriers + SPARE_DESCRIPTORS
     if allowed != resource.RLIM_INFINITY and needed > allowed:
         raise DescriptorsError(
-            f"refused: {couriers} couriers need {needed} descriptors, and the process limit is {allowed}"
+            f"refused: {couriers} couriers need {needed} descriptors, and {allowed} is the process limit"
         )
 
 
@@ -200,7 +200,7 @@
         for place in places:
             self._apply(place, now)
         if first or whole:
-            self._note_absent(now)
+            self._record_missing(now)
 
     def _apply(self, place: Place, now: float) -> None:
         if place.left:
@@ -212,7 +212,7 @@
         if revision:
             self.updates.append(ReceivedUpdate(now, self.number, place.ident, revision))
 
-    def _note_absent(self, now: float) -> None:
+    def _record_missing(self, now: float) -> None:
         """Records the endpoints that are missing from a full update as left."""
         for destination in self.destinations:
             for number in range(self.endpoints_per_destination):
@@ -350,9 +350,7 @@
         """Sends a request and returns the response; raises TimeoutError, or EOFError if the process ended."""
         self._connection.send(request)
         if not self._connection.poll(ANSWER_TIMEOUT_S):
-            raise TimeoutError(
-                f"the simulated couriers did not answer {request!r:.60} in {ANSWER_TIMEOUT_S:g} s"
-            )
+            raise TimeoutError(f"the simulated couriers did not answer {request!r:.60}")
         return self._connection.recv()
 
     def start(self, couriers: Iterable[int]) -> ProcessFigures:
--- a/calicopin/scale/verdict.py
+++ b/calicopin/scale/verdict.py
@@ -72,7 +72,7 @@
 def resolve_leaves(
     changes: Sequence[Change], updates: Iterable[ReceivedUpdate]
 ) -> dict[tuple[int, str], list[ReceivedUpdate]]:
-    """The updates by courier and endpoint; each LEFT gets the revision of the last leave appended before it."""
+    """The updates by courier and endpoint; each LEFT gets the revision of the last leave before it."""
     left: dict[str, list[Change]] = defaultdict(list)
     for change in changes:
         if change.state == "left":
