--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,4 @@
-"""The scale tests' own parts: fits, bounds, the list source, and small forms of the slopes. No clock is
-asserted."""
+"""Parts of the scale tests: fits, limits, list source and small measurements. No test asserts times."""
 
 import io
 import json
@@ -13,19 +12,19 @@
 from calicopin.scale.list_source import ChangeSource, ListSize, entries, head, write
 
 
-def test_a_line_is_found_with_its_residual():
+def test_fit_line_returns_slope_intercept_and_residual():
     samples = [fit.Sample(size, 3.0 * size + 7.0) for size in (1, 10, 100)]
     line = fit.fit_line(samples)
     assert line.slope == pytest.approx(3.0) and line.intercept == pytest.approx(7.0)
     assert line.residual == pytest.approx(0.0, abs=1e-9)
 
 
-def test_a_square_does_not_pass_for_a_line():
+def test_quadratic_samples_have_a_large_residual():
     line = fit.fit_line([fit.Sample(size, size * size) for size in (1.0, 10.0, 100.0)])
     assert line.residual_share > 0.05
 
 
-def test_two_sizes_make_no_line():
+def test_a_fit_needs_three_sizes():
     with pytest.raises(ValueError, match="3 sizes"):
         fit.fit_line([fit.Sample(1, 1), fit.Sample(2, 2), fit.Sample(2, 3)])
 
@@ -41,7 +40,7 @@
     assert fit.percentile([4.0], 0.99) == 4.0
 
 
-def test_a_run_over_its_bounds_is_refused():
+def test_a_run_over_its_limits_is_refused():
     allowed = guard.Bounds(memory=1000, processes=10)
     guard.check(guard.Estimate(1000, 10), allowed)
     with pytest.raises(guard.RunRefusedError, match="memory"):
@@ -50,19 +49,19 @@
         guard.check(guard.Estimate(1, 11), allowed)
 
 
-def test_no_argument_lifts_the_bounds_over_half_of_the_machine():
+def test_limits_are_capped_at_half_of_the_machine_memory():
     most = guard.bounds(10**9, 10**9)
     assert most.memory == int(guard.machine_memory() * 0.5)
     assert most.processes == guard.MAX_PROCESSES
 
 
-def test_a_command_too_large_ends_before_it_begins_with_one_line_and_2():
+def test_a_command_over_its_limits_prints_one_line_and_exits_with_2():
     done = CliRunner().invoke(main, ["slopes", "list", "--size", "100000000"])
     assert done.exit_code == 2
     assert done.stderr.startswith("refused: the run would take some") and done.stderr.count("\n") == 1
 
 
-def test_the_same_seed_makes_the_same_list():
+def test_the_same_seed_generates_the_same_list():
     size = ListSize(200, endpoints_per_destination=2, down_share=0.1)
     first, second, other = io.StringIO(), io.StringIO(), io.StringIO()
     write(first, "lahore", size, 7)
@@ -76,7 +75,7 @@
     assert 0 < sum(entry["state"] == "left" for entry in listed) < 80
 
 
-def test_each_change_differs_from_what_was_known_and_no_destination_changes_twice():
+def test_each_change_differs_from_the_initial_entry_and_no_destination_changes_twice():
     size = ListSize(100, down_share=0.2)
     known = {entry["cell"]: entry for entry in entries(size, 1)}
     source, seen = ChangeSource(size, 1, draw_seed=3, preferred=range(40), preferred_share=0.5), set()
@@ -94,18 +93,18 @@
             source.next()
 
 
-def test_messages_of_a_rate_are_all_delivered():
+def test_rate_cost_delivers_all_messages():
     figures = measures.rate_cost(33, seed=1, seconds=2.0)
     assert figures["delivered"] == figures["offered"] == 66
 
 
-def test_journal_bytes_grow_by_the_messages():
+def test_journal_bytes_are_proportional_to_the_messages():
     few, many = measures.journal_bytes(50, 1), measures.journal_bytes(100, 1)
     assert few["delivered"] == 50 and many["delivered"] == 100
     assert 1.9 < many["bytes"] / few["bytes"] < 2.1
 
 
-def test_a_told_count_far_over_the_senders_costs_deliveries():
+def test_an_overstated_sender_count_reduces_deliveries():
     scenario = sender_count.Scenario(reported_senders=20, seconds=10.0)
     exact = sender_count.simulate(scenario, seed=1)
     overstated = sender_count.simulate(replace(scenario, reported_senders=19_000), seed=1)
--- a/tests/test_scale_courier.py
+++ b/tests/test_scale_courier.py
@@ -1,5 +1,4 @@
-"""One real courier with the whole list and with a subscription: what it knows, by counts; no time is
-asserted."""
+"""One real courier with the whole list and with a subscription. Asserts counts, no times."""
 
 import json
 
@@ -9,7 +8,7 @@
 from calicopin.scale.one_courier import IN_FORCE_TIMEOUT_S
 
 
-def test_a_courier_that_subscribes_knows_what_it_uses_and_each_change_of_that_comes_into_force(tmp_path):
+def test_a_subscribing_courier_knows_the_used_endpoints_and_gets_each_change(tmp_path):
     path = tmp_path / "record.json"
     arguments = "courier --destinations 300 --all-destinations 600 --used 20 --seconds 1 --in-force 3"
     done = CliRunner().invoke(main, [*arguments.split(), "--json", str(path)])
@@ -21,7 +20,7 @@
     assert all(row["in_force_ms_worst"] < IN_FORCE_TIMEOUT_S * 1000.0 for row in record["rows"])
 
 
-def test_sizes_that_cannot_be_are_refused_in_one_line():
+def test_inconsistent_sizes_are_refused_with_one_line():
     for arguments in ("courier --destinations 100 --used 101", "courier --used 5 --in-force 6"):
         done = CliRunner().invoke(main, arguments.split())
         assert done.exit_code == 2 and len(done.output.splitlines()) == 1, done.output
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -1,5 +1,4 @@
-"""Faults of nodes and couriers in small: real nodes and subscribers on loopback, with a verdict. No clock is
-asserted."""
+"""Small runs of node and courier faults with real nodes on loopback. No test asserts times."""
 
 import json
 import os
@@ -48,7 +47,7 @@
 
 
 def no_progress(_):
-    """A progress line that nobody reads."""
+    """Discards progress lines."""
 
 
 def figure(outcome, name):
@@ -56,7 +55,7 @@
 
 
 @pytest.mark.parametrize("fault", list(Fault))
-def test_after_a_fault_every_courier_knows_what_the_source_has(fault):
+def test_after_a_fault_every_courier_matches_the_source(fault):
     outcome = FaultRun(replace(SMALL, fault=fault), no_progress).run()
     assert outcome.faults == [] and outcome.holds
     assert outcome.differences.couriers == 12 and outcome.differences.none
@@ -65,7 +64,7 @@
     assert figure(outcome, "never in force") == 0
 
 
-def test_the_couriers_of_a_killed_node_are_all_at_the_rest():
+def test_all_couriers_of_a_killed_node_move_to_other_nodes():
     outcome = FaultRun(SMALL, no_progress).run()
     lost, before = (
         figure(outcome, "couriers of the killed node"),
@@ -74,9 +73,9 @@
     assert lost + before == 12 and outcome.holds
 
 
-def test_a_fault_of_a_node_meets_couriers_of_it_and_leaves_none_there():
-    """That one were left there is a fault of the run, so that it does not hold."""
-    plan = replace(SMALL, couriers=60)  # of three nodes, each has some
+def test_a_node_fault_affects_its_couriers_and_all_of_them_move():
+    """A courier that stays at the failed node is a fault of the run, so `holds` would be false."""
+    plan = replace(SMALL, couriers=60)  # enough that each of the three nodes has some
     killed = FaultRun(plan, no_progress).run()
     lost = figure(killed, "couriers of the killed node")
     most = next(one for one in killed.figures if one.figure == "most of them at one of the rest")
@@ -87,8 +86,7 @@
 
 
 class ForgettingCourier(SimulatedCourier):
-    """Its subscription keeps what has left and loses a change: one courier's answers lose their first
-    entry."""
+    """Courier 0 drops the first entry of each incremental answer, so that it misses changes and leaves."""
 
     def __init__(self, loop, number, *others):
         super().__init__(loop, number, *others)
@@ -100,19 +98,19 @@
 
 
 class ForgettingFleet(SimulatedFleet):
-    """Couriers of which one loses what an increment tells."""
+    """A fleet in which courier 0 loses incremental updates."""
 
     courier_class = ForgettingCourier
 
 
-def test_a_courier_that_drops_an_increment_is_found():
+def test_a_courier_that_drops_an_incremental_update_is_detected():
     plan = replace(SMALL, fault=Fault.RESTART_TENTH, per_second=60.0, settle_timeout=2.0)
     outcome = FaultRun(plan, no_progress, ForgettingFleet).run()
     assert not outcome.holds and not outcome.differences.none
     assert outcome.differences.missing > 0
 
 
-def test_a_node_that_loses_a_change_is_found():
+def test_a_node_that_loses_a_change_is_detected():
     losing = (sys.executable, "-c", LOSING_NODE)
     plan = replace(SMALL, fault=Fault.HALF_OPEN, nodes=2, per_second=30.0, settle_timeout=2.0)
     outcome = FaultRun(plan, no_progress, programs=(losing, losing)).run()
@@ -121,17 +119,17 @@
     assert not outcome.differences.none
 
 
-def test_a_change_that_takes_too_long_is_found():
+def test_a_change_over_the_time_bound_is_detected():
     outcome = FaultRun(replace(SMALL, bound=0.0), no_progress).run()
     assert any("took over" in line for line in outcome.faults)
 
 
-def test_the_estimate_grows_with_what_is_asked_for():
+def test_the_estimate_grows_with_couriers_and_nodes():
     assert estimate(replace(SMALL, couriers=2000)).memory > estimate(SMALL).memory
     assert estimate(replace(SMALL, nodes=9)).processes == 11
 
 
-def test_a_run_that_is_ended_leaves_no_process_and_no_file(tmp_path):
+def test_a_run_ended_by_sigterm_leaves_no_process_and_no_file(tmp_path):
     arguments = ["fault", "node-killed", "--nodes", "2", "--destinations", "100", "--couriers", "2"]
     command = [sys.executable, "-m", "calicopin.scale", *arguments]
     environment = {**os.environ, "TMPDIR": str(tmp_path)}
@@ -145,13 +143,13 @@
     assert process.wait(60) == 128 + signal.SIGTERM
     process.stderr.close()
     assert not any(command_of(pid) for pid in nodes)
-    while any(command_of(pid) for pid in started):  # the pool's own tracker ends once its parent has
+    while any(command_of(pid) for pid in started):  # the resource tracker ends after its parent
         time.sleep(0.05)
     assert not os.listdir(tmp_path)
 
 
 def command_of(pid):
-    """A process's command line; empty of one that has ended."""
+    """The command line of a process; empty if it has ended."""
     try:
         with open(f"/proc/{pid}/cmdline", encoding="utf-8") as file:
             return file.read()
@@ -160,7 +158,7 @@
 
 
 def children(pid):
-    """The processes that a process started."""
+    """The ids of the child processes of `pid`."""
     found = []
     for entry in os.listdir("/proc"):
         try:
--- a/tests/test_scale_simulated_couriers.py
+++ b/tests/test_scale_simulated_couriers.py
@@ -1,5 +1,4 @@
-"""Hollow couriers, their feed of changes and the verdict; small seeded runs of a node on loopback. No clock
-is asserted."""
+"""Simulated couriers, change feed and verdict; small seeded runs of a node. No test asserts times."""
 
 import io
 import json
@@ -43,25 +42,25 @@
 
 
 def no_progress(_):
-    """A progress line that nobody reads."""
+    """Discards progress lines."""
 
 
-# Sets.
+# Destination sets.
 
 
-def test_a_courier_has_the_same_set_in_every_process_and_another_than_the_next():
+def test_destination_sets_depend_only_on_seed_and_courier():
     assert destinations_of(7, PLAN) == destinations_of(7, PLAN)
     assert destinations_of(7, PLAN) != destinations_of(8, PLAN)
 
 
-def test_sets_are_of_some_ninety_destinations_and_skewed():
+def test_sets_have_about_ninety_destinations_and_are_skewed():
     sizes = sorted(len(destinations_of(courier, PLAN)) for courier in range(300))
     assert 70 < sum(sizes) / len(sizes) < 110 and sizes[-1] > 4 * sizes[150]
     held = sorted(len(couriers) for couriers in subscribers_of(range(300), PLAN).values())
     assert held[len(held) // 2] <= 2 and held[-1] > 50
 
 
-def test_a_set_names_no_destination_twice_and_is_skewed_around_its_mean():
+def test_sets_are_unique_and_their_sizes_skewed_around_the_mean():
     plan = CourierPlan("scale", ("127.0.0.1:9",), 100_000, 1)
     sets = [destinations_of(courier, plan) for courier in range(400)]
     sizes = sorted(map(len, sets))
@@ -74,7 +73,7 @@
     assert max(map(len, held.values())) > 3
 
 
-def test_more_couriers_than_descriptors_are_refused_beforehand():
+def test_more_couriers_than_descriptors_are_refused():
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     simulated_couriers.check_descriptors(10)
     with pytest.raises(simulated_couriers.DescriptorsError, match="descriptors"):
@@ -97,7 +96,7 @@
         last[destination] = at
 
 
-def test_no_change_says_what_was_said_before():
+def test_each_change_differs_from_the_previous_one_of_its_endpoint():
     next_change, states = ChangeGenerator(feed_plan(endpoints_per_destination=2)), {}
     for at in range(0, 300_000, 300):
         destination, number, state = next_change(float(at))
@@ -107,7 +106,7 @@
     assert {"left", "leaving", "active"} <= set(states.values())
 
 
-def test_churn_keeps_as_many_down():
+def test_churn_keeps_the_number_of_left_endpoints_stable():
     plan = feed_plan(candidates=tuple(range(400)), churn=True, down=frozenset(range(40)))
     next_change = ChangeGenerator(plan)
     for at in range(0, 2_000_000, 100):
@@ -115,12 +114,12 @@
     assert 10 < len(next_change.left_endpoints) < 120
 
 
-def test_with_nothing_left_to_change_the_feed_skips():
+def test_a_change_is_skipped_if_no_destination_may_change():
     next_change = ChangeGenerator(feed_plan(candidates=(1, 2)))
     assert next_change(0.0) and next_change(0.0) and next_change(0.0) is None
 
 
-def test_a_feed_without_destinations_left_says_so_and_ends(tmp_path):
+def test_a_feed_counts_skipped_changes_and_ends(tmp_path):
     path = tmp_path / "log"
     path.write_text("")
     plan = feed_plan(per_second=1000.0, seconds=0.05, candidates=(1, 2, 3), min_gap_ms=60_000.0)
@@ -130,7 +129,7 @@
     assert path.read_text().count("\n") == len(feed.changes) == 3
 
 
-def test_a_feed_tells_how_late_it_was(tmp_path, monkeypatch):
+def test_a_feed_records_its_lateness(tmp_path, monkeypatch):
     times = {}
     for name, began, then in (("on time", 0.0, 0.0), ("late", 0.0, 5_000.0)):
         clock = iter([began])
@@ -142,13 +141,13 @@
     assert times["late"][0] == 5_000.0 - times["late"][1]
 
 
-def test_the_schedule_is_the_seed_s_and_of_the_rate(tmp_path):
+def test_the_schedule_is_reproducible_and_has_the_planned_rate(tmp_path):
     feed = ChangeFeed(str(tmp_path / "log"), feed_plan(seconds=200.0))
     assert feed.schedule(0.0) == feed.schedule(0.0)
     assert 850 < len(feed.schedule(0.0)) < 1150
 
 
-def test_a_feed_appends_lines_that_tell_their_revisions(tmp_path):
+def test_a_feed_appends_lines_with_their_revisions(tmp_path):
     path = tmp_path / "log"
     path.write_text('{"form":1,"fleet":"scale"}\n')
     feed = ChangeFeed(str(path), feed_plan(per_second=100.0, seconds=0.3, min_gap_ms=100.0), 7).start()
@@ -174,22 +173,22 @@
     return [pair.latency_ms for pair in propagations(changes, {1: [0]}, updates, **other)]
 
 
-def test_a_change_is_in_force_when_it_or_a_later_one_is_heard():
+def test_a_change_is_in_force_when_it_or_a_later_one_is_received():
     assert latencies([change(1, 0.0), change(2, 50.0)], [received_update(80.0, 2)]) == [80.0, 30.0]
 
 
-def test_a_change_that_nobody_heard_is_never_in_force():
+def test_a_change_that_is_never_received_is_never_in_force():
     assert latencies([change(1, 0.0), change(2, 50.0)], [received_update(30.0, 1)]) == [30.0, None]
 
 
-def test_every_courier_that_holds_the_destination_counts_and_no_other():
+def test_only_subscribers_of_the_destination_count():
     pairs = propagations(
         [change(1, 0.0)], {1: [0, 1], 2: [2]}, [received_update(5.0, 1), received_update(9.0, 1, courier=2)]
     )
     assert [(pair.courier, pair.at) for pair in pairs] == [(0, 5.0), (1, None)]
 
 
-def test_a_leave_that_is_heard_counts_for_the_last_leave_before_it():
+def test_a_received_leave_matches_the_last_leave_before_it():
     changes = [change(1, 0.0, "left"), change(2, 100.0), change(3, 200.0, "left")]
     assert latencies(changes, [received_update(20.0, LEFT), received_update(130.0, 2)]) == [20.0, 30.0, None]
     assert latencies(changes, [received_update(130.0, 2), received_update(230.0, LEFT)]) == [
@@ -199,24 +198,24 @@
     ]
 
 
-def test_what_left_before_any_change_stands_for_no_change():
+def test_a_leave_received_before_any_change_matches_no_change():
     assert latencies([change(1, 100.0, "left")], [received_update(50.0, LEFT)]) == [None]
 
 
-def test_time_counts_from_the_reach_of_a_node_where_that_came_later():
+def test_latency_counts_from_when_a_node_is_reachable_if_later():
     assert latencies([change(1, 0.0)], [received_update(900.0, 1)], reachable_since=lambda *_: 700.0) == [
         200.0
     ]
     assert latencies([change(1, 0.0)], [received_update(30.0, 1)], reachable_since=lambda *_: 700.0) == [30.0]
 
 
-def test_time_counts_from_when_the_change_was_due():
+def test_latency_counts_from_the_scheduled_time_of_the_change():
     late = Change(100.0, 150.0, 1, "e1.0", "active", 1)
     assert latencies([late], [received_update(160.0, 1)]) == [60.0]
     assert latencies([late], [received_update(160.0, 1)], reachable_since=lambda *_: 700.0) == [60.0]
 
 
-def test_the_reach_is_that_of_each_change_at_each_courier():
+def test_reachable_since_is_per_change_and_courier():
     changes = [change(1, 100.0), change(2, 100.0, destination=2)]
     updates = [
         received_update(900.0, 1),
@@ -230,7 +229,7 @@
     assert [pair.latency_ms for pair in pairs] == [300.0, 150.0, 50.0]
 
 
-def test_a_change_counts_at_each_of_its_subscribers_and_what_was_heard_before_it_does_not():
+def test_a_change_counts_at_each_subscriber_and_earlier_updates_do_not():
     changes = [change(1, 100.0), change(2, 200.0, destination=2)]
     updates = [
         received_update(50.0, 0, courier=7),
@@ -248,7 +247,7 @@
     assert (whole["never"], whole["last_courier_p50_s"], whole["last_courier_worst_s"]) == (0, 0.04, 0.07)
 
 
-def test_nothing_heard_gives_no_times():
+def test_without_updates_there_are_no_times():
     changes = [change(1, 1.0)]
     row = last_courier_times(changes, propagations(changes, {1: [4]}, []))
     assert (row["never"], row["last_courier_p50_s"], row["last_courier_p99_s"]) == (1, None, None)
@@ -270,7 +269,7 @@
     ],
 )
 @pytest.mark.parametrize("only_data_path", [False, True])
-def test_what_a_courier_knows_is_compared_with_the_source(known, counts, only_data_path):
+def test_courier_views_are_compared_with_the_source(known, counts, only_data_path):
     expected = frozenset([endpoint("a"), endpoint("b")])
     source = {1: {one.ident: one for one in expected}, 2: {"z": endpoint("z", destination=2)}}
     one = CourierView(0, expected if only_data_path else frozenset(known), frozenset(known))
@@ -279,7 +278,7 @@
     assert differences.none == (counts == (0, 0, 0)) and differences.couriers == 1
 
 
-def test_of_the_source_the_last_line_of_an_endpoint_holds(tmp_path):
+def test_the_last_line_of_an_endpoint_in_the_source_counts(tmp_path):
     path = tmp_path / "log"
     with open(path, "w", encoding="ascii") as file:
         write(file, "scale", ListSize(4, 2), 1)
@@ -311,7 +310,7 @@
     return next(one.value for one in outcome.figures if one.figure == name)
 
 
-def test_couriers_before_a_node_know_what_its_source_has():
+def test_couriers_of_a_node_match_its_source():
     outcome = NodeRun(SMALL, no_progress).run()
     assert outcome.faults == []
     assert [row["couriers"] for row in outcome.rows] == [8, 8, 10, 10, 23, 23]
@@ -325,37 +324,35 @@
 
 
 class DroppingCourier(SimulatedCourier):
-    """Its data path loses the increments of one courier."""
+    """Courier 0 drops all updates after the first answer."""
 
     def on_update(self, places, whole):
-        """Takes the first answer alone."""
+        """Drops later updates of courier 0."""
         if self.number != 0 or self.answered_at is None:
             super().on_update(places, whole)
 
 
 class DroppingFleet(SimulatedFleet):
-    """Couriers of which one loses what it is told."""
+    """A fleet in which courier 0 drops updates."""
 
     courier_class = DroppingCourier
 
 
-def test_a_courier_that_drops_an_increment_is_found():
+def test_a_courier_that_drops_an_incremental_update_is_detected():
     plan = NodePlan(60, (Group("first", 3),), (Load("some", 40.0, 2.0),), 0.0, 4, 500.0, 0.2, 2.0)
     outcome = NodeRun(plan, no_progress, DroppingFleet).run()
     assert any("never came into force" in fault for fault in outcome.faults)
     assert any("other than the source" in fault for fault in outcome.faults)
 
 
-def test_a_feed_that_finds_nothing_to_change_is_a_fault_of_the_run():
-    crowded = NodePlan(20, (Group("one", 1),), (Load("too many", 200.0, 0.5),), 0.0, 4, 60_000.0, 0.1, 30.0)
-    assert any(
-        "found no destination to change" in fault for fault in NodeRun(crowded, no_progress).run().faults
-    )
+def test_skipped_changes_are_a_fault_of_the_run():
+    plan = NodePlan(20, (Group("one", 1),), (Load("too many", 200.0, 0.5),), 0.0, 4, 60_000.0, 0.1, 30.0)
+    assert any("found no destination to change" in fault for fault in NodeRun(plan, no_progress).run().faults)
 
 
 @dataclass
 class LoopbackSetup:
-    """One real node and hollow couriers before it; a change is appended when the test says."""
+    """One real node with simulated couriers; `change` appends a change."""
 
     path: str
     node: nodes.NodeProcess
@@ -365,7 +362,7 @@
     revision: int = 0
 
     def change(self, destination):
-        """The next change, appended to what the node reads."""
+        """Appends a change of the destination to the node's source file and returns it."""
         self.revision += 1
         one = Change(now(), now(), destination, ident_of(destination, 0), "active", self.revision)
         with open(self.path, "a", encoding="ascii") as file:
@@ -373,11 +370,11 @@
         return one
 
     def differences(self):
-        """What couriers know against the source."""
+        """Differences between the couriers' endpoints and the source."""
         return compare(self.couriers.known(), self.sets, read_source(self.path, set(self.subscribers)))
 
     def wait_until_known(self):
-        """The differences that are left once there are none, or after a minute."""
+        """Waits at most a minute until there are no differences; returns the last comparison."""
         until = time.monotonic() + 60.0
         while not (found := self.differences()).none and time.monotonic() < until:
             time.sleep(0.05)
@@ -386,7 +383,7 @@
 
 @contextmanager
 def loopback_setup(folder, destinations, couriers, seed=3):
-    """The stand with all couriers answered."""
+    """A `LoopbackSetup` whose couriers all match the source."""
     path = str(folder / f"list-{destinations}.log")
     with open(path, "w", encoding="ascii") as file:
         write(file, "scale", ListSize(destinations), seed)
@@ -401,8 +398,8 @@
             yield setup
 
 
-def test_what_a_node_was_not_told_is_found_at_each_of_its_subscribers(tmp_path):
-    """The comparison and the record of times see a change that is in no node's source."""
+def test_a_change_missing_at_the_node_is_detected_at_each_subscriber(tmp_path):
+    """The comparison and the propagation times must show a change that is missing in the node's source."""
     with loopback_setup(tmp_path, 300, 12) as setup:
         destination = max(setup.subscribers, key=lambda one: len(setup.subscribers[one]))
         subscribers = setup.subscribers[destination]
@@ -416,26 +413,26 @@
 
 
 @pytest.mark.parametrize("destinations", [300, 3_000])
-def test_a_node_tells_a_change_to_its_subscribers_alone_whatever_it_knows(tmp_path, destinations):
-    """Work by counts: one change at a time, half of them of destinations that nobody holds."""
+def test_a_node_sends_a_change_to_its_subscribers_only(tmp_path, destinations):
+    """Counts the work of one change at a time; half of the destinations have no subscriber."""
     with loopback_setup(tmp_path, destinations, 8) as setup:
-        nobody_s = [one for one in range(destinations) if one not in setup.subscribers][:6]
-        chosen = [*nobody_s, *sorted(setup.subscribers, key=lambda one: -len(setup.subscribers[one]))[:6]]
+        unsubscribed = [one for one in range(destinations) if one not in setup.subscribers][:6]
+        chosen = [*unsubscribed, *sorted(setup.subscribers, key=lambda one: -len(setup.subscribers[one]))[:6]]
         before, expected, changes = setup.node.status()["changes_told"], 0, []
         for destination in chosen:
             changes.append(setup.change(destination))
             expected += len(setup.subscribers.get(destination, ()))
             assert setup.wait_until_known().none
         pairs = propagations(changes, setup.subscribers, setup.couriers.updates())
-        assert len(nobody_s) == 6 and len(pairs) == expected > 6
+        assert len(unsubscribed) == 6 and len(pairs) == expected > 6
         assert all(pair.at is not None for pair in pairs)
         assert setup.node.status()["changes_told"] - before == expected
 
 
-# Shapes by counts of work.
+# Scaling, by counts of work.
 
 
-def test_the_work_of_a_change_does_not_grow_with_the_destinations_known():
+def test_the_work_of_a_change_is_independent_of_the_list_size():
     costs = [node_slopes.change_costs(size, 1, couriers=10) for size in (2_000, 8_000, 32_000)]
     assert {one["leases"] for one in costs} == {1.0}
     assert max(one["rows"] for one in costs) < 1.2 * min(one["rows"] for one in costs)
@@ -465,7 +462,7 @@
     return CliRunner().invoke(main, words)
 
 
-def test_a_run_that_takes_too_much_is_refused_beforehand():
+def test_a_run_over_the_limits_is_refused_before_it_starts():
     result = run("node", "--destinations", "900000000")
     assert result.exit_code == 2 and "refused" in result.output
     assert run("fault", "--couriers", "19990").exit_code == 2
@@ -475,7 +472,7 @@
     assert result.exit_code == 2 and "processes" in result.stderr
 
 
-def test_a_record_comes_back_as_it_was_kept(tmp_path):
+def test_a_saved_record_is_loaded_unchanged(tmp_path):
     record = results.begin("node", {"couriers": [1]}, 5)
     record.figures = [results.Figure("one", "ms", 1.5, 2.0), results.Figure("none", "", None)]
     path = str(tmp_path / "run.json")
@@ -487,7 +484,7 @@
     "faults, late, code, said",
     [([], 10.0, 0, "holds"), (["a fault"], 10.0, 1, "1 faults"), (["a fault"], 300.0, 3, "void")],
 )
-def test_the_verdict_is_the_exit_code_and_stands_in_the_record(tmp_path, capsys, faults, late, code, said):
+def test_the_verdict_sets_the_exit_code_and_is_recorded(tmp_path, capsys, faults, late, code, said):
     record = results.begin("node", {}, 1)
     record.faults = faults
     path = str(tmp_path / "run.json")
@@ -506,7 +503,7 @@
     assert node_run.estimate(SMALL).processes == 3
 
 
-def test_wide_rows_are_shown_upright(monkeypatch):
+def test_wide_rows_are_shown_transposed(monkeypatch):
     from rich.console import Console
 
     out = io.StringIO()
@@ -527,7 +524,7 @@
         ("fault node-killed --destinations 100 --couriers 2", "calicopin.scale.fault_command.FaultRun"),
     ],
 )
-def test_a_node_that_does_not_start_is_told_in_one_line(monkeypatch, words, run):
+def test_a_node_that_does_not_start_is_reported_in_one_line(monkeypatch, words, run):
     class Unstartable:
         def __init__(self, plan, progress):
             pass
