--- a/calicopin/scale/results.py
+++ b/calicopin/scale/results.py
@@ -36,7 +36,7 @@
     over: str
     samples: list[fit.Sample]
     spreads: list[fit.Spread]
-    line: fit.Line | None
+    line: fit.LinearFit | None
 
 
 class Figure(msgspec.Struct, frozen=True):
