--- a/calicopin/scale/measures.py
+++ b/calicopin/scale/measures.py
@@ -121,13 +121,7 @@
 def list_unavailable_destinations(courier: Courier) -> None:
     """Lists the used destinations with endpoints that are not ready, so that messages wait."""
     courier.handle(
-        0.0,
-        [
-            Listed(
-                [Entry(destination, destination, ready=False) for destination in range(USED_DESTINATIONS)],
-                True,
-            )
-        ],
+        0.0, [Listed([Entry(number, number, ready=False) for number in range(USED_DESTINATIONS)], True)]
     )
 
 
