--- a/calicopin/scale/__main__.py
+++ b/calicopin/scale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m calicopin.scale`: scale tests by command, with results as JSON and as a table."""
+"""`python -m calicopin.scale`: one command for each scale test; results as JSON and as a table."""
 
 import time
 
@@ -16,20 +16,28 @@
     sender_count,
     slopes,
 )
-from calicopin.scale.options import MEMORY, OUTPUT, PROCESSES, SEED, Progress, allowed, finish, stop
+from calicopin.scale.options import (
+    MEMORY,
+    OUTPUT,
+    PROCESSES,
+    SEED,
+    Progress,
+    check_limits,
+    exit_with_error,
+    finish,
+)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main():
-    """Scale tests: slopes of the program, and hollow couriers before real discovery nodes.
+    """Scale tests: slopes of the program, and simulated couriers that subscribe to real discovery nodes.
 
     \b
     python -m calicopin.scale slopes --json docs/scale/slopes.json
 
-    A run that would pass half of the machine's memory or a few hundred processes is refused before it
-    begins. All
-    figures are of this machine. Exit codes: 0 done, 1 the run is void or found a fault, 2 refused, 3 the
-    load itself was late.
+    A run that would exceed half of the machine's memory or 300 processes is refused before it starts.
+    All figures apply to this machine. Exit codes: 0 done, 1 the run is void or found a fault, 2 refused,
+    3 the load generator fell behind its schedule.
     """
     logger.remove()
 
@@ -45,12 +53,12 @@
 @PROCESSES
 @OUTPUT
 def slopes_(names, sizes, repeats, seed, memory_mib, processes, path):
-    """What a listed destination, a change, a message and a journal record cost; all measurements, or NAMES.
+    """Cost of a listed destination, a change, a message and a journal record; all measurements, or NAMES.
 
-    The decisions alone, on one core, each size in a process of its own.
+    Runs the decisions alone, on one core, each size in a separate process.
     """
     chosen = [slopes.MEASUREMENTS[name] for name in names or slopes.MEASUREMENTS]
-    allowed(slopes.estimate(chosen, sizes), memory_mib, processes)
+    check_limits(slopes.estimate(chosen, sizes), memory_mib, processes)
     arguments = {"names": [one.name for one in chosen], "sizes": list(sizes), "repeats": repeats}
     run, began = results.begin("slopes", arguments, seed), time.monotonic()
     with Progress() as progress:
@@ -71,15 +79,19 @@
 )
 @click.option("--seconds", type=click.FloatRange(min=1.0), default=60.0, show_default=True)
 @click.option(
-    "--in-answers/--not-in-answers", default=True, show_default=True, help="Whether answers tell the limit."
+    "--in-answers/--not-in-answers", default=True, show_default=True, help="Whether answers report the limit."
 )
 @click.option(
-    "--repeats", type=click.IntRange(1, 1000), default=10, show_default=True, help="Seeds from --seed on."
+    "--repeats",
+    type=click.IntRange(1, 1000),
+    default=10,
+    show_default=True,
+    help="Consecutive seeds, from --seed.",
 )
 @SEED
 @OUTPUT
 def sender_count_(told, senders, limit, offered, seconds, in_answers, repeats, seed, path):
-    """What a told sender count costs where few of so many senders send to one destination; virtual time."""
+    """Cost of an overstated sender count where only some senders use a destination; in virtual time."""
     arguments = {
         "told": list(told),
         "senders": senders,
@@ -92,18 +104,18 @@
     run, began = results.begin("sender-count", arguments, seed), time.monotonic()
     samples = {figure: [] for figure in sender_count.FIGURES}
     with Progress() as progress:
-        for number in told:
-            for one in range(seed, seed + repeats):
-                progress(f"told {number:,}, seed {one}")
-                size = sender_count.SenderCount(
-                    number, senders, limit, offered, seconds, in_answers=in_answers
+        for reported_senders in told:
+            for run_seed in range(seed, seed + repeats):
+                progress(f"told {reported_senders:,}, seed {run_seed}")
+                scenario = sender_count.Scenario(
+                    reported_senders, senders, limit, offered, seconds, in_answers=in_answers
                 )
-                served = sender_count.play(size, one)
+                result = sender_count.simulate(scenario, run_seed)
                 for figure, key in sender_count.FIGURES.items():
-                    samples[figure].append(fit.Sample(number, float(getattr(served, key))))
+                    samples[figure].append(fit.Sample(reported_senders, float(getattr(result, key))))
     unit = "share of the messages offered"
-    for figure, some in samples.items():
-        run.slopes.append(results.slope(figure, unit, "told sender", some, fitted=False))
+    for figure, figure_samples in samples.items():
+        run.slopes.append(results.slope(figure, unit, "told sender", figure_samples, fitted=False))
     finish(run, began, path)
 
 
@@ -118,11 +130,11 @@
 @click.argument("before", type=click.Path(exists=True, dir_okay=False))
 @click.argument("after", type=click.Path(exists=True, dir_okay=False))
 def compare(before, after):
-    """The figures that two records, BEFORE and AFTER, have in common, in one table."""
+    """Print one table of the figures that the records BEFORE and AFTER have in common."""
     try:
-        results.show_both(results.load(before), results.load(after))
+        results.show_comparison(results.load(before), results.load(after))
     except msgspec.DecodeError as fault:
-        stop(f"no record of a run: {fault}")
+        exit_with_error(f"not a valid run record: {fault}")
 
 
 if __name__ == "__main__":
--- a/calicopin/scale/fault_command.py
+++ b/calicopin/scale/fault_command.py
@@ -4,20 +4,20 @@
 
 import click
 
-from calicopin.scale import faults, hollow, results
+from calicopin.scale import faults, results, simulated_couriers
 from calicopin.scale.faults import Fault, FaultPlan, FaultRun
 from calicopin.scale.nodes import NodeError
 from calicopin.scale.options import (
-    LATE_BOUND,
+    LATENESS_BOUND,
     MEMORY,
     OUTPUT,
     PROCESSES,
     SEED,
     Progress,
-    allowed,
+    check_limits,
     end_on_sigterm,
+    exit_with_error,
     finish_load,
-    stop,
 )
 
 
@@ -37,27 +37,26 @@
     help="Seconds that a fault lasts.",
 )
 @SEED
-@LATE_BOUND
+@LATENESS_BOUND
 @MEMORY
 @PROCESSES
 @OUTPUT
 def fault(names, nodes, destinations, couriers, rate, during, seed, late_bound, memory_mib, processes, path):
-    """A node killed, all gone and back, a tenth of the couriers restarted, a half-open node; all of them, or
-    NAMES.
+    """Kill a node, kill and restart all nodes, restart a tenth of the couriers, suspend a node; or NAMES.
 
-    Changes go on meanwhile. Each has to be in force within 12 s of a node's reach, and at the end every
-    courier has to know exactly what the source has; else the exit code is 1. Exit code 3: the run is void,
-    its generator was late.
+    The list keeps changing. Each change must be in force 12 s after a node is reachable, and at the end every
+    courier must know exactly the endpoints of the source; otherwise the exit code is 1. Exit code 3: the run
+    is void because the load generator was late.
     """
     plans = [
         FaultPlan(Fault(name), nodes, destinations, couriers, rate, seed, during=during)
         for name in names or [each.value for each in Fault]
     ]
-    allowed(faults.estimate(plans[0]), memory_mib, processes)
+    check_limits(faults.estimate(plans[0]), memory_mib, processes)
     try:
-        hollow.check_descriptors(couriers)
-    except hollow.DescriptorsError as refusal:
-        stop(str(refusal))
+        simulated_couriers.check_descriptors(couriers)
+    except simulated_couriers.DescriptorsError as refusal:
+        exit_with_error(str(refusal))
     arguments = {
         "names": [plan.fault.value for plan in plans],
         "nodes": nodes,
@@ -67,17 +66,19 @@
         "during_s": during,
         "late_bound_ms": late_bound,
     }
-    run, began, most_late = results.begin("fault", arguments, seed), time.monotonic(), 0.0
+    run, began, max_lateness_ms = results.begin("fault", arguments, seed), time.monotonic(), 0.0
     end_on_sigterm()
     with Progress() as progress:
         for plan in plans:
             try:
                 outcome = FaultRun(plan, progress).run()
             except NodeError as failure:
-                stop(f"{plan.fault}: {failure}")
-            most_late = max(most_late, outcome.most_late)
+                exit_with_error(f"{plan.fault}: {failure}")
+            max_lateness_ms = max(max_lateness_ms, outcome.max_lateness_ms)
             run.faults += [f"{plan.fault}: {line}" for line in outcome.faults]
-            for one in outcome.figures:
-                named = f"{plan.fault}: {one.figure}"
-                run.figures.append(results.Figure(named, one.unit, one.value, one.bound, one.note))
-    finish_load(run, began, path, most_late, late_bound)
+            for measured in outcome.figures:
+                full_name = f"{plan.fault}: {measured.figure}"
+                run.figures.append(
+                    results.Figure(full_name, measured.unit, measured.value, measured.bound, measured.note)
+                )
+    finish_load(run, began, path, max_lateness_ms, late_bound)
--- a/calicopin/scale/faults.py
+++ b/calicopin/scale/faults.py
@@ -1,8 +1,8 @@
-"""Faults of discovery nodes and couriers under a list that goes on changing, and the verdict on each.
+"""Faults of discovery nodes and couriers while the list keeps changing, with a verdict on each.
 
-Real nodes as processes, hollow couriers in one process, changes on a schedule of their own. A change has to
-be in force at each courier within a bound of the time at which a node is within that courier's reach, and at
-the end each courier has to know exactly what the source has.
+Runs real node processes, simulated couriers in one process, and an open-loop feed of changes. A change must
+be in force at each courier within a bound, counted from when the courier can reach a node; at the end each
+courier must know exactly the endpoints of the source.
 """
 
 import os
@@ -15,25 +15,25 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from calicopin.scale import guard, hollow, nodes
-from calicopin.scale.change_feed import LEAST_GAP, Change, ChangeFeed, FeedPlan, now
+from calicopin.scale import guard, nodes, simulated_couriers
+from calicopin.scale.change_feed import MIN_GAP_MS, Change, ChangeFeed, FeedPlan, now
 from calicopin.scale.fit import percentile
 from calicopin.scale.list_source import ListSize, write
 from calicopin.scale.results import Figure
-from calicopin.scale.verdict import Differences, InForce, change_due, compare, in_force, read_source
+from calicopin.scale.verdict import Differences, Propagation, change_due, compare, propagations, read_source
 
 FLEET = "scale"
-BOUND = 12_000.0  # ms from a change to in force at the last courier
-READY_PATIENCE = 300.0  # seconds that nodes have to read the list
-START_PATIENCE = 60.0  # seconds that couriers have for their first answer
-LOOK = 0.2  # seconds between two looks at what was heard
+IN_FORCE_BOUND_MS = 12_000.0  # from a change until it is in force at the last courier
+READY_TIMEOUT_S = 300.0  # for nodes to read the list
+START_TIMEOUT_S = 60.0  # until the couriers' first response
+POLL_INTERVAL_S = 0.2  # of the couriers' updates and figures
 RESTARTED_SHARE = 0.1
-DESTINATION_BYTES = 1_000  # of a node's memory, for the estimate before a run
-COURIER_BYTES = 400_000  # of the hollow process' memory, for the same
+NODE_BYTES_PER_DESTINATION = 1_000  # for the estimate of a run
+SIMULATION_BYTES_PER_COURIER = 400_000  # likewise
 
 
 class Fault(StrEnum):
-    """What is done to the nodes or couriers."""
+    """The injected fault."""
 
     NODE_KILLED = "node-killed"
     ALL_GONE_AND_BACK = "all-gone-and-back"
@@ -43,8 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPlan:
-    """One run. `lead` seconds of changes come before the fault, `during` while it lasts, `after` behind
-    it."""
+    """One run; changes go on for `lead` seconds before, `during` in and `after` seconds after the fault.
+
+    `bound` is in ms.
+    """
 
     fault: Fault
     nodes: int = 4
@@ -55,67 +57,68 @@
     lead: float = 5.0
     during: float = 12.0
     after: float = 8.0
-    bound: float = BOUND
-    endpoints_each: int = 1
-    least_gap: float = LEAST_GAP
-    settle: float = BOUND / 1000.0 + 8.0  # seconds for the last change to be in force
+    bound: float = IN_FORCE_BOUND_MS
+    endpoints_per_destination: int = 1
+    min_gap_ms: float = MIN_GAP_MS
+    settle_timeout: float = IN_FORCE_BOUND_MS / 1000.0 + 8.0  # s, for the last change to be in force
 
 
 @dataclass(slots=True)
 class FaultOutcome:
-    """What was found; `faults` are plain lines, none where all held."""
+    """The measured figures and detected faults; `faults` has one line each."""
 
     figures: list[Figure] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
-    pairs: list[InForce] = field(default_factory=list)
+    pairs: list[Propagation] = field(default_factory=list)
     differences: Differences = field(default_factory=Differences)
-    most_late: float = 0.0
+    max_lateness_ms: float = 0.0
 
     @property
     def holds(self) -> bool:
-        """Whether nothing was found."""
+        """Whether no fault was detected."""
         return not self.faults
 
 
 def estimate(plan: FaultPlan) -> guard.Estimate:
-    """What the run will take."""
-    memory = plan.nodes * (guard.PROCESS + plan.destinations * DESTINATION_BYTES)
-    return guard.Estimate(memory + plan.couriers * COURIER_BYTES + 2 * guard.PROCESS, plan.nodes + 2)
+    """Expected resources of the run."""
+    memory = plan.nodes * (guard.PROCESS_BYTES + plan.destinations * NODE_BYTES_PER_DESTINATION)
+    return guard.Estimate(
+        memory + plan.couriers * SIMULATION_BYTES_PER_COURIER + 2 * guard.PROCESS_BYTES, plan.nodes + 2
+    )
 
 
 class FaultRun:
-    """One run, step by step. `fleet_class` and `programs` are others in tests that show a fault to be
-    found."""
+    """One run, step by step. Tests replace `fleet_class` and `programs` to inject faults."""
 
     def __init__(
         self,
         plan: FaultPlan,
         progress: Callable[[str], None],
-        fleet_class: type[hollow.HollowFleet] = hollow.HollowFleet,
+        fleet_class: type[simulated_couriers.SimulatedFleet] = simulated_couriers.SimulatedFleet,
         programs: Sequence[tuple[str, ...]] = (),
     ):
         self.plan, self.progress, self.fleet_class = plan, progress, fleet_class
         self.programs = [*programs, *[nodes.PROGRAM] * (plan.nodes - len(programs))]
         self.numbers = tuple(range(plan.couriers))
-        self.heard: list[hollow.Heard] = []
-        self.reach: Callable[[Change, int], float] = change_due
+        self.updates: list[simulated_couriers.ReceivedUpdate] = []
+        self.reachable_since: Callable[[Change, int], float] = change_due
         self.outcome = FaultOutcome()
-        self.hollow_late = 0.0  # ms by which the loop of all couriers was behind its timers, at most
+        self.max_loop_lateness_ms = 0.0  # largest timer delay in the event loop of the simulated couriers
 
     def run(self) -> FaultOutcome:
-        """The whole run; its processes and files are gone behind it."""
+        """Executes the run; its processes and files are removed at the end."""
         with tempfile.TemporaryDirectory(prefix="calicopin-scale-") as folder, ExitStack() as stack:
             self._start(folder, stack)
             feed = ChangeFeed(self.path, self._feed_plan())
             stack.callback(feed.stop)
             feed.start()
             self._wait(self.plan.lead)
-            self.progress(f"{self.plan.fault}: the fault")
+            self.progress(f"{self.plan.fault}: injecting the fault")
             getattr(self, "_" + self.plan.fault.replace("-", "_"))()
-            self.progress(f"{self.plan.fault}: changes go on")
+            self.progress(f"{self.plan.fault}: waiting for the last changes")
             feed.join()
-            self._settle(feed)
-            self._judge(feed)
+            self._wait_in_force(feed)
+            self._evaluate(feed)
         return self.outcome
 
     def _start(self, folder: str, stack: ExitStack) -> None:
@@ -123,7 +126,7 @@
         self.path = os.path.join(folder, "list.log")
         self.progress(f"{plan.fault}: {plan.nodes} nodes, {plan.destinations:,} destinations")
         with open(self.path, "w", encoding="ascii") as file:
-            write(file, FLEET, ListSize(plan.destinations, plan.endpoints_each), plan.seed)
+            write(file, FLEET, ListSize(plan.destinations, plan.endpoints_per_destination), plan.seed)
         self.nodes = [
             stack.enter_context(
                 nodes.NodeProcess(f"n{number}", self.path, FLEET, plan.couriers, folder, program)
@@ -131,14 +134,18 @@
             for number, program in enumerate(self.programs)
         ]
         for node in self.nodes:
-            node.wait_ready(READY_PATIENCE)
+            node.wait_ready(READY_TIMEOUT_S)
         addresses = tuple(node.address for node in self.nodes)
-        self.courier_plan = hollow.CourierPlan(
-            FLEET, addresses, plan.destinations, plan.seed, plan.endpoints_each
+        self.courier_plan = simulated_couriers.CourierPlan(
+            FLEET, addresses, plan.destinations, plan.seed, plan.endpoints_per_destination
+        )
+        self.sets = {
+            number: simulated_couriers.destinations_of(number, self.courier_plan) for number in self.numbers
+        }
+        self.subscribers = simulated_couriers.subscribers_of(self.numbers, self.courier_plan)
+        self.couriers = stack.enter_context(
+            simulated_couriers.SimulationProcess(self.courier_plan, self.fleet_class)
         )
-        self.sets = {number: hollow.destinations_of(number, self.courier_plan) for number in self.numbers}
-        self.holders = hollow.subscribers_of(self.numbers, self.courier_plan)
-        self.couriers = stack.enter_context(hollow.HollowProcess(self.courier_plan, self.fleet_class))
         self.progress(f"{plan.fault}: {plan.couriers} couriers start")
         self.couriers.start(self.numbers)
         self._wait_answered(self.numbers)
@@ -149,25 +156,27 @@
         return FeedPlan(
             plan.per_second,
             seconds,
-            tuple(self.holders),
+            tuple(self.subscribers),
             plan.seed,
-            endpoints_each=plan.endpoints_each,
-            least_gap=plan.least_gap,
+            endpoints_per_destination=plan.endpoints_per_destination,
+            min_gap_ms=plan.min_gap_ms,
         )
 
-    # The faults.
+    # Faults.
 
     def _node_killed(self) -> None:
-        """SIGKILL of one node: its couriers spread over the rest."""
-        lost = self.nodes[0]
-        mine = self._couriers_of(lost.address)
-        others = Counter(each.node for each in self._courier_figures().couriers if each.courier not in mine)
+        """Kills one node with SIGKILL; its couriers must spread over the other nodes."""
+        killed = self.nodes[0]
+        affected = self._couriers_of(killed.address)
+        others = Counter(
+            each.node for each in self._courier_figures().couriers if each.courier not in affected
+        )
         began = now()
-        lost.kill()
-        last = self._wait_moved(mine, lost.address)
+        killed.kill()
+        last = self._wait_moved(affected, killed.address)
         self._wait(self.plan.during)
-        spread = Counter(each.node for each in self._courier_figures().couriers if each.courier in mine)
-        self._figure("couriers of the killed node", "couriers", len(mine))
+        spread = Counter(each.node for each in self._courier_figures().couriers if each.courier in affected)
+        self._figure("couriers of the killed node", "couriers", len(affected))
         self._figure(
             "until the last of them asked another node and was answered", "s", (last - began) / 1000.0
         )
@@ -178,21 +187,20 @@
         self._figure("couriers of the rest before", "couriers", sum(before), note=f"each: {before}")
 
     def _all_gone_and_back(self) -> None:
-        """SIGKILL of all nodes; after a while all are back on the same addresses.
+        """Kills all nodes with SIGKILL; later starts all of them on the same addresses.
 
-        A node's reach begins with the start of their processes: the time that they take to read the list
-        counts.
+        Nodes count as reachable from the start of their processes, so the time to read the list is included.
         """
         began = now()
         for node in self.nodes:
             node.kill()
         self._wait(self.plan.during)
         back = now()
-        self.reach = lambda change, _: back if change.due >= began - self.plan.bound else change.due
+        self.reachable_since = lambda change, _: back if change.due >= began - self.plan.bound else change.due
         for node in self.nodes:
             node.start()
         for node in self.nodes:
-            node.wait_ready(READY_PATIENCE)
+            node.wait_ready(READY_TIMEOUT_S)
         ready = now()
         last = self._wait_leases(len(self.numbers))
         self._figure("time without a node's process", "s", (back - began) / 1000.0)
@@ -200,16 +208,16 @@
         self._figure("until the last courier had a lease again, from then", "s", (last - ready) / 1000.0)
 
     def _restart_tenth(self) -> None:
-        """A tenth of the couriers ends without a word and starts with nothing, at once."""
+        """Restarts a tenth of the couriers at once, without notifying the nodes and without stored state."""
         count = max(1, round(len(self.numbers) * RESTARTED_SHARE))
         chosen = random.Random(f"restart/{self.plan.seed}").sample(self.numbers, count)
         before = {node.name: node.status()["cpu_seconds"] for node in self.nodes}
         began = now()
-        self.couriers.retire(chosen)
+        self.couriers.stop(chosen)
         self.couriers.start(chosen)
         last = self._wait_answered(chosen)
         restarted = set(chosen)
-        self.reach = lambda change, courier: began if courier in restarted else change.due
+        self.reachable_since = lambda change, courier: began if courier in restarted else change.due
         cpu = sum(node.status()["cpu_seconds"] - before[node.name] for node in self.nodes)
         self._figure("couriers restarted at once", "couriers", count)
         self._figure("until the last of them was answered", "s", (last - began) / 1000.0)
@@ -217,45 +225,46 @@
         self._wait(self.plan.during)
 
     def _half_open(self) -> None:
-        """SIGSTOP of one node: its connections stay open and nothing comes; later SIGCONT."""
-        stopped = self.nodes[0]
-        mine = self._couriers_of(stopped.address)
+        """Suspends one node with SIGSTOP, later resumes it: its connections stay open without responses."""
+        suspended = self.nodes[0]
+        affected = self._couriers_of(suspended.address)
         began = now()
-        stopped.stop()
-        last = self._wait_moved(mine, stopped.address)
+        suspended.suspend()
+        last = self._wait_moved(affected, suspended.address)
         self._wait(self.plan.during)
-        stopped.go_on()
-        self._figure("couriers of the stopped node", "couriers", len(mine))
+        suspended.resume()
+        self._figure("couriers of the stopped node", "couriers", len(affected))
         self._figure("until the last of them was answered by another", "s", (last - began) / 1000.0)
 
     # Waiting.
 
-    def _courier_figures(self) -> hollow.ProcessFigures:
+    def _courier_figures(self) -> simulated_couriers.ProcessFigures:
         figures = self.couriers.figures()
-        self.hollow_late = max(self.hollow_late, figures.lateness_ms)
+        self.max_loop_lateness_ms = max(self.max_loop_lateness_ms, figures.lateness_ms)
         return figures
 
     def _wait(self, seconds: float) -> None:
         time.sleep(seconds)
-        self.heard += self.couriers.heard()
+        self.updates += self.couriers.updates()
 
     def _couriers_of(self, address: str) -> frozenset[int]:
         return frozenset(each.courier for each in self._courier_figures().couriers if each.node == address)
 
     def _wait_answered(self, numbers: Sequence[int]) -> float:
-        """When the last of these couriers had its first answer."""
-        wanted, until = set(numbers), time.monotonic() + START_PATIENCE
+        """Waits for the first response to each courier; returns the time of the last one (ms)."""
+        wanted, until = set(numbers), time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
-            told = [each for each in self._courier_figures().couriers if each.courier in wanted]
-            if all(each.answered_at is not None for each in told):
-                return max(each.answered_at for each in told)
-            time.sleep(LOOK)
-        self.outcome.faults.append(f"not every courier was answered within {START_PATIENCE:g} s of its start")
+            started = [each for each in self._courier_figures().couriers if each.courier in wanted]
+            if all(each.answered_at is not None for each in started):
+                return max(each.answered_at for each in started)
+            time.sleep(POLL_INTERVAL_S)
+        self.outcome.faults.append(
+            f"not every courier was answered within {START_TIMEOUT_S:g} s of its start"
+        )
         return now()
 
     def _wait_moved(self, numbers: frozenset[int], address: str) -> float:
-        """When the last of these couriers was answered by another node; to within the time between two
-        looks."""
+        """Waits until these couriers use other nodes; returns the time, to within `POLL_INTERVAL_S`."""
         if not numbers:
             return now()
         return self._wait_for(
@@ -264,56 +273,56 @@
         )
 
     def _wait_leases(self, leases: int) -> float:
-        """When the nodes held so many leases, all together."""
-        until = time.monotonic() + START_PATIENCE
+        """Waits until the nodes hold this many leases in total; returns the time (ms)."""
+        until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
             if sum(node.status()["leases"] for node in self.nodes) >= leases:
                 return now()
-            time.sleep(LOOK)
+            time.sleep(POLL_INTERVAL_S)
         self.outcome.faults.append(
-            f"not every courier had a lease within {START_PATIENCE:g} s of the nodes' return"
+            f"not every courier had a lease within {START_TIMEOUT_S:g} s of the nodes' return"
         )
         return now()
 
-    def _wait_for(self, done: Callable[[hollow.CourierFigures], bool], why: str) -> float:
-        until = time.monotonic() + START_PATIENCE
+    def _wait_for(self, done: Callable[[simulated_couriers.CourierFigures], bool], why: str) -> float:
+        until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
             figures = self._courier_figures()
             if all(done(each) for each in figures.couriers):
                 return figures.at
-            time.sleep(LOOK)
-        self.outcome.faults.append(f"{why} within {START_PATIENCE:g} s")
+            time.sleep(POLL_INTERVAL_S)
+        self.outcome.faults.append(f"{why} within {START_TIMEOUT_S:g} s")
         return now()
 
     # The verdict.
 
-    def _settle(self, feed: ChangeFeed) -> None:
-        """Until all is in force and every courier knows what the source has, or the time for it is up."""
-        until = time.monotonic() + self.plan.settle
-        source = read_source(self.path, set(self.holders))
+    def _wait_in_force(self, feed: ChangeFeed) -> None:
+        """Waits until all changes are in force and every courier matches the source, or the time-out."""
+        until = time.monotonic() + self.plan.settle_timeout
+        source = read_source(self.path, set(self.subscribers))
         while True:
-            time.sleep(LOOK)
-            self.heard += self.couriers.heard()
-            pairs = in_force(feed.changes, self.holders, self.heard, self.reach)
+            time.sleep(POLL_INTERVAL_S)
+            self.updates += self.couriers.updates()
+            pairs = propagations(feed.changes, self.subscribers, self.updates, self.reachable_since)
             known = compare(self.couriers.known(), self.sets, source)
             if time.monotonic() >= until or (known.none and all(pair.at is not None for pair in pairs)):
                 self.outcome.pairs, self.outcome.differences = pairs, known
                 return
 
-    def _judge(self, feed: ChangeFeed) -> None:
+    def _evaluate(self, feed: ChangeFeed) -> None:
         out, pairs = self.outcome, self.outcome.pairs
-        out.most_late = feed.most_late
+        out.max_lateness_ms = feed.max_lateness_ms
         never = [pair for pair in pairs if pair.at is None]
-        took = [pair.took for pair in pairs if pair.at is not None]
-        late = [one for one in took if one > self.plan.bound]
+        latencies = [pair.latency_ms for pair in pairs if pair.at is not None]
+        over_bound = [latency for latency in latencies if latency > self.plan.bound]
         self._figure("changes", "changes", len(feed.changes), note=f"{feed.skipped} skipped")
         self._figure("changes at couriers that use their destination", "pairs", len(pairs))
         for name, share in (("p50", 0.5), ("p99", 0.99), ("worst", 1.0)):
-            value = percentile(took, share) / 1000.0 if took else None
+            value = percentile(latencies, share) / 1000.0 if latencies else None
             self._figure(f"in force after a node's reach, {name}", "s", value, self.plan.bound / 1000.0)
         self._figure("never in force", "pairs", len(never), 0.0)
         known = out.differences
-        self._figure("the couriers' own loop, at most late", "ms", self.hollow_late)
+        self._figure("the couriers' own loop, at most late", "ms", self.max_loop_lateness_ms)
         self._figure("couriers compared with the source", "couriers", known.couriers)
         self._figure("endpoints missing at the end", "endpoints", known.missing, 0.0)
         self._figure("endpoints known that have left", "endpoints", known.left_but_known, 0.0)
@@ -323,8 +332,8 @@
         if never:
             example = f"{never[0].change.ident} at courier {never[0].courier}"
             out.faults.append(f"{len(never)} changes never came into force, as {example}")
-        if late:
-            out.faults.append(f"{len(late)} changes took over {self.plan.bound / 1000.0:g} s")
+        if over_bound:
+            out.faults.append(f"{len(over_bound)} changes took over {self.plan.bound / 1000.0:g} s")
         if not known.none:
             out.faults.append(
                 "couriers know what the source has not, or lack it: " + "; ".join(known.examples)
--- a/calicopin/scale/list_agent.py
+++ b/calicopin/scale/list_agent.py
@@ -1,6 +1,6 @@
-"""A stand-in for the platform's agent: tells the whole list and its changes to couriers that hold all of it.
+"""Stub of the platform's agent: serves the whole list and its changes to couriers that hold all of it.
 
-The exchange is `GET /api/targets?index=VERSION&wait=MILLISECONDS`, answered with `full`, `version` and
+The protocol is `GET /api/targets?index=VERSION&wait=MILLISECONDS`, answered with `full`, `version` and
 `servers`.
 """
 
@@ -12,64 +12,64 @@
 
 
 @dataclass(slots=True)
-class Traffic:
-    """Bytes of requests and answers, with their heads."""
+class ByteCounts:
+    """Bytes of requests and responses, including headers."""
 
     received: int = 0
     sent: int = 0
 
 
 class ListAgent(http.server.ThreadingHTTPServer):
-    """Listens on a loopback port of its own; `entries` are the list's own form, by endpoint."""
+    """Listens on a free loopback port; `entries` holds the list's entries by endpoint id."""
 
     daemon_threads = True
 
     def __init__(self, entries: dict[str, dict]):
-        super().__init__(("127.0.0.1", 0), _Exchange)
-        self.entries, self.changes, self.news = entries, [], threading.Condition()
-        self.traffic = Traffic()
+        super().__init__(("127.0.0.1", 0), _RequestHandler)
+        self.entries, self.changes, self.change_condition = entries, [], threading.Condition()
+        self.byte_counts = ByteCounts()
         threading.Thread(target=self.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
 
     @property
     def address(self) -> str:
-        """As couriers ask it."""
+        """Host and port for the couriers' settings."""
         return f"127.0.0.1:{self.server_address[1]}"
 
     def change(self, entry: dict) -> None:
-        """One entry is new, or not as before."""
-        with self.news:
+        """Adds or replaces one entry and wakes the waiting requests."""
+        with self.change_condition:
             self.entries[entry["id"]] = entry
             self.changes.append(entry)
-            self.news.notify_all()
+            self.change_condition.notify_all()
 
     def answer(self, index: int | None, wait: float) -> dict:
-        """What a courier is told that has version `index`, after at most `wait` seconds without news."""
-        with self.news:
+        """The response for a courier at version `index`; waits at most `wait` seconds for a change."""
+        with self.change_condition:
             if index is not None:
-                self.news.wait_for(lambda: len(self.changes) > index, wait)
+                self.change_condition.wait_for(lambda: len(self.changes) > index, wait)
             servers = list(self.entries.values()) if index is None else self.changes[index:]
             return {"full": index is None, "version": len(self.changes), "servers": servers}
 
     def close(self) -> None:
-        """Ends it."""
+        """Stops the server."""
         self.shutdown()
         self.server_close()
 
     def handle_error(self, *_):
-        """A connection that broke: the courier has ended."""
+        """Ignores broken connections: a courier process was killed."""
 
 
-class _Exchange(http.server.BaseHTTPRequestHandler):
+class _RequestHandler(http.server.BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def do_GET(self):
         query = parse_qs(urlsplit(self.path).query)
         index = int(query["index"][0]) if "index" in query else None
-        told = self.server.answer(index, float(query.get("wait", ["0"])[0]) / 1000.0)
-        body = json.dumps(told, separators=(",", ":")).encode()
+        response = self.server.answer(index, float(query.get("wait", ["0"])[0]) / 1000.0)
+        body = json.dumps(response, separators=(",", ":")).encode()
         head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
-        self.server.traffic.received += len(self.raw_requestline) + len(bytes(self.headers))
-        self.server.traffic.sent += len(head) + len(body)
+        self.server.byte_counts.received += len(self.raw_requestline) + len(bytes(self.headers))
+        self.server.byte_counts.sent += len(head) + len(body)
         self.wfile.write(head.encode() + body)
 
     def log_message(self, *_):
--- a/tests/test_scale_faults.py
+++ b/tests/test_scale_faults.py
@@ -1,5 +1,4 @@
-"""Faults of nodes and couriers in small: real nodes and subscribers on loopback, with a verdict. No clock is
-asserted."""
+"""Small runs of node and courier faults with real nodes on loopback. No test asserts times."""
 
 import json
 import os
@@ -12,8 +11,8 @@
 import pytest
 
 from calicopin.scale.faults import Fault, FaultPlan, FaultRun, estimate
-from calicopin.scale.hollow import HollowCourier, HollowFleet
 from calicopin.scale.nodes import ROOT
+from calicopin.scale.simulated_couriers import SimulatedCourier, SimulatedFleet
 
 SMALL = FaultPlan(
     Fault.NODE_KILLED,
@@ -26,9 +25,9 @@
     during=1.0,
     after=1.0,
     bound=float("inf"),
-    endpoints_each=2,
-    least_gap=1500.0,
-    settle=60.0,
+    endpoints_per_destination=2,
+    min_gap_ms=1500.0,
+    settle_timeout=60.0,
 )
 
 LOSING_NODE = """
@@ -47,8 +46,8 @@
 """
 
 
-def quiet(_):
-    """A progress line that nobody reads."""
+def no_progress(_):
+    """Discards progress lines."""
 
 
 def figure(outcome, name):
@@ -56,8 +55,8 @@
 
 
 @pytest.mark.parametrize("fault", list(Fault))
-def test_after_a_fault_every_courier_knows_what_the_source_has(fault):
-    outcome = FaultRun(replace(SMALL, fault=fault), quiet).run()
+def test_after_a_fault_every_courier_matches_the_source(fault):
+    outcome = FaultRun(replace(SMALL, fault=fault), no_progress).run()
     assert outcome.faults == [] and outcome.holds
     assert outcome.differences.couriers == 12 and outcome.differences.none
     assert len(outcome.pairs) > 50 and all(pair.at is not None for pair in outcome.pairs)
@@ -65,8 +64,8 @@
     assert figure(outcome, "never in force") == 0
 
 
-def test_the_couriers_of_a_killed_node_are_all_at_the_rest():
-    outcome = FaultRun(SMALL, quiet).run()
+def test_all_couriers_of_a_killed_node_move_to_other_nodes():
+    outcome = FaultRun(SMALL, no_progress).run()
     lost, before = (
         figure(outcome, "couriers of the killed node"),
         figure(outcome, "couriers of the rest before"),
@@ -74,21 +73,20 @@
     assert lost + before == 12 and outcome.holds
 
 
-def test_a_fault_of_a_node_meets_couriers_of_it_and_leaves_none_there():
-    """That one were left there is a fault of the run, so that it does not hold."""
-    plan = replace(SMALL, couriers=60)  # of three nodes, each has some
-    killed = FaultRun(plan, quiet).run()
+def test_a_node_fault_affects_its_couriers_and_all_of_them_move():
+    """A courier that stays at the failed node is a fault of the run, so `holds` would be false."""
+    plan = replace(SMALL, couriers=60)  # enough that each of the three nodes has some
+    killed = FaultRun(plan, no_progress).run()
     lost = figure(killed, "couriers of the killed node")
     most = next(one for one in killed.figures if one.figure == "most of them at one of the rest")
     assert killed.holds and lost > 0
     assert sum(json.loads(most.note.removeprefix("all: "))) == lost
-    stopped = FaultRun(replace(plan, fault=Fault.HALF_OPEN), quiet).run()
-    assert stopped.holds and figure(stopped, "couriers of the stopped node") > 0
+    suspended = FaultRun(replace(plan, fault=Fault.HALF_OPEN), no_progress).run()
+    assert suspended.holds and figure(suspended, "couriers of the stopped node") > 0
 
 
-class ForgettingCourier(HollowCourier):
-    """Its subscription keeps what has left and loses a change: one courier's answers lose their first
-    entry."""
+class ForgettingCourier(SimulatedCourier):
+    """Courier 0 drops the first entry of each incremental answer, so that it misses changes and leaves."""
 
     def __init__(self, loop, number, *others):
         super().__init__(loop, number, *others)
@@ -99,41 +97,41 @@
             )
 
 
-class ForgettingFleet(HollowFleet):
-    """Couriers of which one loses what an increment tells."""
+class ForgettingFleet(SimulatedFleet):
+    """A fleet in which courier 0 loses incremental updates."""
 
     courier_class = ForgettingCourier
 
 
-def test_a_courier_that_drops_an_increment_is_found():
-    plan = replace(SMALL, fault=Fault.RESTART_TENTH, per_second=60.0, settle=2.0)
-    outcome = FaultRun(plan, quiet, ForgettingFleet).run()
+def test_a_courier_that_drops_an_incremental_update_is_detected():
+    plan = replace(SMALL, fault=Fault.RESTART_TENTH, per_second=60.0, settle_timeout=2.0)
+    outcome = FaultRun(plan, no_progress, ForgettingFleet).run()
     assert not outcome.holds and not outcome.differences.none
     assert outcome.differences.missing > 0
 
 
-def test_a_node_that_loses_a_change_is_found():
+def test_a_node_that_loses_a_change_is_detected():
     losing = (sys.executable, "-c", LOSING_NODE)
-    plan = replace(SMALL, fault=Fault.HALF_OPEN, nodes=2, per_second=30.0, settle=2.0)
-    outcome = FaultRun(plan, quiet, programs=(losing, losing)).run()
+    plan = replace(SMALL, fault=Fault.HALF_OPEN, nodes=2, per_second=30.0, settle_timeout=2.0)
+    outcome = FaultRun(plan, no_progress, programs=(losing, losing)).run()
     assert not outcome.holds
     assert any("never came into force" in line for line in outcome.faults)
     assert not outcome.differences.none
 
 
-def test_a_change_that_takes_too_long_is_found():
-    outcome = FaultRun(replace(SMALL, bound=0.0), quiet).run()
+def test_a_change_over_the_time_bound_is_detected():
+    outcome = FaultRun(replace(SMALL, bound=0.0), no_progress).run()
     assert any("took over" in line for line in outcome.faults)
 
 
-def test_the_estimate_grows_with_what_is_asked_for():
+def test_the_estimate_grows_with_couriers_and_nodes():
     assert estimate(replace(SMALL, couriers=2000)).memory > estimate(SMALL).memory
     assert estimate(replace(SMALL, nodes=9)).processes == 11
 
 
-def test_a_run_that_is_ended_leaves_no_process_and_no_file(tmp_path):
-    words = ["fault", "node-killed", "--nodes", "2", "--destinations", "100", "--couriers", "2"]
-    command = [sys.executable, "-m", "calicopin.scale", *words]
+def test_a_run_ended_by_sigterm_leaves_no_process_and_no_file(tmp_path):
+    arguments = ["fault", "node-killed", "--nodes", "2", "--destinations", "100", "--couriers", "2"]
+    command = [sys.executable, "-m", "calicopin.scale", *arguments]
     environment = {**os.environ, "TMPDIR": str(tmp_path)}
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True, env=environment, cwd=ROOT)
     while "couriers start" not in process.stderr.readline():
@@ -145,13 +143,13 @@
     assert process.wait(60) == 128 + signal.SIGTERM
     process.stderr.close()
     assert not any(command_of(pid) for pid in nodes)
-    while any(command_of(pid) for pid in started):  # the pool's own tracker ends once its parent has
+    while any(command_of(pid) for pid in started):  # the resource tracker ends after its parent
         time.sleep(0.05)
     assert not os.listdir(tmp_path)
 
 
 def command_of(pid):
-    """A process's command line; empty of one that has ended."""
+    """The command line of a process; empty if it has ended."""
     try:
         with open(f"/proc/{pid}/cmdline", encoding="utf-8") as file:
             return file.read()
@@ -160,7 +158,7 @@
 
 
 def children(pid):
-    """The processes that a process started."""
+    """The ids of the child processes of `pid`."""
     found = []
     for entry in os.listdir("/proc"):
         try:
