--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -77,7 +77,7 @@
         environ.get(name, "") for name in ("LB_ADMIN_ADDR", "LB_PASSED_SOCKET", "TMPDIR")
     )
     if path.endswith(".toml"):  # imported only here: a courier on the platform doesn't need it
-        from calicopin.configuration.posting import platform_form
+        from calicopin.configuration.startup import platform_form
 
         configuration, sheet = platform_form(path, environ)
         environ = {}
@@ -229,7 +229,7 @@
         if fetch_all:
             runtime.await_first_list(discovery)
     else:
-        from calicopin.configuration.posting import lister
+        from calicopin.configuration.startup import lister
 
         runtime.current = True
         discovery = (
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -7,8 +7,8 @@
 from helper import Clock, Rebooted, client, free_address, spin
 
 from calicopin.configuration import partners
-from calicopin.configuration.posting import lister
 from calicopin.configuration.read import read
+from calicopin.configuration.startup import lister
 from calicopin.lifecycle.renewal import Renewal
 from calicopin.lifecycle.start import posted
 from calicopin.wire.listfile import LOOK, ListFile
