--- a/calicopin/lifecycle/subscribed.py
+++ b/calicopin/lifecycle/subscribed.py
@@ -111,10 +111,10 @@
         expected.
         """
         try:
-            standing = self.subscriber.use(destination)
+            destination_state = self.subscriber.use(destination)
         except InterestFullError:
             return None
-        if standing is not Standing.WAITING:
+        if destination_state is not Standing.WAITING:
             return None
         event = FirstAnswer(self.loop)
         self.pending[event] = destination
--- a/calicopin/subscription/session.py
+++ b/calicopin/subscription/session.py
@@ -32,19 +32,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """The next request; `index` is the version in its query (None: omitted). `prompt`: the node answers it
+class OutgoingRequest:
+    """The next request; `index` is the version in its query (None: omitted). `answered_immediately`: the node answers it
     without waiting. `released` are the unsubscribed destinations that were forgotten with it."""
 
     node: str
     request: SubscribeRequest
     index: int | None
-    prompt: bool
+    answered_immediately: bool
     released: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class AnswerContent:
     """The content of an answer. If `whole`, `places` is everything that the session knows of its set and is
     never empty. Otherwise it has all endpoints of the destinations in `confirmed` and, marked `left`, those
     that have left. Destinations in `unknown` do not exist."""
@@ -95,7 +95,7 @@
         self._owner: dict[str, int] = {}  # the destination of each known endpoint
         self._confirmed: set[int] = set()  # by an answer, not only from a snapshot
         self._lease: _Lease | None = None
-        self._outstanding: Ask | None = None  # the request sent last
+        self._outstanding: OutgoingRequest | None = None  # the request sent last
         for destination, places in (restored or {}).items():
             self._wanted[destination] = None
             if known := {place.ident: place for place in places}:
@@ -124,11 +124,11 @@
             if destination in lease.node_destinations:
                 lease.to_unsubscribe[destination] = None
 
-    def wants(self, destination: int) -> bool:
+    def is_subscribed(self, destination: int) -> bool:
         """Whether the destination is in the set."""
         return destination in self._wanted
 
-    def standing(self, destination: int) -> Standing:
+    def destination_state(self, destination: int) -> Standing:
         """What is known about the destination; one known only from a snapshot counts as KNOWN."""
         if destination in self._known:
             return Standing.KNOWN
@@ -138,7 +138,7 @@
         """Whether an answer has covered the destination since it was subscribed."""
         return destination in self._confirmed
 
-    def known(self) -> dict[int, list[Place]]:
+    def known_endpoints(self) -> dict[int, list[Place]]:
         """The endpoints of each subscribed destination that has any."""
         return {
             destination: list(places.values())
@@ -152,7 +152,7 @@
         return self._lease.version if self._lease else None
 
     @property
-    def pressing(self) -> bool:
+    def has_unsent_subscriptions(self) -> bool:
         """Whether a destination was added that no request has included yet."""
         return bool(self._lease and self._lease.to_subscribe)
 
@@ -165,12 +165,12 @@
             min(wait_ms, MAX_WAIT_LEASE_FRACTION * lease.lease_ms) if lease and lease.address == node else 0.0
         )
 
-    def next(self, node: str) -> Ask:
+    def next(self, node: str) -> OutgoingRequest:
         """The next request to the node, under the lease held there, or for a new lease."""
         lease = self._lease
         if lease is None or lease.address != node:
             request = SubscribeRequest(self.fleet, self.courier, subscribe=tuple(self._wanted))
-            self._outstanding = Ask(node, request, None, prompt=True)
+            self._outstanding = OutgoingRequest(node, request, None, answered_immediately=True)
             return self._outstanding
         released = ()
         if lease.pending_change is None:
@@ -179,7 +179,9 @@
         request = SubscribeRequest(
             self.fleet, self.courier, lease.name, change.sequence, change.subscribe, change.unsubscribe
         )
-        self._outstanding = Ask(node, request, lease.version, lease.pending_change is not None, released)
+        self._outstanding = OutgoingRequest(
+            node, request, lease.version, lease.pending_change is not None, released
+        )
         return self._outstanding
 
     def _collect_changes(self, lease: _Lease) -> tuple[int, ...]:
@@ -207,13 +209,13 @@
             if self._owner.get(ident) == destination:
                 del self._owner[ident]
 
-    def answered(self, answer: SubscribeAnswer, places: list[Place]) -> News:
+    def answered(self, answer: SubscribeAnswer, places: list[Place]) -> AnswerContent:
         """Processes the answer to the last request; `places` are its decoded entries. Raises MessageError if
         the answer is inconsistent; the lease is then abandoned and the known state kept."""
         try:
             self._check(answer, places)
         except MessageError:
-            self.abandon()
+            self.drop_lease()
             raise
         grant, lease = answer.grant, self._lease
         if self._outstanding.request.lease is None:
@@ -247,7 +249,9 @@
         if lease.pending_change:
             lease.sequence, lease.pending_change = lease.pending_change.sequence, None
 
-    def _learn(self, answer: SubscribeAnswer, places: list[Place], released: tuple[int, ...]) -> News:
+    def _learn(
+        self, answer: SubscribeAnswer, places: list[Place], released: tuple[int, ...]
+    ) -> AnswerContent:
         """Updates the known state; endpoints of a complete destination that the answer lacks have left."""
         node_destinations = self._lease.node_destinations
         complete = tuple(
@@ -268,9 +272,9 @@
             [place for known in self._known.values() for place in known.values()] if answer.full else ()
         )
         if everything:
-            return News(True, everything, complete, unknown, released)
+            return AnswerContent(True, everything, complete, unknown, released)
         left = [replace(place, ready=False, left=True) for place in before if place.ident not in self._owner]
-        return News(False, left + current, complete, unknown, released)
+        return AnswerContent(False, left + current, complete, unknown, released)
 
     def _remove(self, destinations: tuple[int, ...]) -> list[Place]:
         """Removes the endpoints known of the destinations, and returns them."""
@@ -293,10 +297,10 @@
         """Processes a refusal. Returns whether to ask the same node for a new lease at once."""
         renewal = self._outstanding.request.lease is not None
         if renewal and refusal.reason in (Reason.LEASE_OVER, Reason.UNREADABLE, Reason.TOO_LARGE):
-            self.abandon()
+            self.drop_lease()
         return renewal and refusal.reason is Reason.LEASE_OVER
 
-    def abandon(self) -> None:
+    def drop_lease(self) -> None:
         """Drops the lease: the next request asks for a new one. The known state is kept."""
         if self._lease is not None and self._lease.address == self._outstanding.node:
             self._lease = None
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -23,7 +23,7 @@
     encode_request,
 )
 from calicopin.subscription.nodes import NodeChoice
-from calicopin.subscription.session import Ask, News, Session, Standing
+from calicopin.subscription.session import AnswerContent, OutgoingRequest, Session, Standing
 from calicopin.wire.agent import Agent
 from calicopin.wire.discovery import read
 from calicopin.wire.http import TOO_LONG
@@ -112,7 +112,7 @@
     def use(self, destination: int) -> Standing:
         """Notes a use and subscribes if needed; raises InterestFullError at the limit of destinations."""
         self._note_use(destination, self.loop.now())
-        return self.session.standing(destination)
+        return self.session.destination_state(destination)
 
     def _note_use(self, destination: int, now: float) -> None:
         use = self.interest.use(destination, now)
@@ -125,7 +125,7 @@
     def settled(self, destination: int, event) -> None:
         """Sets the event, or appends True to the list, once the first answer for the destination has come
         or it was unsubscribed from."""
-        if self.session.wants(destination) and not self.session.confirmed(destination):
+        if self.session.is_subscribed(destination) and not self.session.confirmed(destination):
             self._settled.setdefault(destination, []).append(event)
         else:
             _notify(event)
@@ -138,7 +138,7 @@
 
     def subscribed(self) -> dict[int, list[Place]]:
         """The destinations and their known endpoints, for a snapshot."""
-        return self.session.known()
+        return self.session.known_endpoints()
 
     @property
     def version(self) -> int | None:
@@ -180,11 +180,11 @@
             if turn.node != self.address:
                 self.hang_up()
                 self.address = turn.node
-            if self.session.pressing and self._next_batch_at > self.loop.now():
+            if self.session.has_unsent_subscriptions and self._next_batch_at > self.loop.now():
                 yield Until(self._next_batch_at)
             began = self.loop.now()
             immediately = yield from self._call()
-            if not (immediately or self.session.pressing) and began + AGAIN > self.loop.now():
+            if not (immediately or self.session.has_unsent_subscriptions) and began + AGAIN > self.loop.now():
                 yield Until(began + AGAIN, event=self._wake)
 
     def _call(self):
@@ -204,7 +204,7 @@
         self._fail(end)
         return False
 
-    def _exchange(self, ask: Ask, wait: float):
+    def _exchange(self, ask: OutgoingRequest, wait: float):
         """The `Reply` or the `End` of one request. A reused connection may have been closed by the node
         meanwhile: then the request is sent once more on a new one."""
         reused = self.line is not None
@@ -214,7 +214,7 @@
             end = yield from self._attempt(ask, wait)
         return end
 
-    def _attempt(self, ask: Ask, wait: float):
+    def _attempt(self, ask: OutgoingRequest, wait: float):
         line = yield from self.connect(self.loop.now() + CONNECT)
         if not line:
             return End.UNCONNECTED
@@ -224,21 +224,23 @@
         done = yield from line.write(data, until)
         self._sent += done
         if done == len(data):
-            if not ask.prompt and (yield from self._await_answer(line, until)):
+            if not ask.answered_immediately and (yield from self._await_answer(line, until)):
                 return End.INTERRUPTED
             if (reply := (yield from self._read(line, until))) is not None:
                 return reply
         return End.BROKEN if self.loop.now() < until else End.SILENT
 
-    def _answer_timeout(self, ask: Ask, wait: float) -> float:
+    def _answer_timeout(self, ask: OutgoingRequest, wait: float) -> float:
         """The time-out for an answer in ms."""
-        return (PROMPT if ask.prompt else wait + SILENCE) + PER_DESTINATION_MS * len(self.interest)
+        return (PROMPT if ask.answered_immediately else wait + SILENCE) + PER_DESTINATION_MS * len(
+            self.interest
+        )
 
-    def _encode(self, ask: Ask, wait: float):
+    def _encode(self, ask: OutgoingRequest, wait: float):
         """The head and the body of a request."""
         body, target = encode_request(ask.request), "/api/targets"
         if ask.index is not None:
-            target = f"{target}?index={ask.index}&wait={0.0 if ask.prompt else wait:.0f}"
+            target = f"{target}?index={ask.index}&wait={0.0 if ask.answered_immediately else wait:.0f}"
         headers = [
             ("Host", self.address),
             ("Content-Type", "application/json"),
@@ -249,7 +251,7 @@
     def _await_answer(self, line, until: float):
         """Waits for the answer to begin; returns whether a new subscription came first."""
         while line.quiet():
-            if self.session.pressing:
+            if self.session.has_unsent_subscriptions:
                 return True
             if not (yield Until(until, line.sock.fileno(), READ, self._wake)):
                 return False
@@ -274,7 +276,7 @@
         try:
             news = self._decode(reply) if reply.status == 200 else _refusal(reply)
         except ValueError as fault:
-            self.session.abandon()
+            self.session.drop_lease()
             self.nodes.failed(self.loop.now())
             self.hang_up()
             self._log_fault(str(fault))
@@ -284,7 +286,7 @@
         self._apply(news)
         return False
 
-    def _decode(self, reply: Reply) -> News:
+    def _decode(self, reply: Reply) -> AnswerContent:
         """Decodes and applies an answer; raises ValueError if it is invalid."""
         if reply.body is TOO_LONG:
             raise MessageError("answer", f"is over {MAX_ANSWER_BYTES >> 20} MiB")
@@ -293,7 +295,7 @@
         _, _, places = read(listing)
         return self.session.answered(answer, places)
 
-    def _apply(self, news: News) -> None:
+    def _apply(self, news: AnswerContent) -> None:
         self.nodes.answered(self.loop.now())
         if self._logged_faults:
             self._logged_faults.clear()
@@ -302,7 +304,7 @@
             self.heard(news.places, news.whole)
             self._answered = True
         except Exception:  # an error in the courier: requests the complete state once more
-            self.session.abandon()
+            self.session.drop_lease()
             raise
         self._release(news.released)
         for destination in news.confirmed + news.unknown:
--- a/tests/test_subscription_properties.py
+++ b/tests/test_subscription_properties.py
@@ -336,7 +336,7 @@
         elif fate == "cut off unheard":
             return  # the courier closed the connection for a new subscription before the request was read
         elif node == self.silent:
-            self.now += PROMPT if ask.prompt else WAIT + SILENCE
+            self.now += PROMPT if ask.answered_immediately else WAIT + SILENCE
             courier.nodes.failed(self.now)
         else:
             self.reach(courier, ask, fate)
@@ -346,7 +346,7 @@
         answer = self.nodes[ask.node].request(self.now, ask.request, ask.index)
         if fate == "answered":
             if isinstance(answer, SubscribeAnswer) and not (
-                ask.prompt or answer.grant.complete + answer.grant.unknown
+                ask.answered_immediately or answer.grant.complete + answer.grant.unknown
             ):
                 self.now += WAIT
             courier.take(answer, self.source, self.now)
@@ -357,18 +357,20 @@
 
     def compare(self, courier):
         """The courier has the source's state of its set: no endpoint that left or leaves is callable."""
-        wanted = {number for number in range(DESTINATIONS) if courier.session.wants(number)}
+        wanted = {number for number in range(DESTINATIONS) if courier.session.is_subscribed(number)}
         for destination in wanted:
             exists = destination in self.source.destinations
             expected = Standing.KNOWN if exists else Standing.UNKNOWN
-            assert courier.session.standing(destination) is expected, "a destination has the wrong state"
+            assert courier.session.destination_state(destination) is expected, (
+                "a destination has the wrong state"
+            )
         expected = {place for number in wanted for place in map(plain, self.source.places(number))}
         had = {plain(place) for place in courier.view.values()}
         assert not {ready for ready in had - expected if ready[2]}, (
             "an endpoint may still be called after it left"
         )
         assert had == expected, "the list differs from the source"
-        known = {plain(place) for places in courier.session.known().values() for place in places}
+        known = {plain(place) for places in courier.session.known_endpoints().values() for place in places}
         assert known == expected, "the session differs from the source"
 
     @invariant()
@@ -376,7 +378,7 @@
         """Destinations that are used or held are subscribed, and session and interest set agree."""
         for courier in self.couriers:
             for destination in range(DESTINATIONS):
-                wants = courier.session.wants(destination)
+                wants = courier.session.is_subscribed(destination)
                 assert wants == (destination in courier.interest)
                 idle = self.now - courier.used.get(destination, -1e9)
                 needed = destination in courier.held or idle < IDLE
--- a/tests/test_subscription_session.py
+++ b/tests/test_subscription_session.py
@@ -45,20 +45,25 @@
     session = Session("fleet", "c-1")
     session.subscribe(41)
     session.subscribe(7)
-    assert session.standing(41) is Standing.WAITING
+    assert session.destination_state(41) is Standing.WAITING
     ask = session.next(NODE)
-    assert ask.request.lease is None and ask.request.subscribe == (41, 7) and ask.index is None and ask.prompt
+    assert (
+        ask.request.lease is None
+        and ask.request.subscribe == (41, 7)
+        and ask.index is None
+        and ask.answered_immediately
+    )
     news = answer(session, ask, 5, [place("a", 41), place("b", 41)], full=True, unknown=[7])
     assert news.whole and news_states(news) == [("a", True, False), ("b", True, False)]
-    assert (session.standing(41), session.standing(7)) == (Standing.KNOWN, Standing.UNKNOWN)
+    assert (session.destination_state(41), session.destination_state(7)) == (Standing.KNOWN, Standing.UNKNOWN)
     ask = session.next(NODE)
     assert (
         request_change(ask) == (0, (), ())
         and ask.request.lease == "n1-1"
         and ask.index == 5
-        and not ask.prompt
+        and not ask.answered_immediately
     )
-    assert list(session.known()) == [41]
+    assert list(session.known_endpoints()) == [41]
 
 
 def test_endpoints_missing_from_a_complete_destination_have_left():
@@ -66,13 +71,15 @@
     news = answer(session, session.next(NODE), 2, [place("f", 41)])
     assert not news.whole and news_states(news) == [("e-41", False, True), ("f", True, False)]
     news = answer(session, session.next(NODE), 3, [place("f", 41, left=True)])
-    assert news_states(news) == [("f", False, True)] and session.standing(41) is Standing.KNOWN
+    assert news_states(news) == [("f", False, True)] and session.destination_state(41) is Standing.KNOWN
     news = answer(session, session.next(NODE), 4, unknown=[41])
     assert (
-        news_states(news) == [] and session.standing(41) is Standing.UNKNOWN and list(session.known()) == [7]
+        news_states(news) == []
+        and session.destination_state(41) is Standing.UNKNOWN
+        and list(session.known_endpoints()) == [7]
     )
     news = answer(session, session.next(NODE), 5, [place("g", 41)])
-    assert news_states(news) == [("g", True, False)] and session.standing(41) is Standing.KNOWN
+    assert news_states(news) == [("g", True, False)] and session.destination_state(41) is Standing.KNOWN
 
 
 def test_an_endpoint_that_moves_to_another_destination_has_not_left():
@@ -82,15 +89,19 @@
     session = open_session(41, 7)
     answer(session, session.next(NODE), 2, [place("e-41", 7)])
     news = answer(session, session.next(NODE), 3, complete=[41])
-    assert news_states(news) == [] and [one.ident for one in session.known()[7]] == ["e-41"]
+    assert news_states(news) == [] and [one.ident for one in session.known_endpoints()[7]] == ["e-41"]
 
 
 def test_an_unanswered_request_is_repeated_and_later_changes_wait():
     session = open_session(41)
     session.subscribe(9)
-    assert session.pressing
+    assert session.has_unsent_subscriptions
     first = session.next(NODE)
-    assert request_change(first) == (1, (9,), ()) and first.prompt and not session.pressing
+    assert (
+        request_change(first) == (1, (9,), ())
+        and first.answered_immediately
+        and not session.has_unsent_subscriptions
+    )
     session.subscribe(10)
     session.unsubscribe(41)
     for _ in range(3):
@@ -104,26 +115,28 @@
     session.subscribe(9)
     session.unsubscribe(9)
     ask = session.next(NODE)
-    assert request_change(ask) == (0, (), ()) and ask.released == (9,) and not session.wants(9)
+    assert request_change(ask) == (0, (), ()) and ask.released == (9,) and not session.is_subscribed(9)
     session.unsubscribe(41)
     session.subscribe(41)
     ask = session.next(NODE)
     assert (
-        request_change(ask) == (0, (), ()) and ask.released == () and session.standing(41) is Standing.KNOWN
+        request_change(ask) == (0, (), ())
+        and ask.released == ()
+        and session.destination_state(41) is Standing.KNOWN
     )
     session.unsubscribe(41)
     session.subscribe(41)
     session.unsubscribe(41)
     ask = session.next(NODE)
     assert request_change(ask) == (1, (), (41,)) and ask.released == (41,)
-    assert session.standing(41) is Standing.WAITING and session.known() == {}
+    assert session.destination_state(41) is Standing.WAITING and session.known_endpoints() == {}
     session.subscribe(41)
     assert session.next(NODE).request == ask.request, "its answer is still outstanding"
     answer(session, session.next(NODE), 2)
     ask = session.next(NODE)
     assert request_change(ask) == (2, (41,), ())
     answer(session, ask, 3, [place("e-41", 41)])
-    assert session.standing(41) is Standing.KNOWN
+    assert session.destination_state(41) is Standing.KNOWN
 
 
 def test_an_ended_lease_is_followed_by_a_new_one_with_the_current_set():
@@ -134,7 +147,7 @@
     assert session.refused(Refusal(Reason.LEASE_OVER, "over")), "the same node at once"
     ask = session.next(NODE)
     assert ask.request.lease is None and request_change(ask) == (0, (41, 9), ())
-    assert session.standing(41) is Standing.KNOWN, "the last valid state is kept"
+    assert session.destination_state(41) is Standing.KNOWN, "the last valid state is kept"
     assert not session.refused(Refusal(Reason.LEASE_OVER, "over")), "no lease was named: another node"
 
 
@@ -186,8 +199,8 @@
 
 def test_restored_destinations_are_subscribed_and_known_and_not_confirmed():
     session = Session("fleet", "c-1", {41: [place("old", 41)], 7: []})
-    assert session.standing(41) is Standing.KNOWN and not session.confirmed(41)
-    assert session.standing(7) is Standing.WAITING
+    assert session.destination_state(41) is Standing.KNOWN and not session.confirmed(41)
+    assert session.destination_state(7) is Standing.WAITING
     ask = session.next(NODE)
     assert ask.request.subscribe == (41, 7)
     news = answer(session, ask, 1, [place("new", 41)], full=True, unknown=[7])
@@ -205,14 +218,17 @@
     session = open_session(41, 7)
     news = answer(session, session.next(NODE), 9, [place("f", 41)], full=True, complete=[41], unknown=[7])
     assert news.whole and news_states(news) == [("f", True, False)] and session.resyncs == 1
-    assert session.standing(7) is Standing.UNKNOWN
+    assert session.destination_state(7) is Standing.UNKNOWN
 
 
 def test_destinations_that_were_not_subscribed_are_ignored():
     session = open_session(41)
     news = answer(session, session.next(NODE), 2, [place("x", 99), place("f", 41)], unknown=[98])
     assert news_states(news) == [("e-41", False, True), ("f", True, False)] and news.confirmed == (41,)
-    assert session.standing(99) is Standing.WAITING and session.standing(98) is Standing.WAITING
+    assert (
+        session.destination_state(99) is Standing.WAITING
+        and session.destination_state(98) is Standing.WAITING
+    )
 
 
 @pytest.mark.parametrize(
@@ -232,11 +248,11 @@
 )
 def test_an_inconsistent_answer_changes_nothing_and_drops_the_lease(fault, overrides):
     session = open_session(41, 7)
-    known_before = session.known()
+    known_before = session.known_endpoints()
     with pytest.raises(MessageError) as raised:
         answer(session, session.next(NODE), **(dict(version=2, places=[place("f", 41)]) | overrides))
     assert str(raised.value) == fault
-    assert session.known() == known_before and session.version is None
+    assert session.known_endpoints() == known_before and session.version is None
     assert session.next(NODE).request.subscribe == (41, 7)
 
 
@@ -263,4 +279,4 @@
     session = open_session(41)
     news = answer(session, session.next(OTHER), 1, full=True, unknown=[41], node="n2", lease="n2-1")
     assert not news.whole and news_states(news) == [("e-41", False, True)]
-    assert session.standing(41) is Standing.UNKNOWN
+    assert session.destination_state(41) is Standing.UNKNOWN
