--- a/calicopin/capacity/faults.py
+++ b/calicopin/capacity/faults.py
@@ -116,7 +116,7 @@
 
 def retry_jitter_s(size: Size) -> float:
     """Longest delay before a courier tries the next node."""
-    return min(nodes.TRY_JITTER, nodes.ROUND_JITTER / size.control_machines) / 1000.0
+    return min(nodes.NEXT_NODE_JITTER_MS, nodes.ROUND_JITTER_MS / size.control_machines) / 1000.0
 
 
 def node_lost(size: Size) -> Fault:
--- a/calicopin/subscription/nodes.py
+++ b/calicopin/subscription/nodes.py
@@ -13,9 +13,9 @@
 from itertools import count
 
 # maximum wait before the next node is tried, so that a failed node's couriers do not arrive all at once
-TRY_JITTER = 300.0
+NEXT_NODE_JITTER_MS = 300.0
 START_JITTER_MS = 100.0  # maximum wait before the first request
-ROUND_JITTER = 1500.0  # maximum sum of the TRY_JITTER waits in one round over all nodes
+ROUND_JITTER_MS = 1500.0  # maximum sum of the NEXT_NODE_JITTER_MS waits in one round over all nodes
 INITIAL_BACKOFF_MS = 250.0  # after a round in which no node answered; doubled after each further one
 # upper bound of the back-off: with the waits of one round, an answer arrives within 6 s of a node's return
 MAX_BACKOFF_MS = 3500.0
@@ -51,7 +51,7 @@
 class NodeChoice:
     """Selects the next node from the outcomes of the previous requests.
 
-    Call `turn` before each request, then `answered`, `failed` or `refused` with the outcome.
+    Call `next_request` before each request, then `answered`, `failed` or `refused` with the outcome.
     """
 
     def __init__(self, courier: str, nodes: list[str], seed: int, now: float):
@@ -62,8 +62,8 @@
         self._failback_at = float("inf")  # when to try a node that is preferred to the current one
         self.current: str | None = None  # the node in use; None while searching for one
         self._last_current: str | None = None
-        self.selected: str | None = None  # the node selected by the last `turn`
-        self.changes = 0  # number of switches to another node
+        self.selected: str | None = None  # the node selected by the last `next_request`
+        self.switches = 0  # number of switches to another node
         self._ranked = self._ranking(nodes)
         self._at = now + START_JITTER_MS * self._random_fraction()
 
@@ -81,11 +81,11 @@
         return list(self._ranked)
 
     @property
-    def exhausted(self) -> bool:
+    def all_nodes_failed(self) -> bool:
         """Whether all nodes were tried without success since the last answer."""
         return self._failed_rounds > 0
 
-    def turn(self, now: float) -> NextRequest:
+    def next_request(self, now: float) -> NextRequest:
         """The node and the earliest time of the next request."""
         if self.current is None:
             self.selected, at = self._next_untried(now)
@@ -127,7 +127,7 @@
         self._not_before.pop(self.selected, None)
         self._failed_rounds, self._at = 0, now
         if self.selected != self.current:
-            self.changes += self._last_current not in (None, self.selected)
+            self.switches += self._last_current not in (None, self.selected)
             self.current = self._last_current = self.selected
             self._schedule_failback(now)
 
@@ -139,7 +139,7 @@
             return
         self.current = None
         self._tried.add(self.selected)
-        at = now + self._random_fraction() * min(TRY_JITTER, ROUND_JITTER / len(self._ranked))
+        at = now + self._random_fraction() * min(NEXT_NODE_JITTER_MS, ROUND_JITTER_MS / len(self._ranked))
         if any(node not in self._tried and self._not_before.get(node, 0.0) <= at for node in self._ranked):
             self._at = at
         else:
@@ -153,20 +153,20 @@
 
     def refused(self, now: float, retry_ms: float) -> None:
         """The node refused: it is not asked again before its retry time (ms) has passed."""
-        until = now + min(retry_ms, MAX_RETRY_MS) + TRY_JITTER * self._random_fraction()
+        until = now + min(retry_ms, MAX_RETRY_MS) + NEXT_NODE_JITTER_MS * self._random_fraction()
         self._not_before[self.selected] = until
         if self.selected == self.current and 0.0 < retry_ms <= MAX_SAME_NODE_RETRY_MS:
             self._at = until
         else:
             self.failed(now)
 
-    def move(self, nodes: list[str], now: float) -> None:
+    def replace_nodes(self, nodes: list[str], now: float) -> None:
         """Replaces the list of nodes; the state of nodes that remain in it is kept."""
         self._ranked = self._ranking(nodes)
         self._tried.intersection_update(self._ranked)
         self._not_before = {node: at for node, at in self._not_before.items() if node in self._ranked}
         if self.current is not None and self.current not in self._ranked:
             self.current = None
-            self._at = now + TRY_JITTER * self._random_fraction()
+            self._at = now + NEXT_NODE_JITTER_MS * self._random_fraction()
         if self.current == self._ranked[0] or self._failback_at == float("inf"):
             self._schedule_failback(now)
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -151,14 +151,14 @@
             self._calls,
             self._interrupted,
             self.session.resyncs,
-            self.nodes.changes,
+            self.nodes.switches,
             self._sent,
             self._received + (len(self.line.heard) if self.line else 0),
         )
 
     def move(self, nodes: list[str]) -> None:
         """Changes the list of nodes; the current node is kept if it is in the new list."""
-        self.nodes.move(nodes, self.loop.now())
+        self.nodes.replace_nodes(nodes, self.loop.now())
         if self.nodes.current is None or self.address not in nodes:
             super().move("")
 
@@ -166,7 +166,7 @@
     def tried(self) -> bool:
         """Whether the courier may act on the known list: a node has answered, all nodes have failed, or
         `STARTUP_LIMIT_MS` is over."""
-        return self._answered or self.nodes.exhausted or self.loop.now() >= self._startup_over_at
+        return self._answered or self.nodes.all_nodes_failed or self.loop.now() >= self._startup_over_at
 
     # Requests and answers.
 
@@ -174,12 +174,12 @@
         """A coroutine that sends one request after another for ever, on one connection while it lasts."""
         self.hang_up()
         while True:
-            turn = self.nodes.turn(self.loop.now())
-            if turn.at > self.loop.now():
-                yield Until(turn.at)
-            if turn.node != self.address:
+            next_request = self.nodes.next_request(self.loop.now())
+            if next_request.at > self.loop.now():
+                yield Until(next_request.at)
+            if next_request.node != self.address:
                 self.hang_up()
-                self.address = turn.node
+                self.address = next_request.node
             if self.session.has_unsent_subscriptions and self._next_batch_at > self.loop.now():
                 yield Until(self._next_batch_at)
             began = self.loop.now()
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -17,7 +17,7 @@
 from calicopin.lifecycle.start import Post, build
 from calicopin.state.known_list import LOOK, REFRESH, KnownList, decode, journal_bytes
 from calicopin.subscription.interest import IDLE, IDLE_JITTER_FRACTION
-from calicopin.subscription.nodes import TRY_JITTER
+from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS
 from calicopin.wire.loop import Loop
 from calicopin.wire.subscriber import AGAIN, PROMPT
 
@@ -349,7 +349,7 @@
     courier.posts.append(replace(courier.posts[0], nodes=(other.address,)))
     told, sink = capture_log()
     renewal(courier).renew()
-    courier.advance(TRY_JITTER)
+    courier.advance(NEXT_NODE_JITTER_MS)
     _, asked = other.next_request()
     assert asked["lease"] is None and asked["subscribe"] == [7]
     other.respond(asked, 1, [served(endpoint)], full=True)
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -13,7 +13,7 @@
 from calicopin.subscription.interest import InterestFullError
 from calicopin.subscription.leases import LeaseBounds, LeaseTable
 from calicopin.subscription.messages import Grant, Reason, Refusal, encode_answer, encode_refusal
-from calicopin.subscription.nodes import TRY_JITTER, ranking
+from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS, ranking
 from calicopin.subscription.session import Standing
 from calicopin.system import HERE
 from calicopin.wire.asking import TOLD
@@ -279,7 +279,7 @@
     spin(loop, lambda: log_lines)
     refused_at = loop.now()
     target, again = _advance_until_request(loop, node, 20.0)
-    assert refused_at + 800.0 <= loop.now() <= refused_at + 800.0 + TRY_JITTER + 40.0
+    assert refused_at + 800.0 <= loop.now() <= refused_at + 800.0 + NEXT_NODE_JITTER_MS + 40.0
     assert again == request and target == "/api/targets?index=1&wait=2000", "under the same lease"
     assert len(log_lines) == 1 and "too_many: for the test" in log_lines[0]
 
@@ -358,7 +358,7 @@
     began = loop.now()
     nodes[0].next_request()
     _, request = _advance_until_request(loop, nodes[1], 10.0)
-    assert request["subscribe"] == [9] and loop.now() - began <= PROMPT + TRY_JITTER + 30.0
+    assert request["subscribe"] == [9] and loop.now() - began <= PROMPT + NEXT_NODE_JITTER_MS + 30.0
     nodes[1].respond(request, 1, [entry("e-9", 9)], full=True)
     spin(loop, lambda: subscriber.use(9) is Standing.KNOWN)
 
@@ -369,7 +369,7 @@
     subscriber = make_subscriber(loop, nodes, updates)
     began = loop.now()
     _, request = _advance_until_request(loop, nodes[1], 10.0)
-    assert loop.now() - began <= TRY_JITTER + 30.0
+    assert loop.now() - began <= NEXT_NODE_JITTER_MS + 30.0
     assert not subscriber.tried, "another node may know of leaves that were announced meanwhile"
     nodes[1].respond(request, 1, full=True)
     spin(loop, lambda: updates)
@@ -384,7 +384,7 @@
     while not subscriber.tried:
         assert loop.now() < began + STARTUP_LIMIT_MS
         advance(loop, 10.0)
-    assert subscriber.nodes.exhausted and not updates
+    assert subscriber.nodes.all_nodes_failed and not updates
 
 
 def test_the_stored_list_is_used_after_the_startup_limit_without_an_answer(loop):
@@ -394,7 +394,7 @@
     while loop.now() < began + STARTUP_LIMIT_MS:
         assert not subscriber.tried
         advance(loop, 50.0)
-    assert subscriber.tried and not subscriber.nodes.exhausted and not updates
+    assert subscriber.tried and not subscriber.nodes.all_nodes_failed and not updates
 
 
 def test_all_nodes_down_then_back(loop, log_lines):
--- a/tests/test_subscription_nodes.py
+++ b/tests/test_subscription_nodes.py
@@ -11,8 +11,8 @@
     MAX_BACKOFF_MS,
     MAX_RETRY_MS,
     MAX_SAME_NODE_RETRY_MS,
+    NEXT_NODE_JITTER_MS,
     START_JITTER_MS,
-    TRY_JITTER,
     NextRequest,
     NodeChoice,
     NoNodesError,
@@ -30,9 +30,9 @@
 
 def current_node(choice):
     """Completes one request and returns its node, which becomes the current one."""
-    turn = choice.turn(0.0)
-    choice.answered(turn.at)
-    return turn.node
+    next_request = choice.next_request(0.0)
+    choice.answered(next_request.at)
+    return next_request.node
 
 
 def test_couriers_of_a_failed_node_spread_evenly_and_no_other_courier_moves():
@@ -59,13 +59,13 @@
     for number in range(613):
         choice = node_choice(courier=f"c-{number}", seed=number)
         first = current_node(choice)
-        choice.turn(5000.0)
+        choice.next_request(5000.0)
         choice.failed(5000.0)
-        turn = choice.turn(5000.0)
-        assert turn.node != first
-        waits.append(turn.at - 5000.0)
-    assert 0.0 <= min(waits) and max(waits) <= TRY_JITTER
-    tenths = Counter(int(10 * wait / TRY_JITTER) for wait in waits)
+        next_request = choice.next_request(5000.0)
+        assert next_request.node != first
+        waits.append(next_request.at - 5000.0)
+    assert 0.0 <= min(waits) and max(waits) <= NEXT_NODE_JITTER_MS
+    tenths = Counter(int(10 * wait / NEXT_NODE_JITTER_MS) for wait in waits)
     assert len(tenths) == 10 and max(tenths.values()) <= 100
 
 
@@ -73,10 +73,10 @@
 def test_failed_nodes_are_retried_forever_and_a_returning_node_is_asked_within_6_s(nodes):
     choice, now, tries = node_choice(NODES[:nodes]), 0.0, []
     for _ in range(20 * nodes):
-        turn = choice.turn(now)
-        assert turn.at >= now
-        now = turn.at
-        tries.append((now, turn.node))
+        next_request = choice.next_request(now)
+        assert next_request.at >= now
+        now = next_request.at
+        tries.append((now, next_request.node))
         choice.failed(now)
     assert {node for _, node in tries[-nodes:]} == set(NODES[:nodes]), "each round tries every node"
     times = [at for at, _ in tries]
@@ -90,50 +90,50 @@
 
 def test_an_answer_arrives_within_6_s_if_the_next_node_does_not_answer_either():
     silence = WAIT + SILENCE  # the parked request at a node that stopped answering
-    tries = TRY_JITTER + CONNECT + PROMPT  # a node that accepts a connection and never answers
-    assert silence + tries + TRY_JITTER + CONNECT < TOLD
+    tries = NEXT_NODE_JITTER_MS + CONNECT + PROMPT  # a node that accepts a connection and never answers
+    assert silence + tries + NEXT_NODE_JITTER_MS + CONNECT < TOLD
 
 
 def test_a_refusing_node_is_not_asked_before_its_retry_time_while_others_are():
     choice = node_choice()
     first = current_node(choice)
-    choice.turn(1000.0)
+    choice.next_request(1000.0)
     choice.refused(1000.0, 20000.0)
     assert choice.current is None
     tries = []
     now = 1000.0
     while now < 40000.0:
-        turn = choice.turn(now)
-        now = turn.at
-        tries.append(turn)
+        next_request = choice.next_request(now)
+        now = next_request.at
+        tries.append(next_request)
         choice.failed(now)
-    assert tries[0].node != first and tries[0].at <= 1000.0 + TRY_JITTER
-    before = [turn.node for turn in tries if turn.at < 21000.0]
-    after = [turn.node for turn in tries if turn.at >= 21000.0]
+    assert tries[0].node != first and tries[0].at <= 1000.0 + NEXT_NODE_JITTER_MS
+    before = [next_request.node for next_request in tries if next_request.at < 21000.0]
+    after = [next_request.node for next_request in tries if next_request.at >= 21000.0]
     assert first not in before and first in after and set(before) == set(NODES[:3]) - {first}
 
 
 def test_if_all_nodes_refuse_the_next_request_waits_for_the_retry_time():
     choice = node_choice()
     for _ in range(3):
-        turn = choice.turn(0.0)
+        next_request = choice.next_request(0.0)
         choice.refused(0.0, 9000.0)
-    turn = choice.turn(100.0)
-    assert 9000.0 <= turn.at <= 9000.0 + TRY_JITTER
-    assert node_choice().turn(0.0).at <= START_JITTER_MS
+    next_request = choice.next_request(100.0)
+    assert 9000.0 <= next_request.at <= 9000.0 + NEXT_NODE_JITTER_MS
+    assert node_choice().next_request(0.0).at <= START_JITTER_MS
 
 
 def test_a_short_retry_time_keeps_the_node_and_a_corrupt_one_is_limited():
     choice = node_choice()
     first = current_node(choice)
-    choice.turn(1000.0)
+    choice.next_request(1000.0)
     choice.refused(1000.0, MAX_SAME_NODE_RETRY_MS)
-    turn = choice.turn(1000.0)
-    assert turn.node == first and 2000.0 <= turn.at <= 2000.0 + TRY_JITTER
+    next_request = choice.next_request(1000.0)
+    assert next_request.node == first and 2000.0 <= next_request.at <= 2000.0 + NEXT_NODE_JITTER_MS
     lone = node_choice(NODES[:1])
-    lone.turn(0.0)
+    lone.next_request(0.0)
     lone.refused(0.0, 1e15)
-    assert lone.turn(0.0).at <= MAX_RETRY_MS + TRY_JITTER
+    assert lone.next_request(0.0).at <= MAX_RETRY_MS + NEXT_NODE_JITTER_MS
 
 
 def test_returns_to_a_preferred_node_are_spread_and_a_failed_return_keeps_the_current_node():
@@ -141,23 +141,23 @@
     for number in range(400):
         choice = node_choice(courier=f"c-{number}", seed=number)
         best = choice.nodes[0]
-        choice.turn(0.0)
+        choice.next_request(0.0)
         choice.failed(0.0)
-        second = choice.turn(TRY_JITTER).node
-        choice.answered(TRY_JITTER)
-        now = TRY_JITTER
-        while choice.turn(now).node == second:
+        second = choice.next_request(NEXT_NODE_JITTER_MS).node
+        choice.answered(NEXT_NODE_JITTER_MS)
+        now = NEXT_NODE_JITTER_MS
+        while choice.next_request(now).node == second:
             choice.answered(now)
             now += WAIT
         assert choice.selected == best
         returns.append(now)
         choice.failed(now)
-        assert choice.turn(now) == NextRequest(second, now) and choice.current == second
+        assert choice.next_request(now) == NextRequest(second, now) and choice.current == second
         again = now + FAILBACK_WINDOW_MS + WAIT
-        assert choice.turn(again).node == best, "the return is tried again"
+        assert choice.next_request(again).node == best, "the return is tried again"
         choice.answered(again)
-        assert choice.current == best and choice.changes == 1
-        assert choice.turn(again + 10 * FAILBACK_WINDOW_MS).node == best
+        assert choice.current == best and choice.switches == 1
+        assert choice.next_request(again + 10 * FAILBACK_WINDOW_MS).node == best
     assert (
         min(returns) >= FAILBACK_MIN_FRACTION * FAILBACK_WINDOW_MS
         and max(returns) <= FAILBACK_WINDOW_MS + 2.0 * WAIT
@@ -169,32 +169,32 @@
 def test_a_new_list_of_nodes_keeps_the_state_of_remaining_nodes():
     choice = node_choice(NODES[:3])
     first = current_node(choice)
-    choice.move(NODES[:3] + NODES[5:9], 1000.0)
-    assert choice.turn(1000.0).node == first, "no immediate switch to a preferred node"
-    choice.move([node for node in NODES if node != first], 2000.0)
+    choice.replace_nodes(NODES[:3] + NODES[5:9], 1000.0)
+    assert choice.next_request(1000.0).node == first, "no immediate switch to a preferred node"
+    choice.replace_nodes([node for node in NODES if node != first], 2000.0)
     assert choice.current is None
-    turn = choice.turn(2000.0)
-    assert turn.node == ranking("c-1", [node for node in NODES if node != first])[0]
-    assert turn.at <= 2000.0 + TRY_JITTER
+    next_request = choice.next_request(2000.0)
+    assert next_request.node == ranking("c-1", [node for node in NODES if node != first])[0]
+    assert next_request.at <= 2000.0 + NEXT_NODE_JITTER_MS
     choice.refused(2000.0, 30000.0)
-    refusing = turn.node
-    choice.move(NODES, 3000.0)
-    assert all(choice.turn(3000.0).node != refusing for _ in range(3)), (
+    refusing = next_request.node
+    choice.replace_nodes(NODES, 3000.0)
+    assert all(choice.next_request(3000.0).node != refusing for _ in range(3)), (
         "the retry time is kept across the change"
     )
     with pytest.raises(NoNodesError):
-        choice.move([], 4000.0)
+        choice.replace_nodes([], 4000.0)
 
 
 def test_pauses_grow_with_each_round_and_reset_after_an_answer():
     choice, now, pauses = node_choice(NODES[:1]), 0.0, []
     for _ in range(8):
-        now = choice.turn(now).at
+        now = choice.next_request(now).at
         choice.failed(now)
-        pauses.append(choice.turn(now).at - now)
+        pauses.append(choice.next_request(now).at - now)
     assert pauses[0] <= INITIAL_BACKOFF_MS and max(pauses) > MAX_BACKOFF_MS / 2.0
-    now = choice.turn(now).at
+    now = choice.next_request(now).at
     choice.answered(now)
-    choice.turn(now)
+    choice.next_request(now)
     choice.failed(now)
-    assert choice.turn(now).at - now <= INITIAL_BACKOFF_MS
+    assert choice.next_request(now).at - now <= INITIAL_BACKOFF_MS
--- a/tests/test_subscription_properties.py
+++ b/tests/test_subscription_properties.py
@@ -320,14 +320,14 @@
         """Runs the requests of one courier until then; the clock of the others does not advance."""
         began = self.now
         for _ in range(MAX_REQUESTS):
-            if self.now >= until or courier.nodes.turn(self.now).at >= until:
+            if self.now >= until or courier.nodes.next_request(self.now).at >= until:
                 break
             self.trip(courier, "answered")
         self.now = began
 
     def trip(self, courier, fate):
         """Runs one request at its scheduled time, with the given outcome."""
-        self.now = courier.nodes.turn(self.now).at
+        self.now = courier.nodes.next_request(self.now).at
         prompt_until = self.now + AGAIN
         ask = courier.begin(self.now)
         node = ask.node
