--- a/calicopin/subscription/interest.py
+++ b/calicopin/subscription/interest.py
@@ -10,10 +10,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-IDLE = 600000.0  # ms after its last use until a destination that is not in use is removed
-IDLE_JITTER_FRACTION = 0.5  # random extension, as a fraction of IDLE: spreads removals over many requests
+IDLE_TIMEOUT_MS = 600000.0  # ms after its last use until a destination that is not in use is removed
+IDLE_JITTER_FRACTION = (
+    0.5  # random extension, as a fraction of IDLE_TIMEOUT_MS: spreads removals over many requests
+)
 RECHECK_INTERVAL_MS = 30000.0  # between two checks of an idle destination that is still in use
-MOST = 100_000  # maximum number of destinations of one courier
+MAX_DESTINATIONS = 100_000  # maximum number of destinations of one courier
 # after the set was found full of destinations in use, it is not searched for room again within this time
 FULL_RECHECK_INTERVAL_MS = 1000.0
 
@@ -21,27 +23,33 @@
 class InterestFullError(Exception):
     """A destination was refused: the set has reached its maximum size and all of it is in use."""
 
-    def __init__(self, most: int):
-        super().__init__(f"all {most} destinations that may be subscribed to are in use")
-        self.most = most
+    def __init__(self, max_destinations: int):
+        super().__init__(f"all {max_destinations} destinations that may be subscribed to are in use")
+        self.max_destinations = max_destinations
 
 
 @dataclass(frozen=True, slots=True)
 class UseResult:
     """The effect of one use: whether the destination is new in the set, and which one was evicted for it."""
 
-    fresh: bool
-    given_up: int | None = None
+    is_new: bool
+    evicted: int | None = None
 
 
-ALREADY_TRACKED = UseResult(fresh=False)
+ALREADY_TRACKED = UseResult(is_new=False)
 
 
 class Interest:
     """A bounded set of destinations; those for which `in_use` returns True are never removed."""
 
-    def __init__(self, seed: int, in_use: Callable[[int], bool], idle: float = IDLE, most: int = MOST):
-        self.seed, self.in_use, self.idle, self.most = seed, in_use, idle, most
+    def __init__(
+        self,
+        seed: int,
+        in_use: Callable[[int], bool],
+        idle: float = IDLE_TIMEOUT_MS,
+        max_destinations: int = MAX_DESTINATIONS,
+    ):
+        self.seed, self.in_use, self.idle, self.max_destinations = seed, in_use, idle, max_destinations
         # time of last use by destination, most recent last
         self._last_used: OrderedDict[int, float] = OrderedDict()
         # heap of (time, destination); one valid entry per destination
@@ -62,7 +70,9 @@
             self._last_used[destination] = now
             self._last_used.move_to_end(destination)
             return ALREADY_TRACKED
-        evicted = self._evict_least_recently_used(now) if len(self._last_used) >= self.most else None
+        evicted = (
+            self._evict_least_recently_used(now) if len(self._last_used) >= self.max_destinations else None
+        )
         self._last_used[destination] = now
         self._schedule(destination, now + self._idle_timeout(destination, now))
         return UseResult(True, evicted)
@@ -111,7 +121,7 @@
                     return destination
                 self._last_used.move_to_end(destination)
             self._full_until = now + FULL_RECHECK_INTERVAL_MS
-        raise InterestFullError(self.most)
+        raise InterestFullError(self.max_destinations)
 
     def _remove(self, destination: int) -> None:
         del self._last_used[destination], self._scheduled_at[destination]
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from calicopin.facade import Place
-from calicopin.subscription.interest import IDLE, MOST, Interest
+from calicopin.subscription.interest import IDLE_TIMEOUT_MS, MAX_DESTINATIONS, Interest
 from calicopin.subscription.messages import (
     MessageError,
     Refusal,
@@ -89,14 +89,14 @@
         restored: Mapping[int, Iterable[Place]] | None,
         in_use: Callable[[int], bool],
         released: Callable[[int], None],
-        idle: float = IDLE,
-        most: int = MOST,
+        idle: float = IDLE_TIMEOUT_MS,
+        max_destinations: int = MAX_DESTINATIONS,
     ):
         self.heard, self.released = heard, released
         self._answered, self._startup_over_at = False, loop.now() + STARTUP_LIMIT_MS
         self.wait = min(wait_ms, WAIT)
         self.nodes = NodeChoice(courier, nodes, seed, loop.now())
-        self.interest = Interest(seed, in_use, idle, most)
+        self.interest = Interest(seed, in_use, idle, max_destinations)
         self.session = Session(fleet, courier, restored)
         self._wake = Event(loop)
         self._settled: dict[int, list] = {}  # waiting events and lists, by destination
@@ -116,9 +116,9 @@
 
     def _note_use(self, destination: int, now: float) -> None:
         use = self.interest.use(destination, now)
-        if use.given_up is not None:
-            self.session.unsubscribe(use.given_up)
-        if use.fresh:
+        if use.evicted is not None:
+            self.session.unsubscribe(use.evicted)
+        if use.is_new:
             self.session.subscribe(destination)
             self._wake.set()
 
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -16,7 +16,7 @@
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.start import Post, build
 from calicopin.state.known_list import LOOK, REFRESH, KnownList, decode, journal_bytes
-from calicopin.subscription.interest import IDLE, IDLE_JITTER_FRACTION
+from calicopin.subscription.interest import IDLE_JITTER_FRACTION, IDLE_TIMEOUT_MS
 from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS
 from calicopin.wire.loop import Loop
 from calicopin.wire.subscriber import AGAIN, PROMPT
@@ -324,7 +324,7 @@
     courier = started(tmp_path, node, endpoint)
     courier.advance(LOOK)
     facade, passed = courier.runtime.facade, 0.0
-    while passed < IDLE * (1.0 + IDLE_JITTER_FRACTION) + 3.0 * Route.IDLE:
+    while passed < IDLE_TIMEOUT_MS * (1.0 + IDLE_JITTER_FRACTION) + 3.0 * Route.IDLE:
         _, asked = courier.node.next_request()
         courier.node.respond(asked, 3)
         courier.advance(2000.0)
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -481,7 +481,7 @@
 def test_a_destination_over_the_limit_raises_an_error(loop):
     updates = Updates()
     updates.in_use.update((41, 7))
-    subscriber, node, _ = started(loop, updates, 41, 7, most=2)
+    subscriber, node, _ = started(loop, updates, 41, 7, max_destinations=2)
     with pytest.raises(InterestFullError):
         subscriber.use(9)
     updates.in_use.clear()
--- a/tests/test_subscription_properties.py
+++ b/tests/test_subscription_properties.py
@@ -157,7 +157,7 @@
         self.interest = parts.interest(number, self.held.__contains__, IDLE)
 
     def use(self, destination, now):
-        if self.interest.use(destination, now).fresh:
+        if self.interest.use(destination, now).is_new:
             self.session.subscribe(destination)
         self.used[destination] = now
 
