--- a/calicopin/capacity/courier.py
+++ b/calicopin/capacity/courier.py
@@ -13,7 +13,7 @@
 LONG_POLL_S = 2.0  # longest wait of a poll for the list (`wire/asking.py: longest_wait`)
 RENEWAL_INTERVAL_S = subscriber.WAIT / 1000.0  # between the starts of two renewals while nothing changes
 POLL_PAUSE_S = asking.AGAIN / 1000.0  # between two polls for the list
-SOURCE_CHECK_S = source.LOOK / 1000.0  # longest time until a node notices a change of its source
+SOURCE_CHECK_S = source.POLL_INTERVAL_MS / 1000.0  # longest time until a node notices a change of its source
 MAX_LIST_BYTES = float(discovery.MOST_LIST)  # largest answer with a list that a courier reads
 STORE_LIVE_SHARE = 0.5  # largest share of `disk` for live messages in the segmented store (docs/store.md)
 JOURNAL_LIVE_SHARE = 0.4  # the same in the single-file journal (`state/journal.py: Journal.limit`)
--- a/calicopin/command/discovery_node.py
+++ b/calicopin/command/discovery_node.py
@@ -5,8 +5,8 @@
 import click
 
 from calicopin.configuration.units import address, milliseconds
-from calicopin.subscription.leases import LEAST_LEASE_BOUND, MOST_NODE_WORD, LeaseBounds
-from calicopin.subscription.messages import MOST_WORD
+from calicopin.subscription.leases import MAX_NODE_NAME_LENGTH, MIN_LEASE_LIMIT, LeaseBounds
+from calicopin.subscription.messages import MAX_NAME_LENGTH
 
 DEFAULT_BOUNDS = LeaseBounds()
 
@@ -59,11 +59,16 @@
 @click.command("discovery-node")
 @click.option("--source", required=True, type=click.Path(), metavar="FILE", help="The list log.")
 @click.option(
-    "--fleet", required=True, callback=bounded_name(MOST_WORD), help="The name of the fleet whose list it is."
+    "--fleet",
+    required=True,
+    callback=bounded_name(MAX_NAME_LENGTH),
+    help="The name of the fleet whose list it is.",
 )
 @click.option("--listen", type=Address(), metavar="HOST:PORT", help="The address for couriers.")
 @click.option(
-    "--node", callback=bounded_name(MOST_NODE_WORD), help="The name of this node, unique among the nodes."
+    "--node",
+    callback=bounded_name(MAX_NODE_NAME_LENGTH),
+    help="The name of this node, unique among the nodes.",
 )
 @click.option(
     "--upstream",
@@ -74,7 +79,7 @@
 @click.option("--lease", type=Duration(), default="30s", show_default=True, help="How long a lease lasts.")
 @click.option(
     "--leases",
-    type=click.IntRange(min=LEAST_LEASE_BOUND),
+    type=click.IntRange(min=MIN_LEASE_LIMIT),
     default=DEFAULT_BOUNDS.leases,
     show_default=True,
     help="Leases at most: one for each courier.",
@@ -172,10 +177,10 @@
         fail(fault)
     for line in found.faults:
         click.echo(f"{source}:{line.number}: {line.fault}")
-    figures = found.figures
+    figures = found.stats
     click.echo(
         f"{source}: {found.lines} lines, {figures.destinations} destinations, {figures.endpoints} endpoints, "
         f"{len(found.faults)} lines that cannot be read"
-        + (", and an incomplete line at the end" if found.half_line else "")
+        + (", and an incomplete line at the end" if found.partial_last_line else "")
     )
     sys.exit(1 if found.faults else 0)
--- a/calicopin/discovery_node/node.py
+++ b/calicopin/discovery_node/node.py
@@ -43,10 +43,10 @@
 class SourceReport:
     """The result of checking a source."""
 
-    figures: CatalogueStats
+    stats: CatalogueStats
     lines: int
     faults: list[Line]
-    half_line: bool
+    partial_last_line: bool
 
 
 class Node:
--- a/calicopin/discovery_node/server.py
+++ b/calicopin/discovery_node/server.py
@@ -150,7 +150,7 @@
             if connection.line in waiting:
                 connection.line.part(data)
             if connection.idle or connection.line in waiting:
-                self._hang_up(connection)
+                self._close_connection(connection)
 
     # Connections.
 
@@ -179,7 +179,7 @@
         if len(self.connections) >= self.bounds.connections:
             idle = next((other for other in self.connections if other.idle and other.line.quiet()), None)
             if idle is not None:
-                self._hang_up(idle)
+                self._close_connection(idle)
         connection = Connection(line)
         if len(self.connections) < self.bounds.connections:
             self.connections[connection] = None
@@ -194,7 +194,7 @@
         line.part(encode_refusal_response(refusal))
         line.close()
 
-    def _hang_up(self, connection: Connection) -> None:
+    def _close_connection(self, connection: Connection) -> None:
         """Closes the connection here too: a coroutine cancelled before its first step runs no `finally`."""
         self.connections.pop(connection, None)
         self.loop.cancel(connection.task)
--- a/calicopin/discovery_node/source.py
+++ b/calicopin/discovery_node/source.py
@@ -17,7 +17,7 @@
 from calicopin.system_errors import of_a_moment
 from calicopin.wire.loop import Loop, Until
 
-LOOK = 250.0  # ms between two polls of the file
+POLL_INTERVAL_MS = 250.0  # ms between two polls of the file
 TIME_SLICE_MS = 10.0  # time of a long read in one pass of the event loop
 READ_CHUNK_BYTES = 256 * 1024
 MAX_LINE_BYTES = 64 * 1024
@@ -209,7 +209,7 @@
         while True:
             yield from self.poll()
             self.polls += 1
-            yield Until(self.loop.now() + LOOK)
+            yield Until(self.loop.now() + POLL_INTERVAL_MS)
 
     def poll(self) -> Iterator[Until]:
         """Reads what is new at the path."""
@@ -340,7 +340,7 @@
                 continue
             yield Until(self.loop.now())
             slice_started = self.loop.now()
-            if poll and slice_started >= polled_at + LOOK:
+            if poll and slice_started >= polled_at + POLL_INTERVAL_MS:
                 poll()
                 polled_at = slice_started
 
--- a/calicopin/lifecycle/node_settings.py
+++ b/calicopin/lifecycle/node_settings.py
@@ -1,6 +1,6 @@
 """Reads and checks the settings of discovery nodes in the platform's JSON; errors name the key."""
 
-from calicopin.subscription.messages import MOST_WORD
+from calicopin.subscription.messages import MAX_NAME_LENGTH
 
 MAX_NODES = 1000
 MAX_LIST_AGE_S = 366 * 24 * 3600.0  # one year
@@ -16,8 +16,8 @@
         _check_address(node, f"{path}: nodes[{number}]")
         if node in nodes[:number]:
             raise ValueError(f"{path}: nodes[{number}]: {node} stands there twice")
-    if not isinstance(fleet, str) or len(fleet) > MOST_WORD:
-        raise ValueError(f"{path}: fleet: is no word of at most {MOST_WORD} characters")
+    if not isinstance(fleet, str) or len(fleet) > MAX_NAME_LENGTH:
+        raise ValueError(f"{path}: fleet: is no word of at most {MAX_NAME_LENGTH} characters")
     if bool(nodes) != bool(fleet):
         raise ValueError(
             f"{path}: {'fleet' if nodes else 'nodes'}: is not given; nodes and fleet go together"
--- a/calicopin/subscription/leases.py
+++ b/calicopin/subscription/leases.py
@@ -15,8 +15,8 @@
 
 from calicopin.subscription.messages import Reason, Refusal, SubscribeRequest
 
-LEAST_LEASE_BOUND = 1024
-MOST_NODE_WORD = 128  # characters of a node's name, which is part of each lease's name
+MIN_LEASE_LIMIT = 1024
+MAX_NODE_NAME_LENGTH = 128  # characters of a node's name, which is part of each lease's name
 MIN_CAPACITY_RETRY_MS = 1000.0  # minimum retry time for a courier refused because all leases are taken
 NOTHING: frozenset[int] = frozenset()
 
--- a/calicopin/subscription/messages.py
+++ b/calicopin/subscription/messages.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 FORM_VERSION = 1  # version of these messages; any other is refused
-MOST_WORD = 256  # characters of a fleet's, courier's, node's or lease's name
+MAX_NAME_LENGTH = 256  # characters of a fleet's, courier's, node's or lease's name
 MAX_DESTINATION = 999_999_999  # the largest destination number that clients may use
 
 
@@ -119,8 +119,8 @@
 
 
 def _check_name(value: Any, place: str) -> str:
-    if not isinstance(value, str) or not 0 < len(value) <= MOST_WORD:
-        raise MessageError(place, f"is no word of 1 to {MOST_WORD} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH:
+        raise MessageError(place, f"is no word of 1 to {MAX_NAME_LENGTH} characters")
     return value
 
 
@@ -250,5 +250,5 @@
         reason = Reason(payload.get("reason"))
     except ValueError:
         raise MessageError("error.reason", f"{str(payload.get('reason'))[:40]} is none") from None
-    message = str(payload.get("message", ""))[:MOST_WORD]
+    message = str(payload.get("message", ""))[:MAX_NAME_LENGTH]
     return Refusal(reason, message, _check_milliseconds(payload.get("retry_ms", 0.0), "error.retry_ms"))
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -27,9 +27,9 @@
 from calicopin.discovery_node.node import check_source
 from calicopin.discovery_node.server import NodeServer, ServerBounds
 from calicopin.discovery_node.source import (
-    LOOK,
     MAX_LINE_BYTES,
     MAX_LOGGED_FAULTS,
+    POLL_INTERVAL_MS,
     LineSplitter,
     Source,
     SourceError,
@@ -187,7 +187,7 @@
     def poll(self):
         """Runs the loop until the next poll is complete."""
         polls = self.source.polls
-        self.loop.now.now += LOOK
+        self.loop.now.now += POLL_INTERVAL_MS
         spin(self.loop, lambda: self.source.polls > polls)
 
     def append(self, data):
@@ -465,8 +465,8 @@
 def test_a_check_reports_counts_and_faults(path):
     path.write_bytes(source_bytes(entry("a", 1), b"{", entry("b", 1)) + b'{"id"')
     found = check_source(str(path), "fleet")
-    assert (found.figures.destinations, found.figures.endpoints, found.lines) == (1, 2, 4)
-    assert [fault.number for fault in found.faults] == [3] and found.half_line
+    assert (found.stats.destinations, found.stats.endpoints, found.lines) == (1, 2, 4)
+    assert [fault.number for fault in found.faults] == [3] and found.partial_last_line
 
 
 # A node on loopback, in the event loop of the test.
@@ -568,7 +568,7 @@
         with open(self.path, "ab") as file:
             file.write(b"".join(line + b"\n" for line in entries))
         polls = self.source.polls
-        self.loop.now.now += LOOK
+        self.loop.now.now += POLL_INTERVAL_MS
         spin(self.loop, lambda: self.source.polls > polls)
 
     def wait_parked(self, count):
@@ -1112,7 +1112,7 @@
     copying_node.copies(1)
     upstream_node.loop.close(upstream_node.server.listener)
     for connection in list(upstream_node.server.connections):
-        upstream_node.server._hang_up(connection)
+        upstream_node.server._close_connection(connection)
     for _ in range(300):
         copying_node.advance(10.0)
     assert len([line for line in lines if "does not answer" in line]) == 1
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -11,7 +11,7 @@
 from forced_faults import ForcedFaults
 from helper import Clock, spin
 
-from calicopin.discovery_node.source import LOOK as SOURCE_LOOK
+from calicopin.discovery_node.source import POLL_INTERVAL_MS as SOURCE_POLL_INTERVAL_MS
 from calicopin.discovery_node.source import Source
 from calicopin.lifecycle.renewal import PATIENCE as RELOAD_RETRY_LIMIT
 from calicopin.lifecycle.signals import SignalReader
@@ -206,7 +206,7 @@
     os.replace(tmp_path / "next", path)
     system.refusals = 1
     for _ in range(3):
-        loop.now.now += SOURCE_LOOK
+        loop.now.now += SOURCE_POLL_INTERVAL_MS
         for _ in range(5):
             loop.once(loop.now())
     assert source.catalogue.endpoints == 2
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from calicopin.discovery_node.server import NodeServer, ServerBounds
-from calicopin.discovery_node.source import LOOK, Source
+from calicopin.discovery_node.source import POLL_INTERVAL_MS, Source
 from calicopin.facade import Place
 from calicopin.subscription.interest import InterestFullError
 from calicopin.subscription.leases import LeaseBounds, LeaseTable
@@ -586,7 +586,7 @@
         """Appends to the source, which the node reads at its next check."""
         with open(self.log, "a", encoding="ascii") as file:
             file.writelines(json.dumps(each) + "\n" for each in entries)
-        self.loop.now.now += LOOK
+        self.loop.now.now += POLL_INTERVAL_MS
 
     def kill(self):
         """Ends the node without notifying anyone."""
@@ -594,7 +594,7 @@
         self.loop.cancel(self.source.task)
         self.loop.close(self.server.listener)
         for connection in list(self.server.connections):
-            self.server._hang_up(connection)
+            self.server._close_connection(connection)
 
 
 @pytest.fixture
@@ -662,7 +662,7 @@
     subscriber.use(41)
     run_until(loop, lambda: subscriber.use(41) is Standing.KNOWN)
     node.kill()
-    loop.now.now += LOOK
+    loop.now.now += POLL_INTERVAL_MS
     with open(log, "a", encoding="ascii") as file:
         file.write(json.dumps(entry("e-41", 41, "left")) + "\n" + json.dumps(entry("g-41", 41)) + "\n")
     run_until(loop, lambda: subscriber.nodes.current is None)
