--- a/calicopin/command/__main__.py
+++ b/calicopin/command/__main__.py
@@ -27,7 +27,7 @@
     try:
         return read(path, os.environ, overrides)
     except UnusableError as fault:
-        fail(fault.faults)
+        fail(fault.findings)
 
 
 def parse_overrides(_, __, values):
@@ -114,7 +114,7 @@
         sys.exit(
             Sidecar(
                 file,
-                configuration.sheet.courier.listen,
+                configuration.configuration.courier.listen,
                 list(application),
                 lambda line: click.echo(line, err=True),
             ).run()
@@ -138,12 +138,12 @@
         try:
             faults, doubts = checks.examine(read(file, os.environ, overrides))
         except UnusableError as fault:
-            faults, doubts = fault.faults, []
+            faults, doubts = fault.findings, []
         has_faults = has_faults or bool(faults)
         for kind, group in (("fault", faults), ("doubt", doubts)):
             for finding in group:
                 findings.append(
-                    dict(file=file, kind=kind, place=finding.place, why=finding.why, do=finding.do)
+                    dict(file=file, kind=kind, place=finding.place, why=finding.reason, do=finding.remedy)
                 )
                 if not as_json:
                     click.echo(f"{kind}: {finding}")
@@ -168,9 +168,9 @@
     if application is None:
         raise click.UsageError("give a description, or --example to see one")
     try:
-        text = write.compose(write.application(application), application)
+        text = write.compose(write.read_description(application), application)
     except UnusableError as fault:
-        fail(fault.faults)
+        fail(fault.findings)
     if output is None:
         click.echo(text, nl=False)
         return
@@ -178,7 +178,7 @@
     try:
         faults, doubts = checks.examine(read(output))
     except UnusableError as fault:
-        faults, doubts = fault.faults, []
+        faults, doubts = fault.findings, []
     for finding in [*faults, *doubts]:
         click.echo(str(finding), err=True)
     click.echo(f"{output} written" + (", but it is not sound: correct the description" if faults else ""))
@@ -209,7 +209,9 @@
 @click.argument("new", type=click.Path())
 def diff(old, new):
     """Lists what changes from OLD to NEW, and whether SIGHUP is enough or a restart is needed."""
-    differences = compare.changes(load_configuration(old).sheet, load_configuration(new).sheet)
+    differences = compare.changes(
+        load_configuration(old).configuration, load_configuration(new).configuration
+    )
     for key, before, after, when in differences:
         click.echo(f"{when:8} {describe_change(key, before, after)}")
     if not differences:
@@ -225,9 +227,9 @@
     configuration = load_configuration(file, overrides)
     file_names = {}
     for table in ("product", "kind", "partner"):
-        for number, entry in enumerate(getattr(configuration.sheet, table)):
+        for number, entry in enumerate(getattr(configuration.configuration, table)):
             file_names[f"{table}[{entry.name}]"] = f"{table}[{number}]"
-    for key, value in compare.whole(configuration.sheet).items():
+    for key, value in compare.all_values(configuration.configuration).items():
         file_key = key
         for name, number in file_names.items():
             file_key = file_key.replace(name, number) if file_key.startswith(name) else file_key
@@ -297,19 +299,19 @@
         configuration = read(old, {}, ())
         sheet, lost = migrate.migrate(configuration, senders, reports, once_only)
     except UnusableError as fault:
-        fail(fault.faults)
-    for key, before, after, _ in compare.changes(configuration.sheet, sheet):
+        fail(fault.findings)
+    for key, before, after, _ in compare.changes(configuration.configuration, sheet):
         click.echo(f"changed: {describe_change(key, before, after)}")
     for place, why in lost:
         click.echo(f"not carried over: {place}: {why}")
-    if faults := migrate.faults(sheet, configuration):
-        fail([*faults, f"nothing written: the counterpart of {old} would not be sound"], 1)
+    if errors := migrate.check_migrated(sheet, configuration):
+        fail([*errors, f"nothing written: the counterpart of {old} would not be sound"], 1)
     if dry_run:
-        click.echo(migrate.written(sheet), nl=False)
+        click.echo(migrate.render(sheet), nl=False)
         return
     if os.path.exists(output):
         fail([f"{output}: is there already; nothing written, give another name or move the file"])
-    replace_file(output, migrate.written(sheet).encode())
+    replace_file(output, migrate.render(sheet).encode())
     click.echo(f"{output} written")
 
 
@@ -328,7 +330,7 @@
     try:
         listed, _ = partners.load(file)
     except UnusableError as fault:
-        fail(fault.faults, 1)
+        fail(fault.findings, 1)
     click.echo(f"{file}: {len(listed)} partners sealed")
 
 
@@ -351,7 +353,7 @@
 @click.option("--json", "as_json", is_flag=True)
 def status(where, as_json):
     """Shows the status of a running courier; WHERE is its configuration or its address."""
-    address = load_configuration(where).sheet.courier.listen if where.endswith(".toml") else where
+    address = load_configuration(where).configuration.courier.listen if where.endswith(".toml") else where
     host, _, port = address.rpartition(":")
     try:
         connection = (
--- a/calicopin/configuration/check.py
+++ b/calicopin/configuration/check.py
@@ -30,7 +30,7 @@
     def __init__(self, loaded):
         self.loaded, self.configuration, self.errors, self.warnings, self.durations_ms = (
             loaded,
-            loaded.sheet,
+            loaded.configuration,
             [],
             [],
             {},
@@ -406,7 +406,7 @@
             except TemporarilyUnreadableError:
                 raise
             except UnusableError as error:
-                self.errors += error.faults
+                self.errors += error.findings
                 return
             place = lambda key: f"{origin.get(key, path)}: {key}"  # noqa: E731
         self.errors += partner_list.check_partners(partners, configuration, place)
--- a/calicopin/configuration/compare.py
+++ b/calicopin/configuration/compare.py
@@ -29,7 +29,7 @@
         yield key, value
 
 
-def whole(configuration):
+def all_values(configuration):
     """Every flat key with its value, including defaults."""
 
     def to_plain(value):
@@ -63,7 +63,7 @@
     """(key, before, after, "SIGHUP" or "restart") of every key that differs; None stands for a missing
     key.
     """
-    before, after = whole(old), whole(new)
+    before, after = all_values(old), all_values(new)
     return [
         (key, before.get(key), after.get(key), "SIGHUP" if is_reloadable(key) else "restart")
         for key in dict.fromkeys([*before, *after])
--- a/calicopin/configuration/convert.py
+++ b/calicopin/configuration/convert.py
@@ -88,7 +88,7 @@
 def to_platform(loaded):
     """The platform's JSON as an object, from a configuration that was read and has no errors."""
     configuration, folder = (
-        loaded.sheet,
+        loaded.configuration,
         os.path.dirname(os.path.abspath(loaded.paths[-1])) if loaded.paths else os.getcwd(),
     )
     courier = configuration.courier
--- a/calicopin/configuration/migrate.py
+++ b/calicopin/configuration/migrate.py
@@ -39,7 +39,7 @@
     (None: as before); `once_only` names products that may no longer run twice. UnusableError where a name is
     not in the file or the courier's own number is not below the number of senders.
     """
-    configuration, not_carried_over, findings = copy.deepcopy(loaded.sheet), [], []
+    configuration, not_carried_over, findings = copy.deepcopy(loaded.configuration), [], []
     names = [product.name for product in configuration.product]
     for name in once_only:
         if name not in names:
@@ -123,7 +123,7 @@
     return configuration, not_carried_over
 
 
-def written(configuration):
+def render(configuration):
     """The text of the new file; defaults are left out."""
     return (
         "# Written by `calicopin migrate`; docs/migration.md has the steps of the move.\n"
@@ -131,6 +131,6 @@
     )
 
 
-def faults(configuration, loaded):
+def check_migrated(configuration, loaded):
     """The errors that `calicopin check` would report for the new file, by key."""
     return check.examine(LoadedConfiguration(configuration, {}, loaded.paths))[0]
--- a/calicopin/configuration/read.py
+++ b/calicopin/configuration/read.py
@@ -25,22 +25,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One problem: where it is, what is wrong (`why`), and what to do about it (`do`)."""
+    """One problem: where it is, what is wrong (`reason`), and what to do about it (`remedy`)."""
 
     place: str
-    why: str
-    do: str = ""
+    reason: str
+    remedy: str = ""
 
     def __str__(self):
-        return f"{self.place}: {self.why}" + (f"; {self.do}" if self.do else "")
+        return f"{self.place}: {self.reason}" + (f"; {self.remedy}" if self.remedy else "")
 
 
 class UnusableError(Exception):
-    """A configuration that cannot be used; `faults` holds at least one finding."""
+    """A configuration that cannot be used; `findings` holds at least one finding."""
 
-    def __init__(self, faults):
-        super().__init__("\n".join(map(str, faults)))
-        self.faults = list(faults)
+    def __init__(self, findings):
+        super().__init__("\n".join(map(str, findings)))
+        self.findings = list(findings)
 
 
 class TemporarilyUnreadableError(UnusableError):
@@ -54,7 +54,7 @@
     `origin` holds where each key was set, by its flat form such as `product[0].sla`.
     """
 
-    sheet: Configuration
+    configuration: Configuration
     origin: dict = field(default_factory=dict)
     paths: list = field(default_factory=list)
 
--- a/calicopin/configuration/startup.py
+++ b/calicopin/configuration/startup.py
@@ -8,7 +8,7 @@
     """A configuration that a courier does not start with; one line for each finding."""
 
 
-def platform_form(path, environ):
+def load_for_start(path, environ):
     """(the platform's JSON as an object, the configuration); ConfigurationRefusedError where the file has
     errors, OSError where it cannot be read at the moment.
     """
@@ -21,10 +21,10 @@
         raise ConfigurationRefusedError(str(error)) from None
     if findings:
         raise ConfigurationRefusedError("\n".join(map(str, findings)))
-    return convert.to_platform(loaded), loaded.sheet
+    return convert.to_platform(loaded), loaded.configuration
 
 
-def lister(configuration):
+def partner_list_loader(configuration):
     """A function that loads the places of a watched file; it raises ValueError with what is wrong, OSError
     where the file cannot be read at the moment.
     """
--- a/calicopin/configuration/write.py
+++ b/calicopin/configuration/write.py
@@ -63,7 +63,7 @@
 REPEAT_BY_ANSWER = {"yes": "resendable", "with-reference": "referenced", "no": "once-only"}
 
 
-def application(path):
+def read_description(path):
     """The description in a file; UnusableError with one line that names the place."""
     tables, origins, _ = load_toml(path)
     try:
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -96,7 +96,7 @@
             self.runtime.notices.move(post.discovery)
         elif post.notices and old.notices:
             self.runtime.notices.move(post.notices)
-        if post.sheet and not (post.discovery or old.discovery or self.subscribes or post.nodes):
+        if post.configuration and not (post.discovery or old.discovery or self.subscribes or post.nodes):
             self.apply_partner_list(post, old)
         if post.descriptors != old.descriptors:
             budget = Budget(post.descriptors, old.terms["familyInfo"]["workers"], bool(old.admin))
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -44,7 +44,7 @@
     disk: int
     configured_list: dict
     terms: dict
-    sheet: object = None  # the operator's .toml file, if there is one
+    configuration: object = None  # the operator's .toml file, if there is one
     partner_file: str = ""  # the path of a watched list of partners
     notices: str = ""
     status: bool = False
@@ -72,14 +72,14 @@
     """Reads the configuration from the file named by `LB_CONFIG`; for addresses and the folder, environment
     variables take precedence. After a reload (`renewed`) the file's discovery address precedes the variable.
     """
-    path, sheet = environ["LB_CONFIG"], None
+    path, operator_configuration = environ["LB_CONFIG"], None
     admin_address, listening_socket, handover_folder = (
         environ.get(name, "") for name in ("LB_ADMIN_ADDR", "LB_PASSED_SOCKET", "TMPDIR")
     )
     if path.endswith(".toml"):  # imported only here: a courier on the platform doesn't need it
-        from calicopin.configuration.startup import platform_form
+        from calicopin.configuration.startup import load_for_start
 
-        configuration, sheet = platform_form(path, environ)
+        configuration, operator_configuration = load_for_start(path, environ)
         environ = {}
     else:
         configuration = json.loads(system.read(path))
@@ -102,7 +102,7 @@
         name=configuration.get("name") or environ.get("LB_NAME", "courier"),
         listen=environ.get("LB_LISTEN") or configuration["listen"],
         discovery=check_address(preferred or fallback)
-        if preferred or fallback or not (sheet or subscription)
+        if preferred or fallback or not (operator_configuration or subscription)
         else "",
         admin=check_address(admin_address) if admin_address else "",
         listening_socket=listening_socket,
@@ -113,7 +113,7 @@
         disk=int(float(limits.get("disk_mb") or 3) * 1e6),
         configured_list=configuration.get("known") or {"version": 0, "full": True, "servers": []},
         terms=configuration["settings"],
-        sheet=sheet,
+        configuration=operator_configuration,
         partner_file=configuration.get("watched", ""),
         notices=configuration.get("notices", ""),
         status=bool(configuration.get("status")),
@@ -229,11 +229,11 @@
         if fetch_all:
             runtime.await_first_list(discovery)
     else:
-        from calicopin.configuration.startup import lister
+        from calicopin.configuration.startup import partner_list_loader
 
         runtime.current = True
         discovery = (
-            ListFile(loop, post.partner_file, lister(post.sheet), runtime.update_list)
+            ListFile(loop, post.partner_file, partner_list_loader(post.configuration), runtime.update_list)
             if post.partner_file
             else None
         )
@@ -297,7 +297,7 @@
         lock, taker, post = acquire_folder(post, environ, signal_reader, system)
         if post is None:
             return
-    elif post.sheet:  # on the platform each courier has a folder of its own
+    elif post.configuration:  # on the platform each courier has a folder of its own
         lock = patiently(system, system.lock, post.folder)
     loop = patiently(system, lambda: Loop(system=system))
     try:
--- a/tests/configuration_helper.py
+++ b/tests/configuration_helper.py
@@ -79,7 +79,7 @@
     try:
         return check.examine(read(str(path)))[0]
     except UnusableError as error:
-        return error.faults
+        return error.findings
 
 
 class SilentSignalReader:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -263,7 +263,7 @@
         result = CliRunner().invoke(main, ["write", str(app), "-o", str(made)])
         assert result.exit_code == 0, result.output
         assert "#" in made.read_text() and CliRunner().invoke(main, ["check", str(made)]).exit_code == 0
-        configuration = read(str(made)).sheet
+        configuration = read(str(made)).configuration
         runtime, loop, signal_reader = start(made)
         peer = client(loop, configuration.courier.listen)
         peer.say(
@@ -307,7 +307,7 @@
         {"CALICOPIN_COURIER__SLOTS": "12", "CALICOPIN_COURIER__TRIES": "5"},
         [("courier.tries", "6")],
     )
-    courier = loaded.sheet.courier
+    courier = loaded.configuration.courier
     assert (courier.held, courier.disk, courier.slots, courier.tries) == (50, "2MB", 12, 6)
     assert (
         loaded.origin["courier.slots"] == "$CALICOPIN_COURIER__SLOTS"
@@ -330,7 +330,7 @@
     applied = {
         key: when
         for key, _, _, when in compare.changes(
-            read(str(tmp_path / "a.toml")).sheet, read(str(tmp_path / "b.toml")).sheet
+            read(str(tmp_path / "a.toml")).configuration, read(str(tmp_path / "b.toml")).configuration
         )
     }
     assert applied == {
@@ -363,7 +363,7 @@
         assert convert.to_platform(loaded)["settings"]["ceilings"].get("giveBack", True) is want
         found = check.examine(loaded)[0]
         assert len(found) == faults and all(
-            "give_back" in one.place and "none to close" in one.why for one in found
+            "give_back" in one.place and "none to close" in one.reason for one in found
         )
     for ceilings, want in (
         ({"idleClose": 10.0}, True),
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -36,7 +36,7 @@
     new = tmp_path / "new.toml"
     result = run_migrate(tmp_path, "-o", str(new), "--senders", "200", "--no-reports", "--once-only", "order")
     assert result.exit_code == 0, result.output
-    configuration = read(str(new)).sheet
+    configuration = read(str(new)).configuration
     assert (configuration.courier.senders, configuration.courier.give_back, configuration.reports) == (
         200,
         True,
--- a/tests/test_subscription_settings.py
+++ b/tests/test_subscription_settings.py
@@ -56,10 +56,10 @@
 
 def test_a_changed_list_of_nodes_applies_at_sighup_and_another_fleet_needs_a_restart(tmp_path):
     (tmp_path / "a").mkdir(), (tmp_path / "b").mkdir()
-    old = read(str(write_config(tmp_path / "a", NODES_OPTIONS))).sheet
+    old = read(str(write_config(tmp_path / "a", NODES_OPTIONS))).configuration
     new = read(
         str(write_config(tmp_path / "b", NODES_OPTIONS.replace("7002", "7003").replace("lahore", "quetta")))
-    ).sheet
+    ).configuration
     when = {key: at for key, _, _, at in compare.changes(old, new)}
     assert when == {"courier.nodes": "SIGHUP", "courier.fleet": "restart"}
 
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -8,7 +8,7 @@
 
 from calicopin.configuration import partners
 from calicopin.configuration.read import read
-from calicopin.configuration.startup import lister
+from calicopin.configuration.startup import partner_list_loader
 from calicopin.lifecycle.renewal import Renewal
 from calicopin.lifecycle.start import posted
 from calicopin.wire.listfile import LOOK, ListFile
@@ -36,12 +36,12 @@
     (tmp_path / "list.toml").write_bytes(partner_list(5))
     text = put("zones =", 'partners_file = "list.toml"\nzones =').split("[[partner]]")[0]
     (tmp_path / "c.toml").write_text(text)
-    return read(str(tmp_path / "c.toml")).sheet
+    return read(str(tmp_path / "c.toml")).configuration
 
 
 def test_a_list_truncated_at_any_byte_is_refused(tmp_path):
     sheet, whole = watched(tmp_path), partner_list(5)
-    load, path = lister(sheet), tmp_path / "list.toml"
+    load, path = partner_list_loader(sheet), tmp_path / "list.toml"
     for size in range(len(whole) - 1):
         rewrite(path, whole[:size])
         with pytest.raises(ValueError):
@@ -56,7 +56,7 @@
     file = ListFile(
         loop,
         str(path),
-        lister(sheet),
+        partner_list_loader(sheet),
         lambda places, whole: lists.append(sorted(one.address for one in places)),
     )
     valid, accepted = [partner_list(number, 7000 + 10 * number) for number in range(1, 6)], 0
