--- a/tests/configuration_helper.py
+++ b/tests/configuration_helper.py
@@ -70,7 +70,7 @@
 """
 
 
-def put(old, new):
+def base_with(old, new):
     assert BASE.count(old) >= 1, old
     return BASE.replace(old, new, 1)
 
@@ -110,7 +110,7 @@
     )
 
 
-def calicopin(*arguments, **options):
+def run_calicopin(*arguments, **options):
     env = {key: value for key, value in os.environ.items() if not key.startswith(("LB_", "CALICOPIN_"))}
     return subprocess.run(
         [sys.executable, "-m", "calicopin", *arguments],
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -6,20 +6,20 @@
 import sys
 
 from click.testing import CliRunner
-from configuration_helper import calicopin, findings, put
+from configuration_helper import base_with, findings, run_calicopin
 from helper import free_address
 
 from calicopin.command.__main__ import main
 
 
 def test_without_arguments_and_variables_it_prints_its_usage():
-    completed = calicopin()
+    completed = run_calicopin()
     assert "Usage: calicopin" in completed.stdout + completed.stderr and "Traceback" not in completed.stderr
 
 
 def test_a_folder_held_by_another_courier_is_refused(tmp_path):
     listen = free_address()
-    (tmp_path / "c.toml").write_text(put("127.0.0.1:5000", listen))
+    (tmp_path / "c.toml").write_text(base_with("127.0.0.1:5000", listen))
     first = subprocess.Popen(
         [sys.executable, "-m", "calicopin", "run", str(tmp_path / "c.toml")],
         stderr=subprocess.PIPE,
@@ -27,13 +27,13 @@
     )
     try:
         assert any("ready on" in line for line in iter(first.stderr.readline, ""))
-        second = calicopin("run", str(tmp_path / "c.toml"))
+        second = run_calicopin("run", str(tmp_path / "c.toml"))
         assert (
             second.returncode == 2
             and "held by another courier" in second.stderr
             and "Traceback" not in second.stderr
         )
-        assert "tells no status" in calicopin("status", str(tmp_path / "c.toml")).stderr
+        assert "tells no status" in run_calicopin("status", str(tmp_path / "c.toml")).stderr
     finally:
         first.terminate()
         assert first.wait(10) == 0
@@ -41,7 +41,7 @@
 
 def test_a_courier_on_a_unix_socket_reports_its_status(tmp_path):
     (tmp_path / "c.toml").write_text(
-        put("127.0.0.1:5000", f"unix:{tmp_path}/s").replace("held = 50", "held = 50\nstatus = true")
+        base_with("127.0.0.1:5000", f"unix:{tmp_path}/s").replace("held = 50", "held = 50\nstatus = true")
     )
     for _ in range(2):  # the second start finds the socket of the killed first one
         courier = subprocess.Popen(
@@ -51,11 +51,11 @@
         )
         try:
             assert any("ready on" in line for line in iter(courier.stderr.readline, ""))
-            completed = calicopin("status", str(tmp_path / "c.toml"), "--json")
+            completed = run_calicopin("status", str(tmp_path / "c.toml"), "--json")
             assert [
                 destination["destination"] for destination in json.loads(completed.stdout)["destinations"]
             ] == [1, 2]
-            assert "destination  mode" in calicopin("status", str(tmp_path / "c.toml")).stdout
+            assert "destination  mode" in run_calicopin("status", str(tmp_path / "c.toml")).stdout
         finally:
             courier.kill()
             courier.wait(10)
@@ -71,5 +71,5 @@
 
 
 def test_the_demo_loses_no_message():
-    completed = calicopin("demo", "--seconds", "3", "--rate", "20")
+    completed = run_calicopin("demo", "--seconds", "3", "--rate", "20")
     assert completed.returncode == 0 and " 0 without an end" in completed.stdout.replace("\n", " ")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -6,7 +6,7 @@
 
 import pytest
 from click.testing import CliRunner
-from configuration_helper import BASE, findings, put, start
+from configuration_helper import BASE, base_with, findings, start
 from helper import client, free_address, terms
 
 from calicopin import deployment_settings as deployment
@@ -20,95 +20,123 @@
     (b"\xff\xfe\x00v", "c.toml", "UTF-16"),
     (BASE.encode() + b"# \xe9", "c.toml:57", "not UTF-8"),
     (b"x" * (5 << 20), "c.toml", "over 4 MiB"),
-    (put("version = 1", "version = 2"), "c.toml:1", "newer"),
-    (put("version = 1", 'version = "1"'), "c.toml:1", "expected `int`"),
-    (put("version = 1\n", ""), "c.toml", "add version"),
-    (put("[courier]", "[courier"), "c.toml:4", "correct the TOML"),
-    (put("slots = 10", "slots = "), "c.toml:8", "invalid value"),
-    (put("held = 50", "hold = 50"), "c.toml:9: courier.hold", "did you mean 'held'"),
-    (put("[[product]]", "[[products]]"), "products", "did you mean 'product'"),
-    (put('sla = "4s"', "sla = 4"), "c.toml:16: product[0].sla", 'as in "4s"'),
-    (put('sla = "4s"', 'sla = "4"'), "c.toml:16: product[0].sla", '"4s"'),
-    (put('sla = "4s"', 'sla = "4 parsecs"'), "c.toml:16: product[0].sla", "unit ms, s, m or h"),
-    (put('disk = "1MB"', 'disk = "1M"'), "c.toml:11: courier.disk", "kB, MB, GB"),
-    (put('disk = "1MB"', "disk = 1000000"), "c.toml:11: courier.disk", '"3MB"'),
-    (put("slots = 10", "slots = 0"), "c.toml:8: courier.slots", ">= 1"),
-    (put("held = 50", 'held = 50\nadmin = "127.0.0.1"'), "courier.admin", "is no address"),
-    (put("held = 50", 'held = 50\nadmin = "127.0.0.1:5000"'), "courier.admin", "already used by listen"),
-    (put("slots = 10", "slots = true"), "c.toml:8: courier.slots", "`int`"),
-    (put("slots = 10", "slots = 100"), "c.toml:10: courier.descriptors", "raise it to 216"),
-    (put("descriptors = 200", "descriptors = 32"), "c.toml:10: courier.descriptors", "slots"),
-    (put("held = 50", "held = 5000"), "c.toml:11: courier.disk", "raise disk or lower held"),
-    (put("held = 50", "held = 5"), "c.toml:9: courier.held", "fewer than its 10 slots"),
-    (put("127.0.0.1:5000", "localhost:5000"), "c.toml:6: courier.listen", "names are not looked up"),
-    (put("127.0.0.1:5000", "127.0.0.1"), "c.toml:6: courier.listen", "no address"),
-    (put("127.0.0.1:5000", "127.0.0.1:70000"), "c.toml:6: courier.listen", "no port"),
-    (put("127.0.0.1:5000", "unix:run/x"), "c.toml:6: courier.listen", "absolute"),
-    (put("127.0.0.1:5000", "127.0.0.1:6001"), "partner[0].endpoint[0].address", "courier itself listens"),
-    (put('listen = "127.0.0.1:5000"\n', ""), "c.toml:4: courier", "add listen"),
-    (put('state = "state"', 'state = "c.toml"'), "c.toml:7: courier.state", "is not a folder"),
-    (put('state = "state"', 'state = "/dev/null/at/all"'), "c.toml:7: courier.state", "Not a directory"),
+    (base_with("version = 1", "version = 2"), "c.toml:1", "newer"),
+    (base_with("version = 1", 'version = "1"'), "c.toml:1", "expected `int`"),
+    (base_with("version = 1\n", ""), "c.toml", "add version"),
+    (base_with("[courier]", "[courier"), "c.toml:4", "correct the TOML"),
+    (base_with("slots = 10", "slots = "), "c.toml:8", "invalid value"),
+    (base_with("held = 50", "hold = 50"), "c.toml:9: courier.hold", "did you mean 'held'"),
+    (base_with("[[product]]", "[[products]]"), "products", "did you mean 'product'"),
+    (base_with('sla = "4s"', "sla = 4"), "c.toml:16: product[0].sla", 'as in "4s"'),
+    (base_with('sla = "4s"', 'sla = "4"'), "c.toml:16: product[0].sla", '"4s"'),
+    (base_with('sla = "4s"', 'sla = "4 parsecs"'), "c.toml:16: product[0].sla", "unit ms, s, m or h"),
+    (base_with('disk = "1MB"', 'disk = "1M"'), "c.toml:11: courier.disk", "kB, MB, GB"),
+    (base_with('disk = "1MB"', "disk = 1000000"), "c.toml:11: courier.disk", '"3MB"'),
+    (base_with("slots = 10", "slots = 0"), "c.toml:8: courier.slots", ">= 1"),
+    (base_with("held = 50", 'held = 50\nadmin = "127.0.0.1"'), "courier.admin", "is no address"),
     (
-        put('repeat = "referenced"', 'repeat = "keyed"'),
+        base_with("held = 50", 'held = 50\nadmin = "127.0.0.1:5000"'),
+        "courier.admin",
+        "already used by listen",
+    ),
+    (base_with("slots = 10", "slots = true"), "c.toml:8: courier.slots", "`int`"),
+    (base_with("slots = 10", "slots = 100"), "c.toml:10: courier.descriptors", "raise it to 216"),
+    (base_with("descriptors = 200", "descriptors = 32"), "c.toml:10: courier.descriptors", "slots"),
+    (base_with("held = 50", "held = 5000"), "c.toml:11: courier.disk", "raise disk or lower held"),
+    (base_with("held = 50", "held = 5"), "c.toml:9: courier.held", "fewer than its 10 slots"),
+    (base_with("127.0.0.1:5000", "localhost:5000"), "c.toml:6: courier.listen", "names are not looked up"),
+    (base_with("127.0.0.1:5000", "127.0.0.1"), "c.toml:6: courier.listen", "no address"),
+    (base_with("127.0.0.1:5000", "127.0.0.1:70000"), "c.toml:6: courier.listen", "no port"),
+    (base_with("127.0.0.1:5000", "unix:run/x"), "c.toml:6: courier.listen", "absolute"),
+    (
+        base_with("127.0.0.1:5000", "127.0.0.1:6001"),
+        "partner[0].endpoint[0].address",
+        "courier itself listens",
+    ),
+    (base_with('listen = "127.0.0.1:5000"\n', ""), "c.toml:4: courier", "add listen"),
+    (base_with('state = "state"', 'state = "c.toml"'), "c.toml:7: courier.state", "is not a folder"),
+    (
+        base_with('state = "state"', 'state = "/dev/null/at/all"'),
+        "c.toml:7: courier.state",
+        "Not a directory",
+    ),
+    (
+        base_with('repeat = "referenced"', 'repeat = "keyed"'),
         "c.toml:15: product[0].repeat",
         "invalid enum value 'keyed'",
     ),
-    (put('memory = "15s"\n', ""), "product[0]", "how long partners remember a reference"),
-    (put('memory = "15s"', 'memory = "2s"'), "c.toml:18: product[0].memory", "before a text's SLA time"),
+    (base_with('memory = "15s"\n', ""), "product[0]", "how long partners remember a reference"),
+    (
+        base_with('memory = "15s"', 'memory = "2s"'),
+        "c.toml:18: product[0].memory",
+        "before a text's SLA time",
+    ),
     (
-        put('repeat = "referenced"', 'repeat = "once-only"'),
+        base_with('repeat = "referenced"', 'repeat = "once-only"'),
         "c.toml:18: product[0].memory",
         "no reference is ever sent",
     ),
-    (put('validity = "24s"', 'validity = "3s"'), "c.toml:16: product[0].sla", "longer than the validity"),
-    (put('validity = "24s"', 'validity = "25h"'), "c.toml:17: product[0].validity", "over a day"),
-    (put('sla = "1.5s"', 'sla = "0s"'), "c.toml:23: product[1].sla", "an SLA time of 0 cannot be met"),
-    (put('validity = "5s"', 'validity = "2s"'), "c.toml:24: product[1].validity", "one failed call"),
     (
-        put('answers = "300ms"', 'answers = "6s"'),
+        base_with('validity = "24s"', 'validity = "3s"'),
+        "c.toml:16: product[0].sla",
+        "longer than the validity",
+    ),
+    (base_with('validity = "24s"', 'validity = "25h"'), "c.toml:17: product[0].validity", "over a day"),
+    (base_with('sla = "1.5s"', 'sla = "0s"'), "c.toml:23: product[1].sla", "an SLA time of 0 cannot be met"),
+    (base_with('validity = "5s"', 'validity = "2s"'), "c.toml:24: product[1].validity", "one failed call"),
+    (
+        base_with('answers = "300ms"', 'answers = "6s"'),
         "c.toml:24: product[1].validity",
         "before any of its partners answers",
     ),
-    (put('disk = "1MB"', 'disk = "1MB"\nconnect = "6s"'), "courier.connect", "must leave time"),
+    (base_with('disk = "1MB"', 'disk = "1MB"\nconnect = "6s"'), "courier.connect", "must leave time"),
     (
-        put('kinds = ["gateway"]', 'kinds = ["carrier"]'),
+        base_with('kinds = ["gateway"]', 'kinds = ["carrier"]'),
         "c.toml:25: product[1].kinds",
         "not a kind of partner",
     ),
-    (put('kinds = ["gateway"]', 'kinds = "gateway"'), "c.toml:25: product[1].kinds", "`array`"),
-    (put('name = "stock"', 'name = "order"'), "c.toml:21: product[1].name", "is used twice"),
-    (put('name = "stock"', 'name = "sto/ck"'), "c.toml:21: product[1].name", "regex"),
-    (put('kind = "gateway"', 'kind = "gatway"'), "c.toml:39: partner[0].kind", "not a kind of partner"),
+    (base_with('kinds = ["gateway"]', 'kinds = "gateway"'), "c.toml:25: product[1].kinds", "`array`"),
+    (base_with('name = "stock"', 'name = "order"'), "c.toml:21: product[1].name", "is used twice"),
+    (base_with('name = "stock"', 'name = "sto/ck"'), "c.toml:21: product[1].name", "regex"),
+    (base_with('kind = "gateway"', 'kind = "gatway"'), "c.toml:39: partner[0].kind", "not a kind of partner"),
     (
-        put('kind = "shop"', 'kind = "shop"\nproducts = ["stock"]'),
+        base_with('kind = "shop"', 'kind = "shop"\nproducts = ["stock"]'),
         "partner[1].products",
         "may go to gateway only",
     ),
     (
-        put('kind = "shop"', 'kind = "shop"\nproducts = ["stok"]'),
+        base_with('kind = "shop"', 'kind = "shop"\nproducts = ["stok"]'),
         "partner[1].products",
         "there is no product",
     ),
-    (put('kind = "gateway"', 'kind = "shop"'), "c.toml:25: product[1].kinds", "no partner is of such a kind"),
-    (put("destination = 2", "destination = 1"), "partner[1].destination", "is the number of 'first' as well"),
     (
-        put("127.0.0.1:6003", "127.0.0.1:6001"),
+        base_with('kind = "gateway"', 'kind = "shop"'),
+        "c.toml:25: product[1].kinds",
+        "no partner is of such a kind",
+    ),
+    (
+        base_with("destination = 2", "destination = 1"),
+        "partner[1].destination",
+        "is the number of 'first' as well",
+    ),
+    (
+        base_with("127.0.0.1:6003", "127.0.0.1:6001"),
         "partner[1].endpoint[0].address",
         "is the address of 'first' as well",
     ),
-    (put("127.0.0.1:6002", "127.0.0.300:6002"), "partner[0].endpoint[1].address", "no address"),
-    (put('zone = "b"', 'zone = "c"'), "partner[0].endpoint[1].zone", "not one of the zones"),
-    (put("limit = 4.0", "limit = 0.01"), "partner[0].limit", "leave this one 0.24 calls"),
-    (put('zones = ["a", "b"]', 'zones = ["a", "a", "b"]'), "c.toml:2: zones", "twice"),
-    (put("held = 50", 'held = 50\nagent = "127.0.0.1:8500"'), "partner", "given twice"),
+    (base_with("127.0.0.1:6002", "127.0.0.300:6002"), "partner[0].endpoint[1].address", "no address"),
+    (base_with('zone = "b"', 'zone = "c"'), "partner[0].endpoint[1].zone", "not one of the zones"),
+    (base_with("limit = 4.0", "limit = 0.01"), "partner[0].limit", "leave this one 0.24 calls"),
+    (base_with('zones = ["a", "b"]', 'zones = ["a", "a", "b"]'), "c.toml:2: zones", "twice"),
+    (base_with("held = 50", 'held = 50\nagent = "127.0.0.1:8500"'), "partner", "given twice"),
     (BASE.split("[[partner]]")[0], "courier", "no list of partners"),
-    (put("held = 50", "held = 50\nnumber = 1"), "courier.number", "count from 0"),
-    (put("held = 50", 'held = 50\ntick = "2s"'), "courier.tick", "two turns"),
-    (put("zones =", 'include = ["nowhere.toml"]\nzones ='), "nowhere.toml", "No such file"),
-    (put("zones =", 'include = ["c.toml"]\nzones ='), "include", "remove the cycle"),
-    (put("zones =", 'partners_file = "list.toml"\nzones ='), "partners_file", "given twice"),
-    (put("held = 50", 'held = 50\ndurability = "machine"'), "courier.durability", "only segments"),
-    (put("held = 50", "held = 50\nheld = 60"), "c.toml:10", "overwrite"),
+    (base_with("held = 50", "held = 50\nnumber = 1"), "courier.number", "count from 0"),
+    (base_with("held = 50", 'held = 50\ntick = "2s"'), "courier.tick", "two turns"),
+    (base_with("zones =", 'include = ["nowhere.toml"]\nzones ='), "nowhere.toml", "No such file"),
+    (base_with("zones =", 'include = ["c.toml"]\nzones ='), "include", "remove the cycle"),
+    (base_with("zones =", 'partners_file = "list.toml"\nzones ='), "partners_file", "given twice"),
+    (base_with("held = 50", 'held = 50\ndurability = "machine"'), "courier.durability", "only segments"),
+    (base_with("held = 50", "held = 50\nheld = 60"), "c.toml:10", "overwrite"),
 ]
 
 
@@ -300,7 +328,7 @@
 def test_variables_override_files_and_the_command_line_overrides_variables(tmp_path):
     (tmp_path / "common.toml").write_text('[courier]\nslots = 3\nheld = 44\ndisk = "2MB"\n')
     (tmp_path / "c.toml").write_text(
-        put("zones =", 'include = ["common.toml"]\nzones =').replace('disk = "1MB"\n', "")
+        base_with("zones =", 'include = ["common.toml"]\nzones =').replace('disk = "1MB"\n', "")
     )
     loaded = read(
         str(tmp_path / "c.toml"),
@@ -325,7 +353,7 @@
 def test_diff_reports_which_changes_a_running_courier_applies(tmp_path):
     (tmp_path / "a.toml").write_text(BASE)
     (tmp_path / "b.toml").write_text(
-        put('disk = "1MB"', 'disk = "2MB"').replace("slots = 10", "slots = 11").replace("6003", "6004")
+        base_with('disk = "1MB"', 'disk = "2MB"').replace("slots = 10", "slots = 11").replace("6003", "6004")
     )
     applied = {
         key: when
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from configuration_helper import calicopin, put
+from configuration_helper import base_with, run_calicopin
 from courier_helper import CourierFixture
 from helper import answer, free_address, spin
 from loguru import logger
@@ -19,7 +19,7 @@
 def test_a_json_log_has_one_object_per_line_with_stable_names(tmp_path):
     listen = free_address()
     (tmp_path / "c.toml").write_text(
-        put("127.0.0.1:5000", listen).replace("held = 50", 'held = 50\nlog = "json"')
+        base_with("127.0.0.1:5000", listen).replace("held = 50", 'held = 50\nlog = "json"')
     )
     courier_process = subprocess.Popen(
         [sys.executable, "-m", "calicopin", "run", str(tmp_path / "c.toml")],
@@ -63,7 +63,7 @@
 def test_a_log_that_cannot_be_written_does_not_stop_the_courier(tmp_path):
     listen = free_address()
     (tmp_path / "c.toml").write_text(
-        put("127.0.0.1:5000", listen).replace("held = 50", 'held = 50\nlog = "json"\nstatus = true')
+        base_with("127.0.0.1:5000", listen).replace("held = 50", 'held = 50\nlog = "json"\nstatus = true')
     )
     with open("/dev/full", "w", encoding="utf-8") as full:
         courier_process = subprocess.Popen(
@@ -71,7 +71,7 @@
         )
         try:
             for _ in range(100):
-                if calicopin("status", str(tmp_path / "c.toml")).returncode == 0:
+                if run_calicopin("status", str(tmp_path / "c.toml")).returncode == 0:
                     break
             else:
                 raise AssertionError("it never became ready")
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from configuration_helper import BASE, calicopin, put
+from configuration_helper import BASE, base_with, run_calicopin
 from helper import free_address
 
 APPLICATION = """
@@ -27,10 +27,10 @@
 def run_beside(tmp_path, script):
     listen = free_address()
     (tmp_path / "c.toml").write_text(
-        put("127.0.0.1:5000", listen).replace("held = 50", "held = 50\nstatus = true")
+        base_with("127.0.0.1:5000", listen).replace("held = 50", "held = 50\nstatus = true")
     )
     (tmp_path / "app.py").write_text(APPLICATION + script)
-    return calicopin("run", str(tmp_path / "c.toml"), "--", sys.executable, str(tmp_path / "app.py"))
+    return run_calicopin("run", str(tmp_path / "c.toml"), "--", sys.executable, str(tmp_path / "app.py"))
 
 
 def test_a_courier_starts_before_its_application_and_stops_after_it(tmp_path):
@@ -72,7 +72,7 @@
 
 def test_an_application_is_not_started_if_its_courier_does_not_start(tmp_path):
     (tmp_path / "c.toml").write_text(BASE.replace('sla = "4s"', 'sla = "40s"'))
-    completed = calicopin("run", str(tmp_path / "c.toml"), "--", "/bin/echo", "started")
+    completed = run_calicopin("run", str(tmp_path / "c.toml"), "--", "/bin/echo", "started")
     assert (
         completed.returncode == 2
         and "started" not in completed.stdout
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from configuration_helper import put, start
+from configuration_helper import base_with, start
 from helper import Clock, Rebooted, client, free_address, spin
 
 from calicopin.configuration import partners
@@ -34,7 +34,7 @@
 
 def watched(tmp_path):
     (tmp_path / "list.toml").write_bytes(partner_list(5))
-    text = put("zones =", 'partners_file = "list.toml"\nzones =').split("[[partner]]")[0]
+    text = base_with("zones =", 'partners_file = "list.toml"\nzones =').split("[[partner]]")[0]
     (tmp_path / "c.toml").write_text(text)
     return read(str(tmp_path / "c.toml")).configuration
 
@@ -126,7 +126,7 @@
     (tmp_path / "list.toml").write_bytes(partner_list(2))
     listen = free_address()
     text = (
-        put("127.0.0.1:5000", listen)
+        base_with("127.0.0.1:5000", listen)
         .replace("zones =", 'partners_file = "list.toml"\nzones =')
         .split("[[partner]]")[0]
     )
@@ -153,7 +153,7 @@
 
 def test_a_sighup_loads_a_valid_file_and_ignores_an_invalid_one(tmp_path):
     path, listen = tmp_path / "c.toml", free_address()
-    path.write_text(put("127.0.0.1:5000", listen))
+    path.write_text(base_with("127.0.0.1:5000", listen))
     runtime, loop, signal_reader = start(path)
     environ = {"LB_CONFIG": str(path)}
     renewal = Renewal(
