--- a/calicopin/configuration/check.py
+++ b/calicopin/configuration/check.py
@@ -311,7 +311,7 @@
                 "give 1ms to 1s; 5ms is usual",
             )
         if self.durations_ms["courier.list_age"] <= 0.0:
-            self.add_error("courier.list_age", "no list is as new as that", "give a time; 24h is usual")
+            self.add_error("courier.list_age", "must be longer than 0", "give a time; 24h is usual")
         if courier.durability == "machine" and courier.store != "segments":
             self.add_error(
                 "courier.durability",
--- a/calicopin/configuration/units.py
+++ b/calicopin/configuration/units.py
@@ -14,7 +14,7 @@
     match = DURATION.fullmatch(text.strip()) if isinstance(text, str) else None
     if not match:
         hint = f', as in "{text}s" or "{text}ms"' if str(text).replace(".", "", 1).isdigit() else ""
-        raise ValueError(f"{text!r} is no time: give a number with its unit ms, s, m or h{hint}")
+        raise ValueError(f"{text!r} is not a duration: give a number with its unit ms, s, m or h{hint}")
     return float(match[1]) * MS_PER_UNIT[match[2]]
 
 
@@ -54,7 +54,7 @@
         socket.inet_aton(host)
     except OSError:
         raise ValueError(
-            f"{text!r} is no address: give it as 10.0.0.4:5000 (names are not looked up)"
+            f"{text!r} is not an address: give it as 10.0.0.4:5000 (names are not looked up)"
         ) from None
     if not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r} has no port between 1 and 65535")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -33,7 +33,7 @@
     (base_with('disk = "1MB"', 'disk = "1M"'), "c.toml:11: courier.disk", "kB, MB, GB"),
     (base_with('disk = "1MB"', "disk = 1000000"), "c.toml:11: courier.disk", '"3MB"'),
     (base_with("slots = 10", "slots = 0"), "c.toml:8: courier.slots", ">= 1"),
-    (base_with("held = 50", 'held = 50\nadmin = "127.0.0.1"'), "courier.admin", "is no address"),
+    (base_with("held = 50", 'held = 50\nadmin = "127.0.0.1"'), "courier.admin", "is not an address"),
     (
         base_with("held = 50", 'held = 50\nadmin = "127.0.0.1:5000"'),
         "courier.admin",
@@ -45,7 +45,7 @@
     (base_with("held = 50", "held = 5000"), "c.toml:11: courier.disk", "raise disk or lower held"),
     (base_with("held = 50", "held = 5"), "c.toml:9: courier.held", "fewer than its 10 slots"),
     (base_with("127.0.0.1:5000", "localhost:5000"), "c.toml:6: courier.listen", "names are not looked up"),
-    (base_with("127.0.0.1:5000", "127.0.0.1"), "c.toml:6: courier.listen", "no address"),
+    (base_with("127.0.0.1:5000", "127.0.0.1"), "c.toml:6: courier.listen", "is not an address"),
     (base_with("127.0.0.1:5000", "127.0.0.1:70000"), "c.toml:6: courier.listen", "no port"),
     (base_with("127.0.0.1:5000", "unix:run/x"), "c.toml:6: courier.listen", "absolute"),
     (
@@ -124,7 +124,7 @@
         "partner[1].endpoint[0].address",
         "is the address of 'first' as well",
     ),
-    (base_with("127.0.0.1:6002", "127.0.0.300:6002"), "partner[0].endpoint[1].address", "no address"),
+    (base_with("127.0.0.1:6002", "127.0.0.300:6002"), "partner[0].endpoint[1].address", "is not an address"),
     (base_with('zone = "b"', 'zone = "c"'), "partner[0].endpoint[1].zone", "not one of the zones"),
     (base_with("limit = 4.0", "limit = 0.01"), "partner[0].limit", "leave this one 0.24 calls"),
     (base_with('zones = ["a", "b"]', 'zones = ["a", "a", "b"]'), "c.toml:2: zones", "twice"),
--- a/tests/test_subscription_settings.py
+++ b/tests/test_subscription_settings.py
@@ -67,14 +67,18 @@
 @pytest.mark.parametrize(
     "options,place,why",
     [
-        (NODES_OPTIONS.replace("127.0.0.1:7002", "node-2:7002"), "courier.nodes: ", "is no address"),
-        (NODES_OPTIONS.replace("127.0.0.1:7002", "127.0.0.1"), "courier.nodes: '127.0.0.1'", "is no address"),
+        (NODES_OPTIONS.replace("127.0.0.1:7002", "node-2:7002"), "courier.nodes: ", "is not an address"),
+        (
+            NODES_OPTIONS.replace("127.0.0.1:7002", "127.0.0.1"),
+            "courier.nodes: '127.0.0.1'",
+            "is not an address",
+        ),
         (NODES_OPTIONS.replace("7002", "7001"), "courier.nodes: 127.0.0.1:7001", "twice"),
         (NODES_OPTIONS.replace("7002", "5000"), "courier.nodes: 127.0.0.1:5000", "itself listens"),
         (NODES_OPTIONS.split("\nfleet")[0], "c.toml:4: courier", "which fleet"),
         ('held = 50\nfleet = "lahore"', "courier.fleet", "no nodes"),
-        (NODES_OPTIONS + '\nlist_age = "0s"', "courier.list_age", "as new as that"),
-        (NODES_OPTIONS + '\nlist_age = "soon"', "courier.list_age", "no time"),
+        (NODES_OPTIONS + '\nlist_age = "0s"', "courier.list_age", "must be longer than 0"),
+        (NODES_OPTIONS + '\nlist_age = "soon"', "courier.list_age", "is not a duration"),
         (NODES_OPTIONS + "\nnode = 3", "courier", "node"),
         (
             NODES_OPTIONS.replace('["127.0.0.1:7001", "127.0.0.1:7002"]', '"127.0.0.1:7001"'),
