--- a/calicopin/soak/fleet.py
+++ b/calicopin/soak/fleet.py
@@ -186,14 +186,16 @@
         await asyncio.sleep(drain_seconds)
         self.platform.put_endpoint(endpoint_entry(destination, listed[0], LEFT))
 
-    async def restart(self, couriers: list[CourierProcess], down: float = 0.0, gently: bool = False) -> None:
-        """Stops couriers by SIGKILL (`gently`: SIGTERM) and starts new processes after `down` seconds.
+    async def restart(
+        self, couriers: list[CourierProcess], down: float = 0.0, graceful: bool = False
+    ) -> None:
+        """Stops couriers by SIGKILL (`graceful`: SIGTERM) and starts new processes after `down` seconds.
 
         The new processes use the same folders and are configured with the endpoint list that was last sent to
         their predecessors.
         """
         ended_at, known = time.monotonic(), self.platform.last_sent
-        if gently:
+        if graceful:
             codes = await asyncio.gather(*(asyncio.to_thread(each.terminate) for each in couriers))
             for courier, code in zip(couriers, codes, strict=True):
                 if code != 0:
@@ -214,7 +216,7 @@
 
     # Traffic.
 
-    async def hand_in(
+    async def send_message(
         self, courier: CourierProcess, destination: int, product: str, validity: float, key: str | None = None
     ) -> int:
         """Sends one message with an id of its own; returns the status as `Clients.send` does."""
--- a/calicopin/soak/run.py
+++ b/calicopin/soak/run.py
@@ -117,9 +117,9 @@
         if name in ORDERED_PRODUCTS:
             key = f"k{self.rng.randrange(KEYS_PER_COURIER)}"
             async with self.key_locks[courier.name, key]:
-                status = await self.fleet.hand_in(courier, destination, name, validity, key)
+                status = await self.fleet.send_message(courier, destination, name, validity, key)
         else:
-            status = await self.fleet.hand_in(courier, destination, name, validity)
+            status = await self.fleet.send_message(courier, destination, name, validity)
         self.refused += status in (429, 503)
         if status == 404:
             self.fleet.record.crashes.append(f"{courier.name} does not know destination {destination}")
--- a/tests/test_restart_in_outage.py
+++ b/tests/test_restart_in_outage.py
@@ -27,7 +27,7 @@
 async def hand_in_everywhere(fleet, product):
     statuses = await asyncio.gather(
         *(
-            fleet.hand_in(courier, 0, product, VALIDITY_S)
+            fleet.send_message(courier, 0, product, VALIDITY_S)
             for courier in fleet.couriers
             for _ in range(MESSAGES)
         )
@@ -46,7 +46,7 @@
         assert await hand_in_everywhere(fleet, "order") > COURIERS
         await wait_until(lambda: all(knows_outage(courier) for courier in fleet.couriers))
         if restart != NONE:
-            await fleet.restart(fleet.couriers, gently=restart == TERMINATED)
+            await fleet.restart(fleet.couriers, graceful=restart == TERMINATED)
         fleet.record.failures = fleet.failures()
         outage = await fleet.end_outage(0)
         await hand_in_everywhere(fleet, "order")
