--- a/calicopin/subscription/session.py
+++ b/calicopin/subscription/session.py
@@ -33,8 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """The next request; `index` is the version in its query (None: omitted). `answered_immediately`: the node answers it
-    without waiting. `released` are the unsubscribed destinations that were forgotten with it."""
+    """The next request; `index` is the version in its query (None: omitted). `answered_immediately`: the
+    node answers it without waiting. `released` are the unsubscribed destinations that were forgotten with
+    it."""
 
     node: str
     request: SubscribeRequest
@@ -211,7 +212,7 @@
 
     def answered(self, answer: SubscribeAnswer, places: list[Place]) -> AnswerContent:
         """Processes the answer to the last request; `places` are its decoded entries. Raises MessageError if
-        the answer is inconsistent; the lease is then abandoned and the known state kept."""
+        the answer is inconsistent; the lease is then dropped and the known state kept."""
         try:
             self._check(answer, places)
         except MessageError:
