--- a/calicopin/subscription/interest.py
+++ b/calicopin/subscription/interest.py
@@ -11,9 +11,8 @@
 from dataclasses import dataclass
 
 IDLE_TIMEOUT_MS = 600000.0  # ms after its last use until a destination that is not in use is removed
-IDLE_JITTER_FRACTION = (
-    0.5  # random extension, as a fraction of IDLE_TIMEOUT_MS: spreads removals over many requests
-)
+# random extension, as a fraction of IDLE_TIMEOUT_MS: spreads removals over many requests
+IDLE_JITTER_FRACTION = 0.5
 RECHECK_INTERVAL_MS = 30000.0  # between two checks of an idle destination that is still in use
 MAX_DESTINATIONS = 100_000  # maximum number of destinations of one courier
 # after the set was found full of destinations in use, it is not searched for room again within this time
