--- a/calicopin/configuration/check.py
+++ b/calicopin/configuration/check.py
@@ -30,7 +30,7 @@
     def __init__(self, loaded):
         self.loaded, self.configuration, self.errors, self.warnings, self.durations_ms = (
             loaded,
-            loaded.sheet,
+            loaded.configuration,
             [],
             [],
             {},
@@ -311,7 +311,7 @@
                 "give 1ms to 1s; 5ms is usual",
             )
         if self.durations_ms["courier.list_age"] <= 0.0:
-            self.add_error("courier.list_age", "no list is as new as that", "give a time; 24h is usual")
+            self.add_error("courier.list_age", "must be longer than 0", "give a time; 24h is usual")
         if courier.durability == "machine" and courier.store != "segments":
             self.add_error(
                 "courier.durability",
@@ -406,7 +406,7 @@
             except TemporarilyUnreadableError:
                 raise
             except UnusableError as error:
-                self.errors += error.faults
+                self.errors += error.findings
                 return
             place = lambda key: f"{origin.get(key, path)}: {key}"  # noqa: E731
         self.errors += partner_list.check_partners(partners, configuration, place)
--- a/tests/configuration_helper.py
+++ b/tests/configuration_helper.py
@@ -70,7 +70,7 @@
 """
 
 
-def put(old, new):
+def base_with(old, new):
     assert BASE.count(old) >= 1, old
     return BASE.replace(old, new, 1)
 
@@ -79,7 +79,7 @@
     try:
         return check.examine(read(str(path)))[0]
     except UnusableError as error:
-        return error.faults
+        return error.findings
 
 
 class SilentSignalReader:
@@ -110,7 +110,7 @@
     )
 
 
-def calicopin(*arguments, **options):
+def run_calicopin(*arguments, **options):
     env = {key: value for key, value in os.environ.items() if not key.startswith(("LB_", "CALICOPIN_"))}
     return subprocess.run(
         [sys.executable, "-m", "calicopin", *arguments],
