--- a/calicopin/emulator/__main__.py
+++ b/calicopin/emulator/__main__.py
@@ -207,17 +207,17 @@
 @click.option("--log/--no-log", default=False, help="The couriers' own lines too.")
 def play(scenario, seed, fault, kills, ident, log):
     """One run, told in plain words, with the referee's reasons at its end."""
-    day, referee, cpu = runs.play(read(scenario), seed, fault, kills=tuple(kills or ()))
-    lines = story(day.world.trace, ident)
+    simulation, referee, cpu = runs.play(read(scenario), seed, fault, kills=tuple(kills or ()))
+    lines = story(simulation.world.trace, ident)
     if log:
-        lines += [f"{at:12.1f} ms  {who} {level} {line}" for at, who, level, line in day.lines]
+        lines += [f"{at:12.1f} ms  {who} {level} {line}" for at, who, level, line in simulation.log_lines]
         lines.sort(key=lambda line: float(line.split(" ms", 1)[0]))
     for line in lines:
         click.echo(line)
     for one in referee.breaks:
         click.echo(f"BROKEN {one}")
     click.echo(json.dumps(referee.figures()))
-    click.echo(f"digest {day.world.digest()}, {day.world.now / 1000.0:.1f} s in {cpu:.2f} s")
+    click.echo(f"digest {simulation.world.digest()}, {simulation.world.now / 1000.0:.1f} s in {cpu:.2f} s")
     sys.exit(1 if referee.breaks else 0)
 
 
--- a/calicopin/emulator/day.py
+++ b/calicopin/emulator/day.py
@@ -21,9 +21,13 @@
 from calicopin.emulator.standins import Clients, Operator, Partners, Platform, Registry
 from calicopin.emulator.world import World
 
-OPENING = 1000.0  # couriers start, clients come after it
-AFTER = 1500.0  # beyond the last validity period
-REPEATS = {"resendable": "read_like", "referenced": "idempotency_key", "once-only": "non_idempotent"}
+CLIENTS_START_MS = 1000.0  # couriers start, clients come after it
+RUN_OUT_MS = 1500.0  # beyond the last validity period
+IDEMPOTENCY_OF_REPEAT = {
+    "resendable": "read_like",
+    "referenced": "idempotency_key",
+    "once-only": "non_idempotent",
+}
 
 
 def settings(scenario, number):
@@ -32,7 +36,7 @@
     grades = [
         dict(
             name=product.name,
-            idempotency=REPEATS[product.repeat],
+            idempotency=IDEMPOTENCY_OF_REPEAT[product.repeat],
             aim=product.sla_s,
             giveUp=product.validity_s,
             points=product.revenue,
@@ -58,7 +62,7 @@
             fades="linear",
         ),
         ceilings=dict(
-            mostHeld=couriers.held,
+            mostHeld=couriers.stalled,
             tryLimit=couriers.tries,
             connectTimeout=couriers.connect_ms / 1000.0,
             idleClose=couriers.idle_s,
@@ -79,19 +83,19 @@
     )
 
 
-def shares(scenario):
+def traffic_shares(scenario):
     """The share of the traffic that each destination gets."""
-    made = [
+    weights = [
         (partner.share / partner.destinations * (rank + 1) ** -scenario.traffic.tail)
         for _, partner, rank in scenario.destinations()
     ]
-    return [share / sum(made) for share in made]
+    return [share / sum(weights) for share in weights]
 
 
 def arrivals(scenario, world):
     """The texts of a run, in the order in which they are due: the same whatever the couriers do."""
-    traffic, rng = scenario.traffic, world.chance("traffic")
-    weights, now, number, out = shares(scenario), 0.0, 0, []
+    traffic, rng = scenario.traffic, world.random_stream("traffic")
+    weights, now, number, texts = traffic_shares(scenario), 0.0, 0, []
     products, mix = scenario.product, [product.share for product in scenario.product]
     bursts = [trouble for trouble in scenario.trouble if trouble.kind in ("burst", "clump")]
     while True:
@@ -102,24 +106,24 @@
             rate *= 0.3
         elif traffic.shape == "ramp":
             rate *= 0.2 + 1.6 * now / (scenario.length_s * 1000.0)
-        aim = None
+        target = None
         for burst in bursts:
             if burst.at_s * 1000.0 <= now < (burst.at_s + burst.for_s) * 1000.0:
                 rate *= 1.0 + burst.size
                 if burst.kind == "clump" and rng.random() < burst.size / (1.0 + burst.size):
                     kind, _, name = burst.whom.partition(":")
-                    aim = int(name) if kind == "destination" else 0
+                    target = int(name) if kind == "destination" else 0
         now += rng.expovariate(rate / 1000.0)
         if now >= scenario.length_s * 1000.0:
-            return out
+            return texts
         product = rng.choices(range(len(products)), mix)[0]
-        dest = aim if aim is not None else rng.choices(range(len(weights)), weights)[0]
+        dest = target if target is not None else rng.choices(range(len(weights)), weights)[0]
         kind = products[product]
         key = f"k{rng.randrange(kind.keys)}" if kind.in_order else None
         reference = f"r{number:08x}" if kind.repeat == "referenced" else None
         low, high = traffic.body
         body = b"%d:" % number + bytes(rng.randrange(low, high + 1))
-        out.append(
+        texts.append(
             dict(
                 number=number,
                 dest=dest,
@@ -127,21 +131,21 @@
                 key=key,
                 reference=reference,
                 body=body,
-                due=OPENING + now,
-                until=OPENING + now + kind.validity_s * 1000.0,
+                due=CLIENTS_START_MS + now,
+                until=CLIENTS_START_MS + now + kind.validity_s * 1000.0,
             )
         )
         number += 1
 
 
-def drawn(scenario, world):
+def draw_troubles(scenario, world):
     """The troubles of a run: those that are written down, and those that the seed draws."""
-    out = list(scenario.trouble)
+    troubles = list(scenario.trouble)
     if scenario.mixed:
-        rng = world.chance("troubles")
+        rng = world.random_stream("troubles")
         for _ in range(scenario.mixed.troubles):
             kind = rng.choice(scenario.mixed.kinds)
-            at = rng.uniform(0.05, 0.8) * scenario.length_s
+            begin_s = rng.uniform(0.05, 0.8) * scenario.length_s
             size = {
                 "errors": 0.4,
                 "answers-lost": 0.3,
@@ -160,13 +164,13 @@
                 "disk-short": 0.5,
                 "disk-slow": 40.0,
             }.get(kind, 1.0)
-            out.append(
-                Trouble(kind=kind, at_s=round(at, 3), for_s=round(rng.uniform(1.0, 9.0), 3), size=size)
+            troubles.append(
+                Trouble(kind=kind, at_s=round(begin_s, 3), for_s=round(rng.uniform(1.0, 9.0), 3), size=size)
             )
-    return sorted(out, key=lambda trouble: trouble.at_s)
+    return sorted(troubles, key=lambda trouble: trouble.at_s)
 
 
-class Day:
+class Simulation:
     """A scenario and a seed, played by `play`; the trace lies in `world.trace`.
 
     `begin` is the program under test. `kills` are the numbers of system calls at which the first courier's
@@ -175,13 +179,18 @@
 
     def __init__(self, scenario, seed, begin, troubles=None, texts=None, kills=()):
         self.scenario, self.seed, self.world = scenario, seed, World(seed)
-        world, net = self.world, scenario.net
-        self.net = Network(world, net.latency_ms, net.bandwidth_mb_s * 1000.0, net.pieces)
-        self.net.far, self.net.outer = (
-            net.partner_ms,
+        world, network_settings = self.world, scenario.net
+        self.net = Network(
+            world,
+            network_settings.latency_ms,
+            network_settings.bandwidth_mb_s * 1000.0,
+            network_settings.pieces,
+        )
+        self.net.far_latency_range, self.net.far_prefixes = (
+            network_settings.partner_ms,
             tuple(
-                f"10.{part}."
-                for part in (
+                f"10.{octet}."
+                for octet in (
                     6,
                     *range(
                         10,
@@ -192,28 +201,30 @@
                 )
             ),
         )
-        self.rng = world.chance("day")
-        self.troubles = drawn(scenario, world) if troubles is None else list(troubles)
-        with_drawn = msgspec.structs.replace(scenario, trouble=tuple(self.troubles), mixed=None)
-        self.texts = arrivals(with_drawn, world) if texts is None else texts
+        self.rng = world.random_stream("day")
+        self.troubles = draw_troubles(scenario, world) if troubles is None else list(troubles)
+        scenario_with_troubles = msgspec.structs.replace(scenario, trouble=tuple(self.troubles), mixed=None)
+        self.texts = arrivals(scenario_with_troubles, world) if texts is None else texts
         self.products = scenario.product
         self.partners = Partners(
-            world, self.net, lambda end: self.hosts.get(end.peer.machine.address, "nobody")
+            world, self.net, lambda end: self.courier_by_host.get(end.peer.machine.address, "nobody")
         )
-        self.destinations, self.list = {}, {}
+        self.destinations, self.server_list = {}, {}
         for number, partner, _ in scenario.destinations():
             self._destination(number, partner)
-        self.hosts, self.couriers, self.platforms, self.registry = {}, [], {}, Registry()
+        self.courier_by_host, self.couriers, self.platforms, self.registry = {}, [], {}, Registry()
         self.nodes = Nodes(self)
         for number in range(scenario.couriers.count):
             self._courier(number, begin)
         self.clients = Clients(world, self.net, scenario.traffic, self.products, self.couriers)
         self.clients.front = scenario.couriers.front
         self.operator = Operator(world, self.net)
-        self.spare, self.lines = len(self.list), []
+        self.endpoints_created, self.log_lines = len(self.server_list), []
         if kills:
-            self.couriers[0].planned.extend(kills)
-            self.couriers[0].replaced = lambda one: world.after(scenario.couriers.restart_ms, self.start, one)
+            self.couriers[0].planned_kills.extend(kills)
+            self.couriers[0].on_killed_in_call = lambda one: world.call_later(
+                scenario.couriers.restart_ms, self.start, one
+            )
 
     # The parties.
 
@@ -243,7 +254,7 @@
         )
         for endpoint in endpoints:
             self.partners.listen(destination, endpoint)
-            self.list[endpoint.ident] = self._entry(endpoint, destination)
+            self.server_list[endpoint.ident] = self._entry(endpoint, destination)
 
     def _courier(self, number, begin):
         couriers, name = self.scenario.couriers, f"courier{number}"
@@ -265,72 +276,74 @@
             begin,
             environ,
             couriers.descriptors,
-            self.world.chance(name),
+            self.world.random_stream(name),
             couriers.pass_ms,
             couriers.short,
         )
-        process.number_ = number
+        process.slot_number = number
         late = tuple(self.scenario.platform.late_ms)
         self.platforms[name] = platform = Platform(
             self.world,
             self.net,
             name,
             agent,
-            self.list,
+            self.server_list,
             late,
-            self.world.chance(f"{name} agent"),
+            self.world.random_stream(f"{name} agent"),
             self.registry,
         )
         platform.heard = lambda *notice: self.clients.noticed(*notice)
-        self.hosts[host] = name
+        self.courier_by_host[host] = name
         self.couriers.append(process)
         process.config = self.config(process, platform)
-        process.first = platform.known()
+        process.initial_list = platform.known()
 
     def config(self, process, platform, **other):
         couriers, seed = (
             self.scenario.couriers,
-            zlib.crc32(f"{self.seed}/{process.name}/{process.number}".encode()),
+            zlib.crc32(f"{self.seed}/{process.name}/{process.start_count}".encode()),
         )
-        told = {
+        config = {
             "name": process.name,
             "listen": process.environ["LB_LISTEN"],
             "seed": f"{seed:x}",
             "discovery": process.environ["LB_DISCOVERY"],
             "limits": {"sockets": couriers.descriptors, "disk_mb": couriers.disk_mb},
             "known": platform.known(),
-            "settings": settings(self.scenario, process.number_),
+            "settings": settings(self.scenario, process.slot_number),
             "store": couriers.store,
         }
-        return json.dumps(told | self.nodes.told() | other).encode()
+        return json.dumps(config | self.nodes.told() | other).encode()
 
     def start(self, process):
-        if process.over:
+        if process.ended:
             platform = self.platforms[process.name]
             stale = self.scenario.platform.stale and self.rng.random() < self.scenario.platform.stale
             process.disk.files["config"] = bytearray(
-                self.config(process, platform, **({"known": process.first} if stale else {}))
+                self.config(process, platform, **({"known": process.initial_list} if stale else {}))
             )
-            process.disk.room = float("inf")
+            process.disk.capacity = float("inf")
             process.start()
-            self.world.after(1.0, self.ready, process, process.number)
+            self.world.call_later(1.0, self.check_ready, process, process.start_count)
 
-    def ready(self, process, number):
+    def check_ready(self, process, number):
         """The platform sees that it listens."""
-        if process.number == number and not process.over:
+        if process.start_count == number and not process.ended:
             if 5000 in self.net.machine(process.host).listeners:
-                self.world.note("ready", process.name)
+                self.world.record("ready", process.name)
             else:
-                self.world.after(5.0, self.ready, process, number)
+                self.world.call_later(5.0, self.check_ready, process, number)
 
     # Troubles.
 
-    def whom(self, trouble):
+    def targets(self, trouble):
         """The destinations or couriers that a trouble meets."""
         kind, _, name = trouble.whom.partition(":")
         if trouble.kind in PARTNER_TROUBLES or trouble.kind in ("publish", "withdraw"):
             if kind == "partner":
-                return [one for one in self.destinations.values() if one.spec.name == name]
+                return [
+                    destination for destination in self.destinations.values() if destination.spec.name == name
+                ]
             return [
                 self.destinations[int(name)]
                 if kind == "destination"
@@ -340,205 +353,209 @@
             return [self.couriers[int(name)]]
         return [self.rng.choice(self.couriers)]
 
-    def strike(self, trouble):
+    def begin_trouble(self, trouble):
         if trouble.kind in ("burst", "clump"):  # in the traffic
             return
         if trouble.kind in SUBSCRIPTION_TROUBLES:
-            self.nodes.strike(trouble)
+            self.nodes.begin_trouble(trouble)
             return
-        what, lasts = trouble.kind.replace("-", "_"), trouble.for_s * 1000.0
+        handler, duration = trouble.kind.replace("-", "_"), trouble.for_s * 1000.0
         if trouble.kind in PARTNER_TROUBLES:
-            for one in self.whom(trouble):
-                self.world.note("trouble", trouble.kind, f"destination {one.number}", lasts)
-                getattr(self, f"_{what}", self._mode)(one, trouble, lasts)
+            for one in self.targets(trouble):
+                self.world.record("trouble", trouble.kind, f"destination {one.number}", duration)
+                getattr(self, f"_{handler}", self._set_mode)(one, trouble, duration)
         elif trouble.kind in COURIER_TROUBLES:
-            for one in self.whom(trouble):
-                self.world.note("trouble", trouble.kind, one.name, lasts)
-                getattr(self, f"_{what}")(one, trouble, lasts)
+            for one in self.targets(trouble):
+                self.world.record("trouble", trouble.kind, one.name, duration)
+                getattr(self, f"_{handler}")(one, trouble, duration)
         else:
-            self.world.note("trouble", trouble.kind, trouble.whom, lasts)
-            getattr(self, f"_{what}")(trouble, lasts)
+            self.world.record("trouble", trouble.kind, trouble.whom, duration)
+            getattr(self, f"_{handler}")(trouble, duration)
 
-    def _mode(self, one, trouble, lasts):
-        one.begin(trouble.kind, trouble.size)
+    def _set_mode(self, destination, trouble, duration):
+        destination.begin(trouble.kind, trouble.size)
         if trouble.kind == "refuse":
-            for endpoint in one.endpoints:
+            for endpoint in destination.endpoints:
                 self.partners.restart(endpoint)
-        one.shut_until = max(one.shut_until, self.world.now + lasts)
-        self.world.after(lasts, one.end, trouble.kind)
+        destination.shut_until = max(destination.shut_until, self.world.now + duration)
+        self.world.call_later(duration, destination.end, trouble.kind)
 
-    def _limit(self, one, trouble, lasts):
-        one.factor = trouble.size
-        self.world.after(lasts, setattr, one, "factor", 1.0)
+    def _limit(self, destination, trouble, duration):
+        destination.limit_factor = trouble.size
+        self.world.call_later(duration, setattr, destination, "limit_factor", 1.0)
 
-    def _vanish(self, one, trouble, lasts):
-        one.begin("vanish")
-        for endpoint in one.endpoints:
-            self.net.vanish(self.net.machine(endpoint.host))
-        self.world.after(lasts, self._reappear, one)
+    def _vanish(self, destination, trouble, duration):
+        destination.begin("vanish")
+        for endpoint in destination.endpoints:
+            self.net.take_down(self.net.machine(endpoint.host))
+        self.world.call_later(duration, self._end_vanish, destination)
 
-    def _reappear(self, one):
-        for endpoint in one.endpoints:
+    def _end_vanish(self, destination):
+        for endpoint in destination.endpoints:
             self.net.machine(endpoint.host).up = True
-            self.partners.listen(one, endpoint)
-        one.end("vanish")
+            self.partners.listen(destination, endpoint)
+        destination.end("vanish")
 
-    def _stall_some(self, one, trouble, lasts):
-        endpoint = self.rng.choice(one.endpoints)
-        endpoint.held = True
-        self.world.after(lasts, setattr, endpoint, "held", False)
+    def _stall_some(self, destination, trouble, duration):
+        endpoint = self.rng.choice(destination.endpoints)
+        endpoint.stalled = True
+        self.world.call_later(duration, setattr, endpoint, "stalled", False)
 
-    def _drain(self, one, trouble, lasts):
+    def _drain(self, destination, trouble, duration):
         """An endpoint leaves, and another may come in its place at once."""
-        endpoint = self.rng.choice(one.endpoints)
-        if endpoint.state != "active" or sum(e.state == "active" for e in one.endpoints) < 2:
+        endpoint = self.rng.choice(destination.endpoints)
+        if endpoint.state != "active" or sum(e.state == "active" for e in destination.endpoints) < 2:
             return
         endpoint.state = "leaving"
-        self.tell(one, endpoint, "leaving")
-        self.world.after(lasts + 6000.0, self._left, one, endpoint)
-
-    def _left(self, one, endpoint):
-        self.tell(one, endpoint, "left")
-        one.endpoints.remove(endpoint)
-
-    def _replace(self, one, trouble, lasts):
-        self.spare += 1
-        fresh = Endpoint(
-            f"e{one.number}.n{self.spare}",
-            f"10.6.{self.spare // 200}.{self.spare % 200}",
-            f"z{self.spare % one.spec.zones}",
+        self.announce(destination, endpoint, "leaving")
+        self.world.call_later(duration + 6000.0, self._remove_endpoint, destination, endpoint)
+
+    def _remove_endpoint(self, destination, endpoint):
+        self.announce(destination, endpoint, "left")
+        destination.endpoints.remove(endpoint)
+
+    def _replace(self, destination, trouble, duration):
+        self.endpoints_created += 1
+        endpoint = Endpoint(
+            f"e{destination.number}.n{self.endpoints_created}",
+            f"10.6.{self.endpoints_created // 200}.{self.endpoints_created % 200}",
+            f"z{self.endpoints_created % destination.spec.zones}",
         )
-        one.endpoints.append(fresh)
-        self.partners.listen(one, fresh)
-        self.tell(one, fresh, "active")
-        self._drain(one, trouble, lasts)
+        destination.endpoints.append(endpoint)
+        self.partners.listen(destination, endpoint)
+        self.announce(destination, endpoint, "active")
+        self._drain(destination, trouble, duration)
 
-    def tell(self, one, endpoint, state):
+    def announce(self, destination, endpoint, state):
         for platform in self.platforms.values():
-            platform.change(self._entry(endpoint, one, state))
-        self.nodes.source.change(self._entry(endpoint, one, state))
+            platform.change(self._entry(endpoint, destination, state))
+        self.nodes.source.change(self._entry(endpoint, destination, state))
 
-    def _kill(self, one, trouble, lasts):
+    def _kill(self, courier, trouble, duration):
         """At a call of its own choosing within the next few."""
-        one.kill_soon(self.rng.randrange(1, 400))
-        self.world.after(max(lasts, self.scenario.couriers.restart_ms), self._again, one, trouble)
+        courier.kill_after_calls(self.rng.randrange(1, 400))
+        self.world.call_later(
+            max(duration, self.scenario.couriers.restart_ms), self._restart_killed, courier, trouble
+        )
 
-    def _again(self, one, trouble):
-        if one.over:
-            self.start(one)
+    def _restart_killed(self, courier, trouble):
+        if courier.ended:
+            self.start(courier)
             if trouble.size >= 2.0 and trouble.kind == "kill":  # and again while it recovers
-                one.kill_soon(self.rng.randrange(1, 40))
-                self.world.after(self.scenario.couriers.restart_ms, self.start, one)
+                courier.kill_after_calls(self.rng.randrange(1, 40))
+                self.world.call_later(self.scenario.couriers.restart_ms, self.start, courier)
         elif trouble.kind in ("kill", "lose-machine"):  # it had little to do: killed where it waits
-            one.kill()
-            self.world.after(self.scenario.couriers.restart_ms, self.start, one)
+            courier.kill()
+            self.world.call_later(self.scenario.couriers.restart_ms, self.start, courier)
 
-    def _term(self, one, trouble, lasts):
-        one.signal(signal.SIGTERM)
-        self.world.note("term", one.name)
-        self.world.after(3700.0, self._must_end, one, one.number)
+    def _term(self, courier, trouble, duration):
+        courier.signal(signal.SIGTERM)
+        self.world.record("term", courier.name)
+        self.world.call_later(3700.0, self._kill_if_running, courier, courier.start_count)
 
-    def _must_end(self, one, number):
-        if one.number == number and not one.over:
-            one.kill()
-        self.world.after(self.scenario.couriers.restart_ms, self.start, one)
+    def _kill_if_running(self, courier, number):
+        if courier.start_count == number and not courier.ended:
+            courier.kill()
+        self.world.call_later(self.scenario.couriers.restart_ms, self.start, courier)
 
-    def _roll(self, trouble, lasts):
+    def _roll(self, trouble, duration):
         """All couriers are restarted, one after the other over that time: one is told to end, the next one
         killed outright.
         """
-        for place, one in enumerate(self.couriers):
-            self.world.after(lasts * place / len(self.couriers), self._restart, one, place % 2 == 1)
+        for place, courier in enumerate(self.couriers):
+            self.world.call_later(
+                duration * place / len(self.couriers), self._restart, courier, place % 2 == 1
+            )
 
-    def _restart(self, one, outright):
-        if one.over:
+    def _restart(self, courier, outright):
+        if courier.ended:
             return
         if not outright:
-            self._term(one, None, 0.0)
+            self._term(courier, None, 0.0)
             return
-        one.kill()
-        self.world.after(self.scenario.couriers.restart_ms, self.start, one)
+        courier.kill()
+        self.world.call_later(self.scenario.couriers.restart_ms, self.start, courier)
 
-    def _quiesce(self, one, trouble, lasts):
-        self.operator.call(one, "quiesce", "POST")
-        self.world.after(4000.0, self._emptied, one, one.number, lasts)
-        self.world.after(lasts, self.operator.call, one, "resume", "POST")
+    def _quiesce(self, courier, trouble, duration):
+        self.operator.call(courier, "quiesce", "POST")
+        self.world.call_later(4000.0, self._record_idle_connections, courier, courier.start_count, duration)
+        self.world.call_later(duration, self.operator.call, courier, "resume", "POST")
 
-    def _emptied(self, one, number, lasts):
+    def _record_idle_connections(self, courier, number, duration):
         """What clients still hold there 4 s after the call."""
-        if one.number == number and not one.over and lasts > 4000.0:
-            self.world.note("emptied", one.name, len(self.clients.idle[one.name]))
+        if courier.start_count == number and not courier.ended and duration > 4000.0:
+            self.world.record("emptied", courier.name, len(self.clients.idle[courier.name]))
 
-    def scrape(self, one):
+    def scrape(self, courier):
         """An operator's round, for as long as the run lasts; the holders' connections end and begin with
         it.
         """
-        if not one.over:
-            self.operator.call(one, "stats")
+        if not courier.ended:
+            self.operator.call(courier, "stats")
             for _ in range(self.scenario.couriers.holders):
-                self.operator.hold(one)
-        self.world.after(self.scenario.couriers.scrape_s * 1000.0, self.scrape, one)
+                self.operator.hold(courier)
+        self.world.call_later(self.scenario.couriers.scrape_s * 1000.0, self.scrape, courier)
 
-    def _reload(self, one, trouble, lasts):
-        one.disk.files["config"] = bytearray(self.config(one, self.platforms[one.name]))
-        one.signal(signal.SIGHUP)
+    def _reload(self, courier, trouble, duration):
+        courier.disk.files["config"] = bytearray(self.config(courier, self.platforms[courier.name]))
+        courier.signal(signal.SIGHUP)
 
-    def _bad_reload(self, one, trouble, lasts):
-        whole = self.config(one, self.platforms[one.name])
-        one.disk.files["config"] = bytearray(whole[: self.rng.randrange(len(whole))])
-        one.signal(signal.SIGHUP)
+    def _bad_reload(self, courier, trouble, duration):
+        config = self.config(courier, self.platforms[courier.name])
+        courier.disk.files["config"] = bytearray(config[: self.rng.randrange(len(config))])
+        courier.signal(signal.SIGHUP)
 
-    def _stand(self, one, trouble, lasts):
-        one.stand(min(lasts, 4000.0) * trouble.size)
+    def _stand(self, courier, trouble, duration):
+        courier.suspend(min(duration, 4000.0) * trouble.size)
 
-    def _lose_machine(self, one, trouble, lasts):
+    def _lose_machine(self, courier, trouble, duration):
         """Process, machine and folder are gone; it comes back empty."""
-        one.kill()
-        self.net.vanish(self.net.machine(one.host))
-        one.disk.lose()
-        self.world.note("lost-machine", one.name)
-        self.world.after(max(lasts, 1000.0), self._machine_back, one)
+        courier.kill()
+        self.net.take_down(self.net.machine(courier.host))
+        courier.disk.clear()
+        self.world.record("lost-machine", courier.name)
+        self.world.call_later(max(duration, 1000.0), self._restore_machine, courier)
 
-    def _machine_back(self, one):
-        self.net.machine(one.host).up = True
-        self.start(one)
+    def _restore_machine(self, courier):
+        self.net.machine(courier.host).up = True
+        self.start(courier)
 
-    def _disk(self, one, lasts, **values):
+    def _disk(self, courier, duration, **values):
         for name, value in values.items():
-            before = {"room": float("inf")}.get(name, 0.0)
-            setattr(one.disk, name, value)
-            self.world.after(lasts, setattr, one.disk, name, before)
-        self.world.note("disk", one.name, lasts)
+            normal = {"capacity": float("inf")}.get(name, 0.0)
+            setattr(courier.disk, name, value)
+            self.world.call_later(duration, setattr, courier.disk, name, normal)
+        self.world.record("disk", courier.name, duration)
 
-    def _disk_full(self, one, trouble, lasts):
-        self._disk(one, lasts, room=one.disk.size())
+    def _disk_full(self, courier, trouble, duration):
+        self._disk(courier, duration, capacity=courier.disk.size())
 
-    def _disk_errors(self, one, trouble, lasts):
-        self._disk(one, lasts, broken=min(1.0, trouble.size))
+    def _disk_errors(self, courier, trouble, duration):
+        self._disk(courier, duration, error_odds=min(1.0, trouble.size))
 
-    def _disk_short(self, one, trouble, lasts):
-        self._disk(one, lasts, short=min(1.0, trouble.size))
+    def _disk_short(self, courier, trouble, duration):
+        self._disk(courier, duration, short_write_odds=min(1.0, trouble.size))
 
-    def _disk_slow(self, one, trouble, lasts):
-        self._disk(one, lasts, slow=trouble.size)
+    def _disk_slow(self, courier, trouble, duration):
+        self._disk(courier, duration, write_delay_ms=trouble.size)
 
-    def _partition(self, trouble, lasts):
+    def _partition(self, trouble, duration):
         """A courier and one destination's machines cannot speak."""
         courier = self.rng.choice(self.couriers)
-        one = self.rng.choice(list(self.destinations.values()))
+        destination = self.rng.choice(list(self.destinations.values()))
         here = self.net.machine(courier.host)
-        for endpoint in one.endpoints:
+        for endpoint in destination.endpoints:
             there = self.net.machine(endpoint.host)
-            self.net.cut(here, there)
-            self.world.after(lasts, self.net.cut, here, there, False)
+            self.net.set_partition(here, there)
+            self.world.call_later(duration, self.net.set_partition, here, there, False)
 
-    def _net_slow(self, trouble, lasts):
-        self.net.slower = max(1.0, trouble.size)
-        self.world.after(lasts, setattr, self.net, "slower", 1.0)
+    def _net_slow(self, trouble, duration):
+        self.net.latency_factor = max(1.0, trouble.size)
+        self.world.call_later(duration, setattr, self.net, "latency_factor", 1.0)
 
-    def _resets(self, trouble, lasts):
+    def _resets(self, trouble, duration):
         """Connections to partners are reset one after the other."""
-        until = self.world.now + lasts
+        until = self.world.now + duration
 
         def one():
             ends = [
@@ -551,46 +568,46 @@
             ]
             if ends:
                 end = self.rng.choice(ends)
-                self.world.note("struck", self.hosts[end.machine.address])
+                self.world.record("struck", self.courier_by_host[end.machine.address])
                 end.peer.abort()
             if self.world.now < until:
-                self.world.after(self.rng.expovariate(trouble.size / 100.0), one)
+                self.world.call_later(self.rng.expovariate(trouble.size / 100.0), reset_next)
 
-        one()
+        reset_next()
 
-    def _platform_silent(self, trouble, lasts):
+    def _platform_silent(self, trouble, duration):
         for platform in self.platforms.values():
             platform.silent += 1
             platform.watchers.clear()
-            self.world.after(lasts, platform.speak)
+            self.world.call_later(duration, platform.speak)
 
-    def _platform_busy(self, trouble, lasts):
+    def _platform_busy(self, trouble, duration):
         self.registry.work = trouble.size
-        self.world.after(lasts, setattr, self.registry, "work", 0.0)
+        self.world.call_later(duration, setattr, self.registry, "work", 0.0)
 
-    def _platform_cut(self, trouble, lasts):
+    def _platform_cut(self, trouble, duration):
         """Agents are gone: not even notices are heard."""
         for platform in self.platforms.values():
             platform.machine.listeners.clear()
             for end in list(platform.machine.ends):
                 end.abort()
-            self.world.after(lasts, platform.listen)
-        self.world.note("agents-gone", lasts)
+            self.world.call_later(duration, platform.listen)
+        self.world.record("agents-gone", duration)
 
-    def _clock(self, trouble, lasts):
-        self.world.wall_step += trouble.size * 1000.0
-        self.world.after(lasts, self._clock_back, trouble.size * 1000.0)
+    def _clock(self, trouble, duration):
+        self.world.wall_clock_offset += trouble.size * 1000.0
+        self.world.call_later(duration, self._restore_clock, trouble.size * 1000.0)
 
-    def _clock_back(self, step):
-        self.world.wall_step -= step
+    def _restore_clock(self, step):
+        self.world.wall_clock_offset -= step
 
     # The run.
 
-    def length(self):
+    def length_ms(self):
         return (
-            OPENING
+            CLIENTS_START_MS
             + self.scenario.length_s * 1000.0
-            + AFTER
+            + RUN_OUT_MS
             + max(product.validity_s for product in self.products) * 1000.0
         )
 
@@ -604,15 +621,15 @@
         try:
             self.nodes.begin()
             for courier in self.couriers:
-                self.world.at(self.rng.uniform(0.0, 200.0), self.start, courier)
+                self.world.call_at(self.rng.uniform(0.0, 200.0), self.start, courier)
                 if self.scenario.couriers.scrape_s:
-                    self.world.at(OPENING, self.scrape, courier)
+                    self.world.call_at(CLIENTS_START_MS, self.scrape, courier)
             for text in self.texts:
                 courier = self.rng.choice(self.couriers)
-                self.world.at(text["due"], self.clients.hand_in, text, courier)
+                self.world.call_at(text["due"], self.clients.hand_in, text, courier)
             for trouble in self.troubles:
-                self.world.at(OPENING + trouble.at_s * 1000.0, self.strike, trouble)
-            self.world.run(self.length())
+                self.world.call_at(CLIENTS_START_MS + trouble.at_s * 1000.0, self.begin_trouble, trouble)
+            self.world.run(self.length_ms())
         finally:
             for courier in self.couriers:
                 courier.kill()
@@ -630,6 +647,6 @@
         ):  # none of this run's: another program in this process
             return
         name = process.name
-        self.lines.append((self.world.now, name, record["level"].name, record["message"]))
+        self.log_lines.append((self.world.now, name, record["level"].name, record["message"]))
         if record["exception"] is not None and not isinstance(record["exception"].value, OSError):
-            self.world.note("fault", name, f"{record['message']}: {record['exception'].value!r}")
+            self.world.record("fault", name, f"{record['message']}: {record['exception'].value!r}")
--- a/calicopin/emulator/disk.py
+++ b/calicopin/emulator/disk.py
@@ -10,10 +10,10 @@
     part), `slow` (ms a write takes).
     """
 
-    def __init__(self, rng, room=float("inf")):
-        self.rng, self.files, self.room = rng, {}, room
-        self.broken = self.short = self.slow = 0.0
-        self.written = self.most = 0
+    def __init__(self, rng, capacity=float("inf")):
+        self.rng, self.files, self.capacity = rng, {}, capacity
+        self.error_odds = self.short_write_odds = self.write_delay_ms = 0.0
+        self.bytes_written = self.peak_size = 0
 
     def size(self):
         return sum(map(len, self.files.values()))
@@ -24,24 +24,26 @@
         return bytes(self.files[path])
 
     def create(self, path):
-        if self.broken and self.rng.random() < self.broken:
+        if self.error_odds and self.rng.random() < self.error_odds:
             raise OSError(errno.EIO, "input/output error", path)
         self.files[path] = file = bytearray()
         return file
 
     def write(self, file, data):
         """As many bytes as there is room for; OSError where there is none, or by chance."""
-        if self.broken and self.rng.random() < self.broken:
+        if self.error_odds and self.rng.random() < self.error_odds:
             raise OSError(errno.EIO, "input/output error")
-        size = min(len(data), int(self.room - self.size())) if self.room != float("inf") else len(data)
+        size = (
+            min(len(data), int(self.capacity - self.size())) if self.capacity != float("inf") else len(data)
+        )
         if size <= 0 and len(data):
             raise OSError(errno.ENOSPC, "no space left on device")
-        if self.short and size > 1 and self.rng.random() < self.short:
+        if self.short_write_odds and size > 1 and self.rng.random() < self.short_write_odds:
             size = self.rng.randrange(1, size)
         file += data[:size]
-        self.written += size
-        self.most = max(self.most, self.size())
+        self.bytes_written += size
+        self.peak_size = max(self.peak_size, self.size())
         return size
 
-    def lose(self):
+    def clear(self):
         self.files.clear()
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from calicopin.emulator.day import OPENING, arrivals, drawn, settings
+from calicopin.emulator.day import CLIENTS_START_MS, arrivals, draw_troubles, settings
 from calicopin.emulator.partners import NEVER, Destination, Endpoint
 from calicopin.emulator.referee import Referee
 from calicopin.emulator.runs import Result
@@ -33,7 +33,7 @@
         )
         self.facade.listed([replace(place) for place in fleet.places], True)
         self.due, self.serial = float("inf"), 0
-        self.world.note("start", self.name)
+        self.world.record("start", self.name)
 
     def turn(self):
         """What came in is decided and carried out."""
@@ -47,11 +47,11 @@
             self.fleet.call(self, call)
         while end := facade.ended():
             if end.verdict is not None:
-                world.note("notice", self.name, end.text.ident, end.verdict, end.wait)
+                world.record("notice", self.name, end.text.ident, end.verdict, end.wait)
                 self.fleet.noticed(end.text.ident, end.verdict, end.wait)
         if due < float("inf"):
             self.serial += 1
-            world.at(max(due, world.now), self.wake, self.serial)
+            world.call_at(max(due, world.now), self.wake, self.serial)
 
     def wake(self, serial):
         if serial == self.serial:
@@ -63,7 +63,7 @@
 
     def __init__(self, scenario, seed):
         self.scenario, self.seed, self.world = scenario, seed, World(seed)
-        self.rng, self.numbers, self.calls, self.open = self.world.chance("fleet"), {}, 0, {}
+        self.rng, self.numbers, self.calls, self.open = self.world.random_stream("fleet"), {}, 0, {}
         self.destinations, self.places, self.endpoints = {}, [], {}
         for number, partner, _ in scenario.destinations():
             endpoints = [
@@ -73,7 +73,7 @@
             for endpoint in endpoints:
                 self.endpoints[endpoint.ident] = endpoint
                 self.places.append(Place(endpoint.ident, "", number, partner.name, endpoint.zone, True, 1.0))
-        self.troubles = drawn(scenario, self.world)
+        self.troubles = draw_troubles(scenario, self.world)
         self.texts = arrivals(
             msgspec.structs.replace(scenario, trouble=tuple(self.troubles), mixed=None), self.world
         )
@@ -96,7 +96,7 @@
             ident, text["dest"], text["product"], text["reference"], text["key"], text["until"], text["body"]
         )
         self.asked[ident] = text, courier
-        self.world.note(
+        self.world.record(
             "hand-in",
             ident,
             text["number"],
@@ -109,10 +109,10 @@
             text["until"],
         )
         if courier.facade.full():
-            self.world.note("answer", ident, 503)
+            self.world.record("answer", ident, 503)
             self.again(text, courier, courier.facade.advice(made))
             return
-        self.world.note("answer", ident, 202)
+        self.world.record("answer", ident, 202)
         courier.facade.hand_in(made)
         courier.turn()
 
@@ -125,7 +125,7 @@
         traffic = self.scenario.traffic
         if traffic.again != "never" and self.numbers[text["number"]] <= traffic.agains:
             heeds = self.rng.random() < traffic.honour
-            self.world.after(
+            self.world.call_later(
                 max(wait if heeds else 0.0, self.rng.uniform(200.0, 800.0)), self.hand_in, text, courier
             )
 
@@ -138,8 +138,8 @@
         self.open[number] = False  # not there yet
         for text in call.texts:
             text.went_out(begun, call.place.zone)
-        self.world.after(self.latency(), self.arrive, number, courier, call, begun)
-        self.world.after(
+        self.world.call_later(self.latency(), self.arrive, number, courier, call, begun)
+        self.world.call_later(
             call.timeout, self.end, number, courier, call, begun, Answer(Far.SENT, late=True), False
         )
 
@@ -151,13 +151,13 @@
         idents = tuple(text.ident for text in call.texts)
         if one.fell or one.modes.get("refuse"):
             one.met.add(courier.name)
-            self.world.after(
+            self.world.call_later(
                 self.latency(), self.end, number, courier, call, begun, Answer(Far.UNCONNECTED), False
             )
             return
         if one.modes.get("vanish"):
             one.met.add(courier.name)
-            self.world.after(
+            self.world.call_later(
                 self.scenario.couriers.connect_ms,
                 self.end,
                 number,
@@ -170,12 +170,14 @@
             return
         self.open[number] = True
         texts = tuple((text.ident, text.reference, zlib.crc32(text.body)) for text in call.texts)
-        self.world.note("call", number, courier.name, endpoint.ident, endpoint.zone, one.number, texts, begun)
+        self.world.record(
+            "call", number, courier.name, endpoint.ident, endpoint.zone, one.number, texts, begun
+        )
         reply = one.arrive(endpoint, courier.name, idents)
         if reply.ran:
-            self.world.after(reply.ran_after, self.world.note, "ran", number, reply.ran)
+            self.world.call_later(reply.ran_after, self.world.record, "ran", number, reply.ran)
         if reply.after != NEVER:
-            self.world.after(reply.after, self.reply, number, courier, call, begun, reply)
+            self.world.call_later(reply.after, self.reply, number, courier, call, begun, reply)
 
     def reply(self, number, courier, call, begun, reply):
         if number not in self.open:
@@ -185,20 +187,20 @@
         if len(call.texts) > 1 and reply.status == 200:
             states = states or {ident: "delivered" for ident in reply.ran}
         if lost:
-            self.world.note("lost", number)
+            self.world.record("lost", number)
             answer = Answer(Far.SENT)
         else:
-            self.world.note("reply", number, reply.status, reply.wait, tuple((states or {}).items()))
+            self.world.record("reply", number, reply.status, reply.wait, tuple((states or {}).items()))
             answer = Answer(
                 Far.ANSWERED, status=reply.status, wait=reply.wait, load=reply.load or {}, ends=states
             )
-        self.world.after(self.latency(), self.end, number, courier, call, begun, answer, not lost)
+        self.world.call_later(self.latency(), self.end, number, courier, call, begun, answer, not lost)
 
     def end(self, number, courier, call, begun, answer, heard):
         met = self.open.pop(number, None)
         if met is not None:
             if met:
-                self.world.note("heard" if heard else "hung-up", number)
+                self.world.record("heard" if heard else "hung-up", number)
             courier.facade.report(call, answer, self.world.now - begun)
             courier.turn()
 
@@ -218,24 +220,24 @@
         ]
         for one in some or [self.rng.choice(list(self.destinations.values()))]:
             lasts = trouble.for_s * 1000.0
-            self.world.note("trouble", trouble.kind, f"destination {one.number}", lasts)
+            self.world.record("trouble", trouble.kind, f"destination {one.number}", lasts)
             if trouble.kind == "limit":
                 one.factor = trouble.size
-                self.world.after(lasts, setattr, one, "factor", 1.0)
+                self.world.call_later(lasts, setattr, one, "factor", 1.0)
             else:
                 one.begin(trouble.kind, trouble.size)
                 one.shut_until = max(one.shut_until, self.world.now + lasts)
-                self.world.after(lasts, one.end, trouble.kind)
+                self.world.call_later(lasts, one.end, trouble.kind)
 
     def play(self):
         for courier in self.couriers:
             courier.turn()
         for text in self.texts:
-            self.world.at(text["due"], self.hand_in, text, self.rng.choice(self.couriers))
+            self.world.call_at(text["due"], self.hand_in, text, self.rng.choice(self.couriers))
         for trouble in self.troubles:
-            self.world.at(OPENING + trouble.at_s * 1000.0, self.strike, trouble)
+            self.world.call_at(CLIENTS_START_MS + trouble.at_s * 1000.0, self.strike, trouble)
         last = max(product.validity_s for product in self.scenario.product) * 1000.0
-        self.world.run(OPENING + self.scenario.length_s * 1000.0 + last + 1500.0)
+        self.world.run(CLIENTS_START_MS + self.scenario.length_s * 1000.0 + last + 1500.0)
 
 
 def play(scenario, seed, couriers=None, texts=None):
@@ -261,5 +263,5 @@
         cpu,
         referee.breaks,
         referee.figures(),
-        fleet.world.events,
+        fleet.world.events_run,
     )
--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -145,8 +145,8 @@
 class ListReferee:
     """Adds its breaks to those of the referee of the six rules."""
 
-    def __init__(self, day, referee: Referee):
-        self.day, self.referee, self.settings = day, referee, day.scenario.nodes
+    def __init__(self, simulation, referee: Referee):
+        self.simulation, self.referee, self.settings = simulation, referee, simulation.scenario.nodes
         self.parties: dict[str, Party] = defaultdict(Party)
         self.cuts: dict[tuple[str, str], list[Span]] = defaultdict(list)
         self.told: dict[str, Told] = defaultdict(Told)
@@ -156,14 +156,14 @@
         self.leaves = 0  # announced to couriers that held the destination, and judged
         self.compared = 0  # destinations held by couriers' files at the end
         self.losing: list[Span] = []  # when answers were lost with their connections
-        for ident, entry in day.nodes.first.items():
+        for ident, entry in simulation.nodes.first.items():
             self.listings[ident].append(Listing(entry["cell"], 0.0))
-        for at, kind, *told in day.world.trace:
+        for at, kind, *told in simulation.world.trace:
             getattr(self, "_" + kind.replace("-", "_"), self._pass)(at, *told)
-        nodes = [node.name for node in day.nodes.processes]
+        nodes = [node.name for node in simulation.nodes.processes]
         self.reach = {
             courier.name: Reach([self._apart(courier.name, node) for node in nodes])
-            for courier in day.couriers
+            for courier in simulation.couriers
         }
         self._judge()
         referee.breaks.sort(key=lambda one: (one.at, one.rule))
@@ -248,13 +248,13 @@
             self._judge_call(call)
         for ident, (at, status) in self.referee.answers.items():
             self._judge_answer(ident, at, status)
-        for courier in self.day.couriers:
+        for courier in self.simulation.couriers:
             self._judge_leaves(courier.name)
             if not self.parties[courier.name].ends or self.parties[courier.name].ends[-1] >= self._end_at():
                 self._quiet_end(courier)
 
     def _end_at(self) -> float:
-        return self.day.world.now
+        return self.simulation.world.now
 
     def _judge_call(self, call):
         told, party, reach = self.told[call.courier], self.parties[call.courier], self.reach[call.courier]
@@ -274,7 +274,7 @@
         for listing in self.listings[call.endpoint]:
             if listing.leave <= at < listing.end:
                 due = party_later(party, reach.told_by(listing.leave))
-                if at > due + self.day.scenario.rules.drain_ms + GRACE:
+                if at > due + self.simulation.scenario.rules.drain_ms + GRACE:
                     self.referee.add(
                         DRAIN,
                         at,
@@ -377,7 +377,7 @@
             self.referee.add(KNOWN, end, name, f"its list in the folder: {fault}")
             return
         listed = defaultdict(set)
-        for entry in self.day.nodes.source.entries.values():
+        for entry in self.simulation.nodes.source.entries.values():
             listed[entry["cell"]].add((entry["id"], entry["addr"], entry["zone"], entry["state"] == "active"))
         self.compared += len(held)
         for destination, places in held.items():
@@ -414,8 +414,8 @@
     return at
 
 
-def judge(day, referee: Referee) -> Referee:
+def judge(simulation, referee: Referee) -> Referee:
     """The referee with these breaks too, where there are nodes."""
-    if day.nodes.processes:
-        ListReferee(day, referee)
+    if simulation.nodes.processes:
+        ListReferee(simulation, referee)
     return referee
--- a/calicopin/emulator/net.py
+++ b/calicopin/emulator/net.py
@@ -7,23 +7,23 @@
 
 from collections import deque
 
-WINDOW = 1 << 18  # bytes under way and unread, at most
-RETRY, LONGEST = 200.0, 2000.0  # of a piece that did not come through
-PIECE = 1460
+WINDOW_BYTES = 1 << 18  # bytes under way and unread, at most
+RETRANSMIT_MIN_MS, RETRANSMIT_MAX_MS = 200.0, 2000.0  # of a piece that did not come through
+SEGMENT_BYTES = 1460
 
 
 class Machine:
     """One address. `up` is false while it has vanished: nothing comes in or goes out, nothing is said."""
 
     def __init__(self, address):
-        self.address, self.up, self.boots, self.listeners, self.ends = address, True, 0, {}, {}
+        self.address, self.up, self.boot_count, self.listeners, self.ends = address, True, 0, {}, {}
 
 
 class Listener:
     """Where connections to one port arrive; `met(end)` takes one, false where there is no room for it."""
 
-    def __init__(self, machine, met, handshake=0.0):
-        self.machine, self.met, self.handshake = machine, met, handshake
+    def __init__(self, machine, on_connection, handshake=0.0):
+        self.machine, self.on_connection, self.handshake = machine, on_connection, handshake
 
 
 class Pipe:
@@ -32,7 +32,7 @@
     __slots__ = ("queue", "last", "wait", "busy")
 
     def __init__(self):
-        self.queue, self.last, self.wait, self.busy = deque(), 0.0, RETRY, False
+        self.queue, self.last_arrival, self.retransmit_ms, self.busy = deque(), 0.0, RETRANSMIT_MIN_MS, False
 
 
 class End:
@@ -43,61 +43,61 @@
     """
 
     def __init__(self, net, machine):
-        self.net, self.machine, self.boot, self.peer = net, machine, machine.boots, None
-        self.pipe, self.buffer, self.under_way = Pipe(), bytearray(), 0
-        self.fin = self.reset = self.closed = self.shut = False
+        self.net, self.machine, self.boot, self.peer = net, machine, machine.boot_count, None
+        self.pipe, self.buffer, self.in_flight = Pipe(), bytearray(), 0
+        self.fin = self.reset = self.closed = self.sending_ended = False
         self.connected, self.error = True, 0
-        self.arrived = self.read = 0  # bytes
-        self.marks = deque()  # (bytes, what to call once they are read)
+        self.bytes_arrived = self.bytes_read = 0  # bytes
+        self.read_callbacks = deque()  # (bytes, what to call once they are read)
         self.on_data = self.on_end = self.on_change = self.on_peer_closed = None
         machine.ends[self] = True
 
-    def took(self, size):
+    def consume(self, size):
         """So many bytes were read."""
-        self.read += size
-        while self.marks and self.marks[0][0] <= self.read:
-            self.marks.popleft()[1]()
+        self.bytes_read += size
+        while self.read_callbacks and self.read_callbacks[0][0] <= self.bytes_read:
+            self.read_callbacks.popleft()[1]()
 
-    def room(self):
-        return WINDOW - self.under_way - len(self.peer.buffer) if self.peer else 0
+    def send_window(self):
+        return WINDOW_BYTES - self.in_flight - len(self.peer.buffer) if self.peer else 0
 
-    def send(self, data, heard=None):
+    def send(self, data, on_read=None):
         """Puts bytes on their way; `heard` is called once the other side has read the last of them."""
-        if not (self.shut or self.closed or self.reset):
-            self.under_way += len(data)
-            self.net.post(self, bytes(data), heard)
+        if not (self.sending_ended or self.closed or self.reset):
+            self.in_flight += len(data)
+            self.net.enqueue(self, bytes(data), on_read)
 
     def end_sending(self):
-        if not self.shut and not self.closed:
-            self.shut = True
-            self.net.post(self, None)
+        if not self.sending_ended and not self.closed:
+            self.sending_ended = True
+            self.net.enqueue(self, None)
 
     def close(self):
         """As the kernel closes: unread bytes turn the farewell into a reset."""
         if self.closed:
             return
-        rude, self.closed = bool(self.buffer), True
+        has_unread, self.closed = bool(self.buffer), True
         self.machine.ends.pop(self, None)
         if self.peer is not None:
             if self.peer.on_peer_closed:
                 self.peer.on_peer_closed()
-            if rude and not self.reset:
-                self.net.post(self, ConnectionResetError)
-            elif not self.shut:
-                self.net.post(self, None)
-        self.shut = True
+            if has_unread and not self.reset:
+                self.net.enqueue(self, ConnectionResetError)
+            elif not self.sending_ended:
+                self.net.enqueue(self, None)
+        self.sending_ended = True
 
     def abort(self):
         """A reset, as when the process died with bytes unread."""
         if not self.closed:
-            self.closed = self.shut = True
+            self.closed = self.sending_ended = True
             self.machine.ends.pop(self, None)
             if self.peer is not None:
                 if self.peer.on_peer_closed:
                     self.peer.on_peer_closed()
-                self.net.post(self, ConnectionResetError)
+                self.net.enqueue(self, ConnectionResetError)
 
-    def changed(self):
+    def notify_change(self):
         if self.on_change:
             self.on_change()
 
@@ -107,10 +107,15 @@
     speak.
     """
 
-    def __init__(self, world, latency=(1.0, 3.0), bandwidth=0.0, pieces=0.0):
-        self.world, self.span, self.bandwidth, self.pieces = world, latency, bandwidth, pieces
-        self.machines, self.cuts, self.rng = {}, {}, world.chance("network")
-        self.slower, self.far, self.outer = 1.0, latency, ()
+    def __init__(self, world, latency=(1.0, 3.0), bandwidth=0.0, split_odds=0.0):
+        self.world, self.latency_range, self.bandwidth, self.split_odds = (
+            world,
+            latency,
+            bandwidth,
+            split_odds,
+        )
+        self.machines, self.partitions, self.rng = {}, {}, world.random_stream("network")
+        self.latency_factor, self.far_latency_range, self.far_prefixes = 1.0, latency, ()
 
     def machine(self, address):
         if address not in self.machines:
@@ -119,28 +124,36 @@
 
     def latency(self, end=None):
         """Between couriers and the machines of `outer` it is drawn from another span, `far`."""
-        low, high = self.span
+        low, high = self.latency_range
         if (
             end is not None
-            and end.machine.address.startswith(self.outer)
-            or (end is not None and end.peer is not None and end.peer.machine.address.startswith(self.outer))
+            and end.machine.address.startswith(self.far_prefixes)
+            or (
+                end is not None
+                and end.peer is not None
+                and end.peer.machine.address.startswith(self.far_prefixes)
+            )
         ):
-            low, high = self.far
-        return self.slower * (low + (high - low) * self.rng.random())
-
-    def through(self, one, other):
-        return one.up and other.up and not (self.cuts and (one.address, other.address) in self.cuts)
-
-    def cut(self, one, other, apart=True):
-        for pair in ((one.address, other.address), (other.address, one.address)):
-            if apart:
-                self.cuts[pair] = True
+            low, high = self.far_latency_range
+        return self.latency_factor * (low + (high - low) * self.rng.random())
+
+    def reachable(self, machine, peer):
+        return (
+            machine.up
+            and peer.up
+            and not (self.partitions and (machine.address, peer.address) in self.partitions)
+        )
+
+    def set_partition(self, machine, peer, partitioned=True):
+        for pair in ((machine.address, peer.address), (peer.address, machine.address)):
+            if partitioned:
+                self.partitions[pair] = True
             else:
-                self.cuts.pop(pair, None)
+                self.partitions.pop(pair, None)
 
-    def vanish(self, machine):
+    def take_down(self, machine):
         """Nothing is said. What lived on it is gone for good."""
-        machine.up, machine.boots = False, machine.boots + 1
+        machine.up, machine.boot_count = False, machine.boot_count + 1
         ends, machine.ends = list(machine.ends), {}
         for end in ends:
             end.closed = True
@@ -150,63 +163,74 @@
 
     # Opening.
 
-    def connect(self, machine, host, port, done):
+    def connect(self, machine, host, port, on_done):
         """`done(end)` once it is up, or `done(errno)`; neither where nothing is ever heard."""
         end = End(self, machine)
         end.connected = False
-        self.world.after(self.latency(), self._knock, end, host, port, done, RETRY)
+        self.world.call_later(self.latency(), self._try_connect, end, host, port, on_done, RETRANSMIT_MIN_MS)
         return end
 
-    def _knock(self, end, host, port, done, wait):
+    def _try_connect(self, end, host, port, on_done, delay):
         if end.closed:
             return
-        other = self.machines.get(host)
-        if other is None or not self.through(end.machine, other):
-            self.world.after(wait, self._knock, end, host, port, done, min(2.0 * wait, LONGEST))
+        target = self.machines.get(host)
+        if target is None or not self.reachable(end.machine, target):
+            self.world.call_later(
+                delay, self._try_connect, end, host, port, on_done, min(2.0 * delay, RETRANSMIT_MAX_MS)
+            )
             return
-        listener = other.listeners.get(port)
+        listener = target.listeners.get(port)
         if listener is None:
-            self.world.after(self.latency(), self._failed, end, done)
+            self.world.call_later(self.latency(), self._connect_refused, end, on_done)
             return
-        far = End(self, other)
-        far.peer, end.peer = end, far
-        if not listener.met(far):  # no room in the backlog: the first piece is lost and comes again
-            other.ends.pop(far, None)
+        remote_end = End(self, target)
+        remote_end.peer, end.peer = end, remote_end
+        if not listener.on_connection(
+            remote_end
+        ):  # no room in the backlog: the first piece is lost and comes again
+            target.ends.pop(remote_end, None)
             end.peer = None
-            self.world.after(wait, self._knock, end, host, port, done, min(2.0 * wait, LONGEST))
+            self.world.call_later(
+                delay, self._try_connect, end, host, port, on_done, min(2.0 * delay, RETRANSMIT_MAX_MS)
+            )
             return
-        self.world.after(self.latency(end) + listener.handshake, self._up, end, done)
+        self.world.call_later(self.latency(end) + listener.handshake, self._connected, end, on_done)
 
-    def _failed(self, end, done):
+    def _connect_refused(self, end, on_done):
         if not end.closed:
             end.error = 111
-            done(111)
-            end.changed()
+            on_done(111)
+            end.notify_change()
 
-    def _up(self, end, done):
+    def _connected(self, end, on_done):
         if not end.closed:
             end.connected = True
-            done(end)
-            end.changed()
+            on_done(end)
+            end.notify_change()
 
     # Carrying.
 
-    def post(self, end, what, heard=None):
+    def enqueue(self, end, payload, on_read=None):
         """`what` is bytes, None for the end of sending, or ConnectionResetError. Pieces are cut by chance."""
         pipe, world = end.pipe, self.world
-        parts = [what]
-        if self.pieces and isinstance(what, bytes) and len(what) > 1 and self.rng.random() < self.pieces:
-            at = self.rng.randrange(1, len(what))
-            parts = [what[:at], what[at:]]
-        for number, part in enumerate(parts):
-            size = len(part) if isinstance(part, bytes) else 0
-            took = size / self.bandwidth if self.bandwidth else 0.0
-            pipe.last = max(pipe.last, world.now + self.latency(end)) + took
-            last = number == len(parts) - 1
-            pipe.queue.append((pipe.last, part, world.now, heard if last else None))
+        chunks = [payload]
+        if (
+            self.split_odds
+            and isinstance(payload, bytes)
+            and len(payload) > 1
+            and self.rng.random() < self.split_odds
+        ):
+            split_at = self.rng.randrange(1, len(payload))
+            chunks = [payload[:split_at], payload[split_at:]]
+        for index, chunk in enumerate(chunks):
+            size = len(chunk) if isinstance(chunk, bytes) else 0
+            transmit_ms = size / self.bandwidth if self.bandwidth else 0.0
+            pipe.last_arrival = max(pipe.last_arrival, world.now + self.latency(end)) + transmit_ms
+            is_last = index == len(chunks) - 1
+            pipe.queue.append((pipe.last_arrival, chunk, world.now, on_read if is_last else None))
         if not pipe.busy:
             pipe.busy = True
-            world.at(pipe.queue[0][0], self._arrive, end)
+            world.call_at(pipe.queue[0][0], self._arrive, end)
 
     def _arrive(self, end):
         pipe, peer = end.pipe, end.peer
@@ -214,56 +238,56 @@
             pipe.queue.clear()
             pipe.busy = False
             return
-        if end.machine.boots != end.boot:  # it went with its machine
+        if end.machine.boot_count != end.boot:  # it went with its machine
             pipe.queue.clear()
             return
-        if not self.through(end.machine, peer.machine):
-            self.world.after(pipe.wait, self._arrive, end)
-            pipe.wait = min(2.0 * pipe.wait, LONGEST)
+        if not self.reachable(end.machine, peer.machine):
+            self.world.call_later(pipe.retransmit_ms, self._arrive, end)
+            pipe.retransmit_ms = min(2.0 * pipe.retransmit_ms, RETRANSMIT_MAX_MS)
             return
-        pipe.wait = RETRY
-        _, what, sent, heard = pipe.queue.popleft()
-        self._hand_over(end, peer, what, sent, heard)
+        pipe.retransmit_ms = RETRANSMIT_MIN_MS
+        _, payload, sent_at, on_read = pipe.queue.popleft()
+        self._deliver(end, peer, payload, sent_at, on_read)
         if pipe.queue:
-            self.world.at(pipe.queue[0][0], self._arrive, end)
+            self.world.call_at(pipe.queue[0][0], self._arrive, end)
         else:
             pipe.busy = False
 
-    def _hand_over(self, end, peer, what, sent, heard):
-        if isinstance(what, bytes):
-            end.under_way -= len(what)
+    def _deliver(self, end, peer, payload, sent_at, on_read):
+        if isinstance(payload, bytes):
+            end.in_flight -= len(payload)
             if peer.closed:  # nobody reads it any more
                 if not end.closed:
-                    self.world.after(self.latency(), self._struck, end)
+                    self.world.call_later(self.latency(), self._receive_reset, end)
                 return
-            self.world.carry(what)
-            peer.arrived += len(what)
-            if heard:
-                peer.marks.append((peer.arrived, heard))
+            self.world.record_payload(payload)
+            peer.bytes_arrived += len(payload)
+            if on_read:
+                peer.read_callbacks.append((peer.bytes_arrived, on_read))
             if peer.on_data:
-                peer.on_data(what, sent)
-                peer.took(len(what))
+                peer.on_data(payload, sent_at)
+                peer.consume(len(payload))
             else:
-                peer.buffer += what
-            peer.changed()
-            end.changed()
-        elif what is None:
+                peer.buffer += payload
+            peer.notify_change()
+            end.notify_change()
+        elif payload is None:
             if not peer.closed:
                 peer.fin = True
                 if peer.on_end:
                     peer.on_end(False)
-                peer.changed()
+                peer.notify_change()
         else:
-            self._struck(peer)
+            self._receive_reset(peer)
 
-    def _struck(self, end):
+    def _receive_reset(self, end):
         """A reset arrives; by chance it takes with it what was not read yet."""
         if end.closed or end.reset:
             return
         end.reset = True
         if self.rng.random() < 0.5:
             end.buffer.clear()
-            end.marks.clear()
+            end.read_callbacks.clear()
         if end.on_end:
             end.on_end(True)
-        end.changed()
+        end.notify_change()
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -20,7 +20,7 @@
 
 from calicopin.discovery_node.node import NodeSettings, run
 from calicopin.emulator.net import End
-from calicopin.emulator.process import Calls, Ears, Handle, Process
+from calicopin.emulator.process import Handle, ListeningSocket, Process, SystemCalls
 from calicopin.emulator.scenario import Trouble
 from calicopin.emulator.standins import Parsed
 from calicopin.lifecycle import subscribed as subscribed_module
@@ -57,14 +57,14 @@
         return FileStatus(1, self.number, len(self.data), 0)
 
 
-class NodeCalls(Calls):
+class NodeSystemCalls(SystemCalls):
     """The system calls of a node: those of a courier, files held open for reading, connections that are
     watched."""
 
     def listen(self, _, port):
         """A listening socket whose answers are noted once they were read."""
         self.enter("listen")
-        return WatchedEars(self, port)
+        return WatchedListeningSocket(self, port)
 
     def open_to_read(self, path):
         """Its descriptor."""
@@ -95,15 +95,15 @@
         return self.process.rng.randbytes(size).hex()
 
 
-class WatchedEars(Ears):
+class WatchedListeningSocket(ListeningSocket):
     """A node's listening socket."""
 
-    def met(self, end):
+    def on_connection(self, end):
         """Takes a connection, and watches what is answered on it."""
-        taken = super().met(end)
-        if taken:
+        accepted = super().on_connection(end)
+        if accepted:
             AnswerWatch(self.calls.process, end)
-        return taken
+        return accepted
 
 
 class AnswerWatch:
@@ -147,7 +147,7 @@
 class NodeProcess(Process):
     """A node's machine and the process on it. `file_number` is the inode of its source."""
 
-    make_calls = NodeCalls
+    system_calls_type = NodeSystemCalls
     file_number = 1
     lose_odds = 0.0
 
@@ -193,17 +193,17 @@
         for number, process in enumerate(self.processes):
             at = max(self.arrival[number], self.world.now + low + (high - low) * self.rng.random())
             self.arrival[number] = at
-            self.world.at(at, self._append, process, self.serial, dict(entry))
+            self.world.call_at(at, self._append, process, self.serial, dict(entry))
 
     def replace(self):
         """A short file takes the place of each node's, once all changes until now are in it."""
         whole = self.whole()
         for number, process in enumerate(self.processes):
-            self.world.at(max(self.arrival[number], self.world.now), process.write_source, whole)
+            self.world.call_at(max(self.arrival[number], self.world.now), process.write_source, whole)
 
     def _append(self, process: NodeProcess, serial: int, entry: dict):
         process.append_source(encode(entry))
-        self.world.note(
+        self.world.record(
             "source", serial, process.name, entry["id"], entry["cell"], entry["state"], len(self.processes)
         )
 
@@ -217,25 +217,32 @@
 class Nodes:
     """The nodes of a day, and every trouble of subscriptions."""
 
-    def __init__(self, day):
-        self.day, self.world, self.net, self.settings = day, day.world, day.net, day.scenario.nodes
-        self.rng = self.world.chance("nodes")
+    def __init__(self, simulation):
+        self.simulation, self.world, self.net, self.settings = (
+            simulation,
+            simulation.world,
+            simulation.net,
+            simulation.scenario.nodes,
+        )
+        self.rng = self.world.random_stream("nodes")
         self.processes = [self._process(number) for number in range(self.settings.count)]
         self.by_name = {process.name: process for process in self.processes}
         self.serving: dict[str, str] = {}  # the node that answered each courier last
         self.known: dict[str, dict[int, set[str]]] = defaultdict(dict)  # what each courier was told
-        late = tuple(day.scenario.platform.late_ms)
-        absent = [int(trouble.whom[12:]) for trouble in day.troubles if trouble.kind == "publish"]
-        entries = {ident: entry for ident, entry in day.list.items() if entry["cell"] not in absent}
+        late = tuple(simulation.scenario.platform.late_ms)
+        absent = [int(trouble.whom[12:]) for trouble in simulation.troubles if trouble.kind == "publish"]
+        entries = {
+            ident: entry for ident, entry in simulation.server_list.items() if entry["cell"] not in absent
+        }
         self.first = dict(entries)
         self.source = ListSource(self.world, self.processes, entries, late, self.rng)
 
     def _process(self, number: int) -> NodeProcess:
         name, host = f"node{number}", f"10.5.0.{number + 1}"
         process = NodeProcess(
-            self.world, self.net, name, host, self._begin, {}, DESCRIPTORS, self.world.chance(name)
+            self.world, self.net, name, host, self._begin, {}, DESCRIPTORS, self.world.random_stream(name)
         )
-        process.pass_ms = self.day.scenario.couriers.pass_ms
+        process.pass_ms = self.simulation.scenario.couriers.pass_ms
         process.heard, process.asked = self._heard, self._asked
         return process
 
@@ -249,7 +256,7 @@
     def begin(self):
         """All nodes start."""
         for process in self.processes:
-            self.world.at(self.rng.uniform(0.0, START_WITHIN), process.start)
+            self.world.call_at(self.rng.uniform(0.0, START_WITHIN), process.start)
 
     def end(self):
         """The run is over."""
@@ -266,18 +273,18 @@
     def _asked(self, host: str, subscription: dict):
         """A courier asks. A request for a new lease names the whole set: what is not in it was given up
         before."""
-        courier = self.day.hosts[host]
+        courier = self.simulation.courier_by_host[host]
         given_up = subscription["unsubscribe"]
         if subscription["lease"] is None:
             given_up = sorted(self.known[courier].keys() - set(subscription["subscribe"]))
         for destination in given_up:
             self.known[courier].pop(destination, None)
         if given_up:
-            self.world.note("gives-up", courier, tuple(given_up))
+            self.world.record("gives-up", courier, tuple(given_up))
 
     def _heard(self, node: str, host: str, answer: dict):
         """A courier has read an answer."""
-        courier = self.day.hosts[host]
+        courier = self.simulation.courier_by_host[host]
         self.serving[courier] = node
         subscription, known = answer["subscription"], self.known[courier]
         listed: dict[int, set[str]] = {destination: set() for destination in subscription["complete"]}
@@ -291,17 +298,17 @@
         for destination, idents in listed.items():
             off.extend(sorted(known.get(destination, set()) - idents - set(off)))
         known.update(listed)
-        self.world.note("told", courier, False, tuple(on), tuple(off))
-        self.world.note(
+        self.world.record("told", courier, False, tuple(on), tuple(off))
+        self.world.record(
             "answered", courier, node, tuple(subscription["complete"]), tuple(subscription["unknown"])
         )
 
     # Troubles.
 
-    def strike(self, trouble: Trouble):
+    def begin_trouble(self, trouble: Trouble):
         """One trouble of subscriptions begins."""
         lasts = trouble.for_s * 1000.0
-        self.world.note("trouble", trouble.kind, trouble.whom, lasts)
+        self.world.record("trouble", trouble.kind, trouble.whom, lasts)
         getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble, lasts)
 
     def _node(self, trouble: Trouble) -> NodeProcess:
@@ -311,14 +318,14 @@
     def _node_kill(self, trouble, lasts):
         node = self._node(trouble)
         node.kill()
-        self.world.after(max(lasts, 1.0), node.start)
+        self.world.call_later(max(lasts, 1.0), node.start)
 
     def _node_term(self, trouble, lasts):
         """SIGTERM; it is started again after that time, and killed where it has not ended by then."""
         node = self._node(trouble)
         node.signal(signal.SIGTERM)
-        self.world.note("leaves-service", node.name)
-        self.world.after(max(lasts, 1000.0), self._again, node)
+        self.world.record("leaves-service", node.name)
+        self.world.call_later(max(lasts, 1000.0), self._again, node)
 
     def _again(self, node):
         node.kill()
@@ -331,10 +338,10 @@
         """Its machine says nothing more: connections stay half-open at the couriers."""
         node = self._node(trouble)
         machine = self.net.machine(node.host)
-        self.net.vanish(machine)
-        self.world.note("machine-gone", node.name, lasts)
+        self.net.take_down(machine)
+        self.world.record("machine-gone", node.name, lasts)
         node.kill()
-        self.world.after(max(lasts, 1.0), self._machine_back, node, machine)
+        self.world.call_later(max(lasts, 1.0), self._machine_back, node, machine)
 
     def _machine_back(self, node, machine):
         machine.up = True
@@ -343,55 +350,57 @@
     def _node_cut(self, trouble, lasts):
         """No courier can speak with that node."""
         node = self._node(trouble)
-        for courier in self.day.couriers:
+        for courier in self.simulation.couriers:
             self._cut(courier, node, lasts)
 
     def _node_partition(self, trouble, lasts):
         """A courier cannot speak with the node that serves it; size 2: with no node."""
-        for courier in self.day.whom(trouble):
+        for courier in self.simulation.targets(trouble):
             serving = self.by_name.get(self.serving.get(courier.name, ""), self.processes[0])
             for node in self.processes if trouble.size >= 2.0 else [serving]:
                 self._cut(courier, node, lasts)
 
     def _cut(self, courier, node, lasts):
         here, there = self.net.machine(courier.host), self.net.machine(node.host)
-        self.net.cut(here, there)
-        self.world.note("cut-off", courier.name, node.name, lasts)
-        self.world.after(lasts, self.net.cut, here, there, False)
+        self.net.set_partition(here, there)
+        self.world.record("cut-off", courier.name, node.name, lasts)
+        self.world.call_later(lasts, self.net.set_partition, here, there, False)
 
     def _answers_lost(self, trouble, lasts):
         """Each answer of any node is lost with these odds, and its connection with it."""
         for node in self.processes:
             node.lose_odds = trouble.size
-            self.world.after(lasts, setattr, node, "lose_odds", 0.0)
+            self.world.call_later(lasts, setattr, node, "lose_odds", 0.0)
 
     def _source_replaced(self, trouble, lasts):
         self.source.replace()
 
     def _courier_herd(self, trouble, lasts):
         """That share of the couriers is killed at once, and started again with their folders as they are."""
-        many = max(1, round(trouble.size * len(self.day.couriers)))
-        for courier in self.rng.sample(self.day.couriers, many):
+        many = max(1, round(trouble.size * len(self.simulation.couriers)))
+        for courier in self.rng.sample(self.simulation.couriers, many):
             courier.kill()
-            self.world.after(max(lasts, self.day.scenario.couriers.restart_ms), self.day.start, courier)
+            self.world.call_later(
+                max(lasts, self.simulation.scenario.couriers.restart_ms), self.simulation.start, courier
+            )
 
     def _publish(self, trouble, lasts):
         """A destination comes into the list."""
-        for one in self.day.whom(trouble):
+        for one in self.simulation.targets(trouble):
             for endpoint in one.endpoints:
-                self.day.tell(one, endpoint, "active")
+                self.simulation.announce(one, endpoint, "active")
 
     def _withdraw(self, trouble, lasts):
         """All endpoints of a destination are announced as leaving, and have left later; size 0: they have
         left at once. It is listed again after that time, where one is told."""
         gap = LEFT_AFTER if trouble.size else 0.0
-        for one in self.day.whom(trouble):
+        for one in self.simulation.targets(trouble):
             for endpoint in one.endpoints:
                 if gap:
-                    self.day.tell(one, endpoint, "leaving")
-                self.world.after(gap, self.day.tell, one, endpoint, "left")
+                    self.simulation.announce(one, endpoint, "leaving")
+                self.world.call_later(gap, self.simulation.announce, one, endpoint, "left")
                 if lasts:
-                    self.world.after(gap + lasts, self.day.tell, one, endpoint, "active")
+                    self.world.call_later(gap + lasts, self.simulation.announce, one, endpoint, "active")
 
 
 @contextmanager
--- a/calicopin/emulator/partners.py
+++ b/calicopin/emulator/partners.py
@@ -72,7 +72,7 @@
 
     def __init__(self, world, number, spec, rules, endpoints):
         self.world, self.number, self.spec, self.rules, self.endpoints = world, number, spec, rules, endpoints
-        self.rng = world.chance(f"destination {number}")
+        self.rng = world.random_stream(f"destination {number}")
         self.limits = {}
         self.modes, self.size, self.shut_until = {}, {}, 0.0
         self.out_since = self.back = None
@@ -99,7 +99,7 @@
             if lasted >= self.rules.span_s * 1000.0:
                 self.back, self.knew = self.world.now, self.met
                 self.arrivals.clear()
-                self.world.note("cold", self.number)
+                self.world.record("cold", self.number)
 
     def warmth(self):
         """The share of its capacity that it has: all of it but for the cold time after an outage."""
@@ -126,7 +126,7 @@
         if now - self.back >= span and len(self.arrivals) > most:
             knew = sum(who in self.knew for _, who in self.arrivals)
             self.fell = True
-            self.world.note("fell", self.number, len(self.arrivals), round(most, 1), knew)
+            self.world.record("fell", self.number, len(self.arrivals), round(most, 1), knew)
 
     # One call.
 
@@ -156,7 +156,7 @@
         return self.work(endpoint, idents, report)
 
     def refuse(self, wait, limit=None):
-        self.world.note("refused", self.number)
+        self.world.record("refused", self.number)
         return Reply(self.rng.uniform(1.0, 5.0), 429 if wait else 503, wait=wait, load=self.report(limit))
 
     def report(self, limit):
--- a/calicopin/emulator/process.py
+++ b/calicopin/emulator/process.py
@@ -16,16 +16,18 @@
 
 from calicopin.emulator.disk import Disk
 from calicopin.emulator.net import Listener
-from calicopin.emulator.world import START, UPTIME
+from calicopin.emulator.world import MONOTONIC_START_MS, WALL_CLOCK_START_MS
 
-AT_ONCE = 200_000  # calls at one moment of virtual time, from which on it is a loop that never waits
+MAX_CALLS_PER_INSTANT = (
+    200_000  # calls at one moment of virtual time, from which on it is a loop that never waits
+)
 
 
 class Killed(BaseException):
     """SIGKILL: raised at a call, never caught by the program."""
 
 
-class Busy(BaseException):
+class BusyLoop(BaseException):
     """A loop that never waits."""
 
 
@@ -41,7 +43,7 @@
         """What it is ready for, as epoll's mask."""
         return 0
 
-    def touch(self):
+    def notify(self):
         """Something about it has changed."""
         calls = self.calls
         if (
@@ -50,7 +52,7 @@
             and self.mask
             and self.mask & (self.ready() | select.EPOLLONESHOT)
         ):
-            calls.poller_.stir(self)
+            calls.active_poller.mark_changed(self)
 
 
 class Socket(Handle):
@@ -59,7 +61,7 @@
     def __init__(self, calls, end=None):
         self.calls, self.end, self.fd = calls, end, calls.take_fd(self)
         if end is not None:
-            end.on_change = self.touch
+            end.on_change = self.notify
 
     def setblocking(self, _):
         pass
@@ -70,10 +72,10 @@
     def getsockopt(self, *_):
         return self.end.error
 
-    def connect(self, where):
+    def connect(self, address):
         self.calls.enter("connect")
-        self.end = self.calls.net.connect(self.calls.machine, *where, lambda done: None)
-        self.end.on_change = self.touch
+        self.end = self.calls.net.connect(self.calls.machine, *address, lambda result: None)
+        self.end.on_change = self.notify
         raise BlockingIOError(errno.EINPROGRESS, "in progress")
 
     def ready(self):
@@ -89,19 +91,19 @@
             if end.buffer
             else 0
         )
-        return mask | (select.EPOLLOUT if end.room() > 0 or end.reset else 0)
+        return mask | (select.EPOLLOUT if end.send_window() > 0 or end.reset else 0)
 
-    def recv(self, most, flags=0):
+    def recv(self, size, flags=0):
         self.calls.enter("recv")
         end = self.end
         if end.buffer:
             if flags & socket.MSG_PEEK:
-                return bytes(end.buffer[:most])
-            most = self.calls.shorter(most)
-            data = bytes(end.buffer[:most])
-            del end.buffer[:most]
-            end.took(len(data))
-            end.peer.changed()
+                return bytes(end.buffer[:size])
+            size = self.calls.maybe_shortened(size)
+            data = bytes(end.buffer[:size])
+            del end.buffer[:size]
+            end.consume(len(data))
+            end.peer.notify_change()
             return data
         if end.reset:
             raise ConnectionResetError(errno.ECONNRESET, "reset by the other side")
@@ -113,13 +115,13 @@
         calls = self.calls
         end = self.end
         calls.enter("send", (end, data))
-        if end.reset or end.shut:
+        if end.reset or end.sending_ended:
             raise BrokenPipeError(errno.EPIPE, "broken pipe")
-        size = min(len(data), end.room())
+        size = min(len(data), end.send_window())
         if size <= 0:
             raise BlockingIOError(errno.EAGAIN, "no room")
         if size > 512:  # a system takes less only where its buffer is nearly full
-            size = calls.shorter(size)
+            size = calls.maybe_shortened(size)
         end.send(data[:size])
         return size
 
@@ -136,23 +138,23 @@
                 self.end.close()
 
 
-class Ears(Handle, Listener):
+class ListeningSocket(Handle, Listener):
     """A courier's listening socket."""
 
     BACKLOG = 1024
 
     def __init__(self, calls, port):
-        Listener.__init__(self, calls.machine, self.met)
+        Listener.__init__(self, calls.machine, self.on_connection)
         self.calls, self.port, self.queue, self.fd = calls, port, deque(), calls.take_fd(self)
         if port in calls.machine.listeners:
             raise OSError(errno.EADDRINUSE, "address in use")
         calls.machine.listeners[port] = self
 
-    def met(self, end):
+    def on_connection(self, end):
         if len(self.queue) >= self.BACKLOG:
             return False
         self.queue.append(end)
-        self.touch()
+        self.notify()
         return True
 
     def ready(self):
@@ -178,15 +180,15 @@
     """epoll with EPOLLONESHOT, as the loop uses it."""
 
     def __init__(self, calls):
-        self.calls, self.stirred = calls, {}
-        calls.poller_ = self
+        self.calls, self.changed = calls, {}
+        calls.active_poller = self
 
     def register(self, fd, mask):
         handle = self.calls.handles.get(fd)
         if handle is None:
             raise OSError(errno.EBADF, "no such descriptor")
         handle.mask = mask
-        self.stirred[handle] = True
+        self.changed[handle] = True
 
     def modify(self, fd, mask):
         handle = self.calls.handles.get(fd)
@@ -195,40 +197,40 @@
         if not handle.mask:
             raise FileNotFoundError(errno.ENOENT, "never registered")
         handle.mask = mask
-        self.stirred[handle] = True
+        self.changed[handle] = True
 
     def unregister(self, fd):
         handle = self.calls.handles.get(fd)
         if handle is not None:
             handle.mask = 0
 
-    def stir(self, handle):
-        self.stirred[handle] = True
+    def mark_changed(self, handle):
+        self.changed[handle] = True
         self.calls.process.wake()
 
-    def gather(self):
+    def collect_ready(self):
         """What is ready, in the order in which it came to be; each is reported once for each watch."""
-        out = []
-        if self.stirred:
-            stirred, self.stirred = self.stirred, {}
-            for handle in stirred:
+        events = []
+        if self.changed:
+            changed, self.changed = self.changed, {}
+            for handle in changed:
                 watched = handle.mask & ~select.EPOLLONESHOT
-                what = handle.ready() & (watched | select.EPOLLERR) if watched and handle.fd >= 0 else 0
-                if what:
+                ready_mask = handle.ready() & (watched | select.EPOLLERR) if watched and handle.fd >= 0 else 0
+                if ready_mask:
                     handle.mask = select.EPOLLONESHOT  # registered, and silent until it is watched again
-                    out.append((handle.fd, what))
-        return out
+                    events.append((handle.fd, ready_mask))
+        return events
 
     def poll(self, timeout):
         calls = self.calls
         calls.enter("poll")
-        ready = self.gather()
-        if not ready and timeout > 0.0:
+        events = self.collect_ready()
+        if not events and timeout > 0.0:
             calls.process.sleep(-(-timeout * 1000.0 // 1), True)
-            ready = self.gather()
-        if ready and calls.process.pass_ms:
+            events = self.collect_ready()
+        if events and calls.process.pass_ms:
             calls.process.sleep(calls.process.pass_ms * calls.process.rng.random(), False)
-        return ready
+        return events
 
 
 class SignalReader(Handle):
@@ -242,69 +244,75 @@
     def ready(self):
         return select.EPOLLIN if self.signs else 0
 
-    def hear(self, sign):
-        self.signs.add(sign)
-        self.touch()
+    def deliver(self, number):
+        self.signs.add(number)
+        self.notify()
 
     def heard(self):
         signs, self.signs = self.signs, set()
         return signs
 
 
-class Calls:
+class SystemCalls:
     """The system calls of one process; OSError as the system raises it."""
 
     def __init__(self, process, descriptors):
         self.process, self.net, self.machine = process, process.net, process.net.machine(process.host)
-        self.most, self.handles, self.free, self.next = descriptors, {}, [], 3
-        self.poller_, self.number, self.here, self.moment, self.kill_at = None, 0, 0, -1.0, -1
+        self.max_descriptors, self.handles, self.free_fds, self.next_fd = descriptors, {}, [], 3
+        self.active_poller, self.call_count, self.calls_at_instant, self.instant, self.kill_at = (
+            None,
+            0,
+            0,
+            -1.0,
+            -1,
+        )
         self.short_odds = process.short_odds
 
-    def enter(self, what, data=None):
+    def enter(self, call, data=None):
         """Every call passes here."""
         process, world = self.process, self.process.world
-        if process.over:
+        if process.ended:
             raise Killed
-        self.number += 1
-        if self.number == self.kill_at:
-            process.ended_by(what, data)
+        self.call_count += 1
+        if self.call_count == self.kill_at:
+            process.killed_in_call(call, data)
             raise Killed
-        if process.stands_until > world.now:
-            process.sleep(process.stands_until - world.now, False)
-        if world.now != self.moment:
-            self.here, self.moment = 0, world.now
-        self.here += 1
-        if self.here > AT_ONCE:
-            raise Busy(f"{AT_ONCE} calls at one moment, the last {what}")
-
-    def shorter(self, size):
+        if process.suspended_until > world.now:
+            process.sleep(process.suspended_until - world.now, False)
+        if world.now != self.instant:
+            self.calls_at_instant, self.instant = 0, world.now
+        self.calls_at_instant += 1
+        if self.calls_at_instant > MAX_CALLS_PER_INSTANT:
+            raise BusyLoop(f"{MAX_CALLS_PER_INSTANT} calls at one moment, the last {call}")
+
+    def maybe_shortened(self, size):
         if self.short_odds and size > 1 and self.process.rng.random() < self.short_odds:
             return self.process.rng.randrange(1, size)
         return size
 
     def take_fd(self, handle):
-        if len(self.handles) + 3 >= self.most:
+        if len(self.handles) + 3 >= self.max_descriptors:
             raise OSError(errno.EMFILE, "too many open files")
-        fd = self.free.pop() if self.free else self.next
-        self.next += fd == self.next
+        fd = self.free_fds.pop() if self.free_fds else self.next_fd
+        self.next_fd += fd == self.next_fd
         self.handles[fd] = handle
         return fd
 
     def drop_fd(self, handle):
         self.handles.pop(handle.fd, None)
-        self.free.append(handle.fd)
+        self.free_fds.append(handle.fd)
         handle.fd, handle.mask = -1, 0
 
     # As calicopin.system.System has them.
 
     def now(self):
-        return UPTIME + self.process.world.now
+        return MONOTONIC_START_MS + self.process.world.now
 
     def wall(self):
-        return START + self.process.world.now + self.process.world.wall_step
+        return WALL_CLOCK_START_MS + self.process.world.now + self.process.world.wall_clock_offset
 
     def boot(self):
-        return f"{self.machine.address}/{self.machine.boots}"
+        return f"{self.machine.address}/{self.machine.boot_count}"
 
     def pause(self, span):
         self.enter("pause")
@@ -315,7 +323,7 @@
 
     def listen(self, _, port):
         self.enter("listen")
-        return Ears(self, port)
+        return ListeningSocket(self, port)
 
     def stream(self):
         self.enter("socket")
@@ -336,8 +344,8 @@
 
     def write(self, file, data):
         self.enter("write", (file, data))
-        if self.process.disk.slow:
-            self.process.sleep(self.process.disk.slow, False)
+        if self.process.disk.write_delay_ms:
+            self.process.sleep(self.process.disk.write_delay_ms, False)
         return self.process.disk.write(self.handles[file], bytes(data))
 
     def cut(self, file, size):
@@ -359,7 +367,7 @@
 
     def sync(self, file):
         self.enter("sync")
-        if self.process.disk.broken and self.process.rng.random() < self.process.disk.broken:
+        if self.process.disk.error_odds and self.process.rng.random() < self.process.disk.error_odds:
             raise OSError(errno.EIO, "input/output error")
 
     def sync_folder(self, path):
@@ -367,7 +375,7 @@
 
     def close(self, file):
         if self.handles.pop(file, None) is not None:
-            self.free.append(file)
+            self.free_fds.append(file)
 
 
 class Process:
@@ -375,7 +383,7 @@
     real program.
     """
 
-    make_calls = Calls
+    system_calls_type = SystemCalls
 
     def __init__(self, world, net, name, host, begin, environ, descriptors, rng, pass_ms=0.0, short_odds=0.0):
         self.world, self.net, self.name, self.host, self.begin, self.environ = (
@@ -387,8 +395,8 @@
             environ,
         )
         self.descriptors, self.rng, self.pass_ms, self.short_odds = descriptors, rng, pass_ms, short_odds
-        self.disk = Disk(world.chance(f"{name} disk"))
-        self.over, self.green, self.calls, self.signal_reader, self.serial, self.waits = (
+        self.disk = Disk(world.random_stream(f"{name} disk"))
+        self.ended, self.greenlet, self.calls, self.signal_reader, self.resume_serial, self.wakeable = (
             True,
             None,
             None,
@@ -396,23 +404,23 @@
             0,
             False,
         )
-        self.stands_until = 0.0
-        self.number = 0  # of starts
-        self.planned, self.replaced = (
+        self.suspended_until = 0.0
+        self.start_count = 0  # of starts
+        self.planned_kills, self.on_killed_in_call = (
             deque(),
             None,
         )  # calls at which its next processes are killed; what starts the one after
 
     def start(self):
-        if not self.over:
+        if not self.ended:
             return
-        self.over, self.stands_until, self.number = False, 0.0, self.number + 1
-        self.calls = self.make_calls(self, self.descriptors)
-        if self.planned:
-            self.calls.kill_at = self.planned.popleft()
-        self.world.note("start", self.name)
-        self.green = greenlet.greenlet(self._body)
-        self._resume(self.serial)
+        self.ended, self.suspended_until, self.start_count = False, 0.0, self.start_count + 1
+        self.calls = self.system_calls_type(self, self.descriptors)
+        if self.planned_kills:
+            self.calls.kill_at = self.planned_kills.popleft()
+        self.world.record("start", self.name)
+        self.greenlet = greenlet.greenlet(self._body)
+        self._resume(self.resume_serial)
 
     def _body(self):
         try:
@@ -421,83 +429,83 @@
             self._end("exit")
         except Killed:
             pass
-        except Busy as fault:
-            self._end("busy", str(fault))
-        except Exception as fault:
+        except BusyLoop as error:
+            self._end("busy", str(error))
+        except Exception as error:
             logger.opt(exception=True).debug("the program ended by a fault")
-            self._end("crash", f"{type(fault).__name__}: {fault}")
+            self._end("crash", f"{type(error).__name__}: {error}")
 
     def _resume(self, serial):
-        if serial == self.serial and self.green is not None and not self.green.dead:
-            self.serial += 1
-            self.waits = False
-            now = current.process
+        if serial == self.resume_serial and self.greenlet is not None and not self.greenlet.dead:
+            self.resume_serial += 1
+            self.wakeable = False
+            previous = current.process
             current.process = self
             try:
-                self.green.switch()
+                self.greenlet.switch()
             finally:
-                current.process = now
+                current.process = previous
 
     def sleep(self, ms, wakeable):
         """Gives the world back its turn."""
-        self.waits = wakeable
-        self.world.after(ms, self._resume, self.serial)
+        self.wakeable = wakeable
+        self.world.call_later(ms, self._resume, self.resume_serial)
         greenlet.getcurrent().parent.switch()
-        if self.over:
+        if self.ended:
             raise Killed
-        if self.stands_until > self.world.now:
-            self.sleep(self.stands_until - self.world.now, False)
+        if self.suspended_until > self.world.now:
+            self.sleep(self.suspended_until - self.world.now, False)
 
     def wake(self):
-        if self.waits:
-            self.waits = False
-            self.world.after(0.0, self._resume, self.serial)
+        if self.wakeable:
+            self.wakeable = False
+            self.world.call_later(0.0, self._resume, self.resume_serial)
 
     # Signals and ends.
 
-    def signal(self, sign):
-        if not self.over and self.signal_reader is not None:
-            self.signal_reader.hear(sign)
+    def signal(self, number):
+        if not self.ended and self.signal_reader is not None:
+            self.signal_reader.deliver(number)
 
-    def stand(self, ms):
+    def suspend(self, ms):
         """SIGSTOP for so long."""
-        if not self.over:
-            self.stands_until = self.world.now + ms
-            self.world.note("stands", self.name, ms)
+        if not self.ended:
+            self.suspended_until = self.world.now + ms
+            self.world.record("stands", self.name, ms)
 
-    def kill_soon(self, calls):
+    def kill_after_calls(self, count):
         """SIGKILL at the call that lies so many ahead."""
-        if not self.over:
-            self.calls.kill_at = self.calls.number + max(1, calls)
+        if not self.ended:
+            self.calls.kill_at = self.calls.call_count + max(1, count)
 
-    def ended_by(self, what, data):
+    def killed_in_call(self, call, data):
         """Killed in a call: of what it was writing a part may be in the file or on its way."""
-        if what == "write":
+        if call == "write":
             file, data = data
-            part = self.rng.randrange(len(data) + 1)
-            self.calls.handles[file].extend(bytes(data[:part]))
-        elif what == "send" and (part := self.rng.randrange(len(data[1]) + 1)):
-            data[0].send(data[1][:part])
-        self._end("killed", what)
-        if self.replaced:
-            self.replaced(self)
+            written = self.rng.randrange(len(data) + 1)
+            self.calls.handles[file].extend(bytes(data[:written]))
+        elif call == "send" and (written := self.rng.randrange(len(data[1]) + 1)):
+            data[0].send(data[1][:written])
+        self._end("killed", call)
+        if self.on_killed_in_call:
+            self.on_killed_in_call(self)
 
     def kill(self):
         """SIGKILL where it waits."""
-        if not self.over:
+        if not self.ended:
             self._end("killed", "where it waits")
-            self.serial += 1
-            green = self.green
-            if green is not None and not green.dead and green is not greenlet.getcurrent():
-                green.throw(Killed)
+            self.resume_serial += 1
+            target = self.greenlet
+            if target is not None and not target.dead and target is not greenlet.getcurrent():
+                target.throw(Killed)
 
-    def _end(self, how, why=""):
+    def _end(self, how, detail=""):
         """The kernel closes what was open."""
-        self.over = True
-        self.world.note("end", self.name, how, why)
+        self.ended = True
+        self.world.record("end", self.name, how, detail)
         self.calls.kill_at = -1
         for handle in list(self.calls.handles.values()):
-            if isinstance(handle, Ears):
+            if isinstance(handle, ListeningSocket):
                 handle.close()
             elif isinstance(handle, Socket) and handle.end is not None:
                 handle.fd = -1
--- a/calicopin/emulator/referee.py
+++ b/calicopin/emulator/referee.py
@@ -102,13 +102,17 @@
 class Referee:
     """Reads one trace; `breaks` and `figures()` are its word."""
 
-    def __init__(self, day):
-        self.scenario, self.products, self.day = day.scenario, day.scenario.product, day
+    def __init__(self, simulation):
+        self.scenario, self.products, self.simulation = (
+            simulation.scenario,
+            simulation.scenario.product,
+            simulation,
+        )
         self.breaks, self.hands, self.answers, self.calls = [], {}, {}, {}
         self.notices, self.of, self.lives = defaultdict(list), defaultdict(list), defaultdict(Lives)
         self.cuts, self.silent, self.told, self.ran, self.refusals = [], set(), [], Counter(), 0
-        self.spans, self.ended, self.operators = defaultdict(list), day.world.now, []
-        for entry in day.world.trace:
+        self.spans, self.ended, self.operators = defaultdict(list), simulation.world.now, []
+        for entry in simulation.world.trace:
             getattr(self, "_" + entry[1].replace("-", "_"), self._pass)(*entry[:1], *entry[2:])
         self._excuses()
         self._judge()
@@ -562,7 +566,7 @@
         works = {
             number: partner.work_ms + partner.first_ms for number, partner, _ in self.scenario.destinations()
         }
-        for text in self.day.texts:
+        for text in self.simulation.texts:
             lines[text["dest"]].append(text)
         for dest, line in lines.items():
             line, waiting, at, spans = deque(line), [], 0.0, sorted(self.spans.get(dest, ()))
@@ -592,7 +596,7 @@
         done, by_dest, seen = (
             {},
             defaultdict(lambda: [0, 0]),
-            {text["number"]: text for text in self.day.texts},
+            {text["number"]: text for text in self.simulation.texts},
         )
         for ident, calls in self.of.items():
             hand = self.hands.get(ident)
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from calicopin.emulator import faults, list_faults  # noqa: F401  the latter adds its faults to the others
-from calicopin.emulator.day import Day
+from calicopin.emulator.day import Simulation
 from calicopin.emulator.list_referee import judge
 from calicopin.emulator.nodes import given_up_after
 from calicopin.emulator.referee import Referee
@@ -62,14 +62,14 @@
     """One run: (the day, its referee, the CPU it took)."""
     began = time.process_time()
     with faults.put_in(fault), given_up_after(scenario.nodes.given_up_s):
-        day = Day(scenario, seed, serve, troubles, texts, kills)
+        simulation = Simulation(scenario, seed, serve, troubles, texts, kills)
         try:
-            guarded(day.play)
+            guarded(simulation.play)
         except Endless:
-            day.world.note(
+            simulation.world.record(
                 "end", "a courier", "busy", f"{CPU_MOST} s of CPU at one moment, without a system call"
             )
-    return day, judge(day, Referee(day)), time.process_time() - began
+    return simulation, judge(simulation, Referee(simulation)), time.process_time() - began
 
 
 def once(job):
@@ -77,18 +77,18 @@
     word, seed, fault, kills = job
     logger.remove()
     scenario = load(word)
-    day, referee, cpu = play(scenario, seed, fault, kills=kills)
+    simulation, referee, cpu = play(scenario, seed, fault, kills=kills)
     return Result(
         scenario.name,
         seed,
-        day.world.digest(),
-        day.world.now / 1000.0,
+        simulation.world.digest(),
+        simulation.world.now / 1000.0,
         cpu,
         referee.breaks,
         referee.figures(),
-        day.world.events,
+        simulation.world.events_run,
         kills,
-        day.couriers[0].number,
+        simulation.couriers[0].number,
     )
 
 
@@ -111,11 +111,16 @@
     """The smallest run found in which the same rule breaks: (troubles, texts, the break).
 
     First troubles are left out, then texts, in ever smaller parts; `most` runs are played."""
-    day, referee, _ = play(scenario, seed, fault)
+    simulation, referee, _ = play(scenario, seed, fault)
     if not referee.breaks:
         return None
     rule = referee.breaks[0].rule
-    troubles, texts, found, left = list(day.troubles), list(day.texts), referee.breaks[0], [most]
+    troubles, texts, found, left = (
+        list(simulation.troubles),
+        list(simulation.texts),
+        referee.breaks[0],
+        [most],
+    )
 
     def breaks(some_troubles, some_texts):
         nonlocal found
--- a/calicopin/emulator/standins/clients.py
+++ b/calicopin/emulator/standins/clients.py
@@ -67,7 +67,7 @@
         self.way, self.heard = way, 0
         self.end = clients.net.connect(clients.machine, courier.host, 5000, self.up)
         self.end.on_data, self.end.on_end = self.hear, lambda reset: self.end.close()
-        clients.world.after(6000.0, self.end.close)
+        clients.world.call_later(6000.0, self.end.close)
 
     def up(self, done):
         if not isinstance(done, int) and self.way:
@@ -104,7 +104,7 @@
             couriers,
         )
         self.machine, self.idle = net.machine("10.9.0.1"), {courier.name: deque() for courier in couriers}
-        self.rng, self.tries, self.asks, self.unheard = world.chance("clients"), {}, {}, {}
+        self.rng, self.tries, self.asks, self.unheard = world.random_stream("clients"), {}, {}, {}
 
     def hand_in(self, text, courier, ident=None):
         if self.traffic.rude and self.rng.random() < self.traffic.rude:
@@ -116,7 +116,7 @@
             ident = f"{text['number']:x}.{tries}"
         ask = self.asks[ident] = Ask(ident, text, courier, text["until"])
         self.begin(ask)
-        self.world.after(self.traffic.patience_ms, self.impatient, ask)
+        self.world.call_later(self.traffic.patience_ms, self.impatient, ask)
 
     def begin(self, ask, new=False):
         idle = self.idle[ask.courier.name]
@@ -138,7 +138,7 @@
             f"X-Envelope: dest={text['dest']}\r\nContent-Length: {len(text['body'])}\r\n\r\n"
         )
         ask.sent = True
-        self.world.note(
+        self.world.record(
             "hand-in",
             ask.ident,
             text["number"],
@@ -157,7 +157,7 @@
         if ask.over:
             return
         ask.over = True
-        self.world.note("answer", ask.ident, status)
+        self.world.record("answer", ask.ident, status)
         self.unheard.pop(ask.text["number"], None)
         if status in (429, 503):
             told = headers.get(b"retry-after")
@@ -177,13 +177,13 @@
             return
         ask.over = True
         if ask.sent:
-            self.world.note("cut", ask.ident, ask.courier.name)
+            self.world.record("cut", ask.ident, ask.courier.name)
         self.again(ask, self.rng.uniform(100.0, 500.0), ask.sent)
 
     def impatient(self, ask):
         if not ask.over:
             ask.over = True
-            self.world.note("left", ask.ident)
+            self.world.record("left", ask.ident)
             line = ask.line
             if line is not None and line.ask is ask:
                 line.ask = None
@@ -207,6 +207,6 @@
             self.unheard[number] = ask.ident, ask.courier
         ident, courier = self.unheard.get(number, (None, None))
         courier = courier or (self.rng.choice(self.couriers) if self.front else ask.courier)
-        self.world.after(wait, self.hand_in, ask.text, courier, ident)
+        self.world.call_later(wait, self.hand_in, ask.text, courier, ident)
 
     front = False
--- a/calicopin/emulator/standins/operators.py
+++ b/calicopin/emulator/standins/operators.py
@@ -25,7 +25,7 @@
         def finish(status, body=b""):
             if not told:
                 told.append(status)
-                self.world.note("operator", courier.name, path, asked, status, body.decode())
+                self.world.record("operator", courier.name, path, asked, status, body.decode())
                 end.close()
 
         def up(done):
@@ -37,7 +37,7 @@
         parsed = Parsed(httptools.HttpResponseParser, whole)
         end = self.net.connect(self.machine, courier.host, self.PORT, up)
         end.on_data, end.on_end = parsed.feed, lambda reset: finish(0)
-        self.world.after(self.PATIENCE, finish, 0)
+        self.world.call_later(self.PATIENCE, finish, 0)
 
     def hold(self, courier):
         def up(done):
@@ -46,4 +46,4 @@
 
         end = self.net.connect(self.machine, courier.host, self.PORT, up)
         end.on_data, end.on_end = lambda *_: None, lambda reset: end.close()
-        self.world.after(self.HOLD, end.close)
+        self.world.call_later(self.HOLD, end.close)
--- a/calicopin/emulator/standins/partners.py
+++ b/calicopin/emulator/standins/partners.py
@@ -17,7 +17,7 @@
 
     def __init__(self, world, net, who):
         self.world, self.net, self.who, self.calls = world, net, who, 0
-        self.rng = world.chance("partners")
+        self.rng = world.random_stream("partners")
 
     def listen(self, destination, endpoint):
         machine = self.net.machine(endpoint.host)
@@ -25,7 +25,7 @@
 
         def met(end):
             if destination.modes.get("refuse") or destination.fell:
-                self.world.after(self.net.latency(), self.refused, destination, end)
+                self.world.call_later(self.net.latency(), self.refused, destination, end)
                 return True
             server = Server(end, lambda *told: self.call(destination, endpoint, *told), self.closed)
             server.call = None
@@ -33,7 +33,7 @@
             self.sweep(server, destination.spec.idle_s * 1000.0, open_)
             return True
 
-        machine.listeners[80] = Listener(machine, met, destination.spec.handshake_ms)
+        machine.listeners[80] = Listener(machine, on_connection, destination.spec.handshake_ms)
 
     def refused(self, destination, end):
         destination.met.add(self.who(end))
@@ -48,19 +48,19 @@
             server.hang_up()
             open_.remove(server)
         else:
-            self.world.after(
+            self.world.call_later(
                 max(1000.0, idle - (self.world.now - server.last)), self.sweep, server, idle, open_
             )
 
     def closed(self, server):
         call, server.call = server.call, None
         if call is not None:
-            self.world.note("hung-up", call)
+            self.world.record("hung-up", call)
 
     def call(self, destination, endpoint, server, target, headers, body, begun):
         courier = self.who(server.end)
         if server.call is not None:
-            self.world.note("fault", courier, "a second request on a connection before the answer")
+            self.world.record("fault", courier, "a second request on a connection before the answer")
         try:
             bulk = ODD[target]
             items = json.loads(body) if bulk else None
@@ -77,36 +77,36 @@
             )
             float(headers[b"x-timeout"])
         except (KeyError, ValueError, TypeError):
-            self.world.note("fault", courier, f"a call that cannot be read: {target[:40]!r}")
+            self.world.record("fault", courier, f"a call that cannot be read: {target[:40]!r}")
             server.reply(response(400))
             return
         self.calls += 1
         number = server.call = self.calls
         idents = tuple(text[0] for text in texts)
-        self.world.note(
+        self.world.record(
             "call", number, courier, endpoint.ident, endpoint.zone, destination.number, tuple(texts), begun
         )
         if len(idents) > destination.spec.bundle or len(set(idents)) < len(idents):
-            self.world.note(
+            self.world.record(
                 "fault", courier, f"{len(idents)} texts in a call of {destination.spec.bundle} at most"
             )
         if not self.net.machine(endpoint.host).up:
             return
         reply = destination.arrive(endpoint, courier, idents)
         if reply.ran:
-            self.world.after(reply.ran_after, self.ran, number, reply.ran)
+            self.world.call_later(reply.ran_after, self.ran, number, reply.ran)
         if reply.after != NEVER:
-            self.world.after(reply.after, self.written, server, number, reply, len(idents) > 1)
+            self.world.call_later(reply.after, self.written, server, number, reply, len(idents) > 1)
 
     def ran(self, number, idents):
-        self.world.note("ran", number, idents)
+        self.world.record("ran", number, idents)
 
     def written(self, server, number, reply, bulk):
         if server.call != number:
             return
         server.call = None
         if reply.lost:
-            self.world.note("lost", number)
+            self.world.record("lost", number)
             server.hang_up()
             return
         headers, body = [], b""
@@ -129,10 +129,10 @@
             )
             told = re.match(rb"HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n", data) and not bulk
             status = 200 if told else -abs(status)  # alone in its call, a 200 counts from its first line on
-        self.world.note(
+        self.world.record(
             "reply", number, status, 0.0 if reply.spoilt else reply.wait, tuple((states or {}).items())
         )
-        server.reply(data, lambda: self.world.note("heard", number))
+        server.reply(data, lambda: self.world.record("heard", number))
         if reply.spoilt:
             server.hang_up()
 
--- a/calicopin/emulator/standins/platform.py
+++ b/calicopin/emulator/standins/platform.py
@@ -42,9 +42,9 @@
         self.listen()
 
     def listen(self):
-        self.machine.listeners[8500] = Listener(self.machine, self.met)
+        self.machine.listeners[8500] = Listener(self.machine, self.on_connection)
 
-    def met(self, end):
+    def on_connection(self, end):
         Server(end, self.answer)
         return True
 
@@ -59,7 +59,7 @@
         """News, on their way to this agent."""
         low, high = self.late
         self.news = max(self.news, self.world.now + low + (high - low) * self.rng.random())  # in their order
-        self.world.at(self.news, self.changed, entries)
+        self.world.call_at(self.news, self.changed, entries)
 
     def changed(self, entries):
         if self.silent:  # what it has to tell is told once discovery is back
@@ -70,7 +70,7 @@
             tuple(entry["id"] for entry in entries if (entry["state"] == "active") is ready)
             for ready in (True, False)
         )
-        self.world.note("had", self.courier, on, off)
+        self.world.record("had", self.courier, on, off)
         for entry in entries:
             self.history.append((self.version, dict(entry)))
             if entry["state"] == "left":
@@ -107,7 +107,7 @@
         full = told["full"]
         server.reply(
             response(200, json.dumps(told).encode()),
-            lambda: self.world.note("told", self.courier, full, on, off),
+            lambda: self.world.record("told", self.courier, full, on, off),
         )
 
     def answer(self, server, target, headers, body, begun):
@@ -123,11 +123,11 @@
                     for line in lines
                 ]
             except (ValueError, KeyError, TypeError):
-                self.world.note("fault", self.courier, "a notice that cannot be read")
+                self.world.record("fault", self.courier, "a notice that cannot be read")
                 server.reply(response(400))
                 return
             for notice in notices:
-                self.world.note("notice", self.courier, *notice)
+                self.world.record("notice", self.courier, *notice)
                 self.heard(*notice)
             server.reply(response(204))
             return
@@ -141,8 +141,8 @@
                 self.watch(server, index, wait)
                 return
             after, serves = self.registry.turn(self.world.now)
-            self.world.note("asked", self.courier, serves)
-            self.world.after(
+            self.world.record("asked", self.courier, serves)
+            self.world.call_later(
                 after, self.watch if serves else self.turn_away, server, index, max(0.0, wait - after)
             )
 
@@ -155,7 +155,7 @@
             self.tell(server, index)
         elif server.open:
             self.watchers.append((server, index))
-            self.world.after(wait, self.nothing, server, index)
+            self.world.call_later(wait, self.nothing, server, index)
 
     def nothing(self, server, index):
         if (server, index) in self.watchers:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("name", names())
 def test_every_scenario_is_played_with_all_rules_kept(name):
-    day, referee, _ = runs.play(load(name), 3)
+    simulation, referee, _ = runs.play(load(name), 3)
     assert not referee.breaks, list(map(str, referee.breaks[:5]))
     assert len(referee.calls) > 100
 
@@ -74,12 +74,12 @@
     """With the calls for the list as they were, up to three still had none ten seconds on and most calls
     were turned away.
     """
-    day, referee, _ = runs.play(load("herd-large"), 1)
+    simulation, referee, _ = runs.play(load("herd-large"), 1)
     back = {}
-    for at, kind, *told in day.world.trace:
+    for at, kind, *told in simulation.world.trace:
         if kind == "told" and at > 12700.0:
             back.setdefault(told[0], at)
-    asked = [told[1] for at, kind, *told in day.world.trace if kind == "asked" and at > 12000.0]
+    asked = [told[1] for at, kind, *told in simulation.world.trace if kind == "asked" and at > 12000.0]
     assert not referee.breaks and len(back) == 40 and max(back.values()) < 20000.0
     assert asked.count(False) <= 3 and asked.count(True) < 2 * 28, (
         "at most one call more for each that was killed"
@@ -218,14 +218,14 @@
 def test_a_partition_holds_bytes_back_and_a_vanished_machine_forgets_them():
     world, net, one, other = joined()
     here, there = one.end.machine, other.end.machine
-    net.cut(here, there)
+    net.set_partition(here, there)
     one.end.send(b"late")
     world.run(3000.0)
     assert other.data == b""
-    net.cut(here, there, False)
+    net.set_partition(here, there, False)
     world.run(6000.0)
     assert other.data == b"late"
-    net.vanish(there)
+    net.take_down(there)
     one.end.send(b"never")
     world.run(9000.0)
     assert not one.ends
@@ -245,7 +245,7 @@
 
 
 def test_a_full_disk_takes_what_fits_and_a_killed_writer_leaves_a_part():
-    disk = Disk(World(1).chance("disk"), room=10)
+    disk = Disk(World(1).random_stream("disk"), capacity=10)
     file = disk.create("a")
     assert disk.write(file, b"x" * 8) == 8 and disk.write(file, b"y" * 8) == 2
     with pytest.raises(OSError) as fault:
--- a/tests/test_emulator_subscriptions.py
+++ b/tests/test_emulator_subscriptions.py
@@ -37,68 +37,72 @@
 
 def play(name, seed):
     """The same, with all rules kept."""
-    day, referee = played(name, seed)
+    simulation, referee = played(name, seed)
     assert not referee.breaks, list(map(str, referee.breaks[:5]))
-    return day, referee
+    return simulation, referee
 
 
-def noted(day, *kinds):
+def noted(simulation, *kinds):
     """The entries of these kinds in the trace."""
-    return [entry for entry in day.world.trace if entry[1] in kinds]
+    return [entry for entry in simulation.world.trace if entry[1] in kinds]
 
 
 def test_fresh_and_given_up_and_unknown_destinations_on_a_calm_day():
-    day, referee = play("subscriptions", 1)
-    answered, statuses = noted(day, "answered"), [status for _, status in referee.answers.values()]
-    assert noted(day, "gives-up"), "destinations are given up"
+    simulation, referee = play("subscriptions", 1)
+    answered, statuses = noted(simulation, "answered"), [status for _, status in referee.answers.values()]
+    assert noted(simulation, "gives-up"), "destinations are given up"
     assert any(unknown for *_, unknown in answered) and 404 in statuses, "and asked for that do not exist"
     told = {}
     for _, _, courier, _, complete, _ in answered:
         for destination in complete:
             told[courier, destination] = told.get((courier, destination), 0) + 1
     given_up = {
-        (courier, destination) for *_, courier, some in noted(day, "gives-up") for destination in some
+        (courier, destination) for *_, courier, some in noted(simulation, "gives-up") for destination in some
     }
     assert any(told.get(one, 0) > 1 for one in given_up), "and subscribed to anew"
     assert sum(status == 202 for status in statuses) > 400
 
 
 def test_couriers_serve_on_by_what_they_know_while_no_node_is_there():
-    day, referee = play("subscriptions-nodes-killed", 1)
-    down = max(at for at, _, name, *_ in noted(day, "end") if name.startswith("node") and at < 20000.0)
-    back = min(at for at, _, name in noted(day, "start") if name.startswith("node") and at > down)
+    simulation, referee = play("subscriptions-nodes-killed", 1)
+    down = max(at for at, _, name, *_ in noted(simulation, "end") if name.startswith("node") and at < 20000.0)
+    back = min(at for at, _, name in noted(simulation, "start") if name.startswith("node") and at > down)
     meanwhile = [call for call in referee.calls.values() if down < call.begun < back]
-    restarted = [at for at, _, name in noted(day, "start") if name.startswith("courier") and down < at < back]
-    assert not [entry for entry in noted(day, "answered") if down + 100.0 < entry[0] < back]
+    restarted = [
+        at for at, _, name in noted(simulation, "start") if name.startswith("courier") and down < at < back
+    ]
+    assert not [entry for entry in noted(simulation, "answered") if down + 100.0 < entry[0] < back]
     assert restarted and any(call.begun > restarted[-1] for call in meanwhile), "by the list in the folder"
     assert len(meanwhile) > 30
 
 
 def test_a_courier_cut_off_from_its_node_goes_to_another_within_the_time_for_leaves():
-    day, referee = play("subscriptions-partition", 1)
-    (at, _, courier, node, _), *_ = noted(day, "cut-off")
-    served = [entry for entry in noted(day, "answered") if entry[2] == courier and entry[0] > at + 100.0]
+    simulation, referee = play("subscriptions-partition", 1)
+    (at, _, courier, node, _), *_ = noted(simulation, "cut-off")
+    served = [
+        entry for entry in noted(simulation, "answered") if entry[2] == courier and entry[0] > at + 100.0
+    ]
     assert served[0][3] != node and served[0][0] < at + 6000.0
-    assert len({entry[3] for entry in noted(day, "answered")}) == 3
+    assert len({entry[3] for entry in noted(simulation, "answered")}) == 3
 
 
 def test_a_herd_of_restarts_calls_nobody_before_its_first_answers():
-    day, referee = play("subscriptions-herd", 1)
-    starts = [at for at, _, name in noted(day, "start") if name.startswith("courier")]
+    simulation, referee = play("subscriptions-herd", 1)
+    starts = [at for at, _, name in noted(simulation, "start") if name.startswith("courier")]
     together = max(sum(other == at for other in starts) for at in starts)
     assert together >= 4, "half of the couriers at one moment"
 
 
 def test_a_restart_while_its_node_is_down_asks_the_next_one_before_it_calls_anybody():
-    day, _ = play("subscriptions-node-down", 1)
-    failed = [line for *_, line in day.lines if "cannot be connected to" in line]
+    simulation, _ = play("subscriptions-node-down", 1)
+    failed = [line for *_, line in simulation.log_lines if "cannot be connected to" in line]
     assert failed, "a courier's first node was down"
 
 
 def test_a_list_that_is_too_old_is_not_called_by():
-    day, referee = play("subscriptions-old-list", 1)
-    back = min(at for at, _, name in noted(day, "start") if name.startswith("node") and at > 10000.0)
-    late = [(at, name) for at, _, name in noted(day, "start") if 12500.0 < at < back]
+    simulation, referee = play("subscriptions-old-list", 1)
+    back = min(at for at, _, name in noted(simulation, "start") if name.startswith("node") and at > 10000.0)
+    late = [(at, name) for at, _, name in noted(simulation, "start") if 12500.0 < at < back]
     assert late
     for at, name in late:
         assert not [c for c in referee.calls.values() if c.courier == name and at < c.begun < back]
@@ -107,10 +111,10 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_another_seed_keeps_all_rules_and_each_list_is_compared_at_the_end(name):
-    day, _ = play(name, 2)
-    judged = ListReferee(day, Referee(day))
+    simulation, _ = play(name, 2)
+    judged = ListReferee(simulation, Referee(simulation))
     assert not judged.referee.breaks
-    assert judged.compared > 3 * len(day.couriers)
+    assert judged.compared > 3 * len(simulation.couriers)
     assert judged.leaves > 0
 
 
@@ -197,10 +201,10 @@
 
 
 def test_sources_hold_the_changes_in_their_order_and_a_replaced_one_is_short():
-    day, _ = play("subscriptions", 1)
-    for node in day.nodes.processes:
-        serials = [entry[2] for entry in noted(day, "source") if entry[3] == node.name]
+    simulation, _ = play("subscriptions", 1)
+    for node in simulation.nodes.processes:
+        serials = [entry[2] for entry in noted(simulation, "source") if entry[3] == node.name]
         assert all(one < other for one, other in pairwise(serials))
         lines = bytes(node.disk.files[SOURCE]).splitlines()
         assert lines[0] + b"\n" == encode({"form": 1, "fleet": "emulated"})
-        assert len(lines) < 1 + len(day.nodes.first) + len(serials), "written anew since"
+        assert len(lines) < 1 + len(simulation.nodes.first) + len(serials), "written anew since"
