--- a/calicopin/emulator/day.py
+++ b/calicopin/emulator/day.py
@@ -557,7 +557,7 @@
         """Connections to partners are reset one after the other."""
         until = self.world.now + duration
 
-        def one():
+        def reset_next():
             ends = [
                 end
                 for courier in self.couriers
--- a/calicopin/emulator/standins/partners.py
+++ b/calicopin/emulator/standins/partners.py
@@ -23,7 +23,7 @@
         machine = self.net.machine(endpoint.host)
         open_ = endpoint.servers = []
 
-        def met(end):
+        def on_connection(end):
             if destination.modes.get("refuse") or destination.fell:
                 self.world.call_later(self.net.latency(), self.refused, destination, end)
                 return True
