--- a/calicopin/emulator/day.py
+++ b/calicopin/emulator/day.py
@@ -18,7 +18,7 @@
     SUBSCRIPTION_TROUBLES,
     Trouble,
 )
-from calicopin.emulator.standins import Clients, Operator, Partners, Platform, Registry
+from calicopin.emulator.standins import Clients, DiscoveryService, Operator, Partners, PlatformAgent
 from calicopin.emulator.world import World
 
 CLIENTS_START_MS = 1000.0  # couriers start, clients come after it
@@ -62,7 +62,7 @@
             fades="linear",
         ),
         ceilings=dict(
-            mostHeld=couriers.stalled,
+            mostHeld=couriers.held,
             tryLimit=couriers.tries,
             connectTimeout=couriers.connect_ms / 1000.0,
             idleClose=couriers.idle_s,
@@ -212,12 +212,12 @@
         self.destinations, self.server_list = {}, {}
         for number, partner, _ in scenario.destinations():
             self._destination(number, partner)
-        self.courier_by_host, self.couriers, self.platforms, self.registry = {}, [], {}, Registry()
+        self.courier_by_host, self.couriers, self.platforms, self.discovery = {}, [], {}, DiscoveryService()
         self.nodes = Nodes(self)
         for number in range(scenario.couriers.count):
             self._courier(number, begin)
         self.clients = Clients(world, self.net, scenario.traffic, self.products, self.couriers)
-        self.clients.front = scenario.couriers.front
+        self.clients.load_balanced = scenario.couriers.front
         self.operator = Operator(world, self.net)
         self.endpoints_created, self.log_lines = len(self.server_list), []
         if kills:
@@ -282,7 +282,7 @@
         )
         process.slot_number = number
         late = tuple(self.scenario.platform.late_ms)
-        self.platforms[name] = platform = Platform(
+        self.platforms[name] = platform = PlatformAgent(
             self.world,
             self.net,
             name,
@@ -290,13 +290,13 @@
             self.server_list,
             late,
             self.world.random_stream(f"{name} agent"),
-            self.registry,
+            self.discovery,
         )
-        platform.heard = lambda *notice: self.clients.noticed(*notice)
+        platform.on_notice = lambda *notice: self.clients.on_notice(*notice)
         self.courier_by_host[host] = name
         self.couriers.append(process)
         process.config = self.config(process, platform)
-        process.initial_list = platform.known()
+        process.initial_list = platform.snapshot()
 
     def config(self, process, platform, **other):
         couriers, seed = (
@@ -309,7 +309,7 @@
             "seed": f"{seed:x}",
             "discovery": process.environ["LB_DISCOVERY"],
             "limits": {"sockets": couriers.descriptors, "disk_mb": couriers.disk_mb},
-            "known": platform.known(),
+            "known": platform.snapshot(),
             "settings": settings(self.scenario, process.slot_number),
             "store": couriers.store,
         }
@@ -373,19 +373,19 @@
             getattr(self, f"_{handler}")(trouble, duration)
 
     def _set_mode(self, destination, trouble, duration):
-        destination.begin(trouble.kind, trouble.size)
+        destination.begin_trouble(trouble.kind, trouble.size)
         if trouble.kind == "refuse":
             for endpoint in destination.endpoints:
-                self.partners.restart(endpoint)
+                self.partners.reset_connections(endpoint)
         destination.shut_until = max(destination.shut_until, self.world.now + duration)
-        self.world.call_later(duration, destination.end, trouble.kind)
+        self.world.call_later(duration, destination.end_trouble, trouble.kind)
 
     def _limit(self, destination, trouble, duration):
         destination.limit_factor = trouble.size
         self.world.call_later(duration, setattr, destination, "limit_factor", 1.0)
 
     def _vanish(self, destination, trouble, duration):
-        destination.begin("vanish")
+        destination.begin_trouble("vanish")
         for endpoint in destination.endpoints:
             self.net.take_down(self.net.machine(endpoint.host))
         self.world.call_later(duration, self._end_vanish, destination)
@@ -394,7 +394,7 @@
         for endpoint in destination.endpoints:
             self.net.machine(endpoint.host).up = True
             self.partners.listen(destination, endpoint)
-        destination.end("vanish")
+        destination.end_trouble("vanish")
 
     def _stall_some(self, destination, trouble, duration):
         endpoint = self.rng.choice(destination.endpoints)
@@ -428,7 +428,7 @@
 
     def announce(self, destination, endpoint, state):
         for platform in self.platforms.values():
-            platform.change(self._entry(endpoint, destination, state))
+            platform.publish_change(self._entry(endpoint, destination, state))
         self.nodes.source.change(self._entry(endpoint, destination, state))
 
     def _kill(self, courier, trouble, duration):
@@ -493,7 +493,7 @@
         if not courier.ended:
             self.operator.call(courier, "stats")
             for _ in range(self.scenario.couriers.holders):
-                self.operator.hold(courier)
+                self.operator.hold_connection(courier)
         self.world.call_later(self.scenario.couriers.scrape_s * 1000.0, self.scrape, courier)
 
     def _reload(self, courier, trouble, duration):
@@ -577,13 +577,13 @@
 
     def _platform_silent(self, trouble, duration):
         for platform in self.platforms.values():
-            platform.silent += 1
+            platform.silence_count += 1
             platform.watchers.clear()
-            self.world.call_later(duration, platform.speak)
+            self.world.call_later(duration, platform.end_silence)
 
     def _platform_busy(self, trouble, duration):
-        self.registry.work = trouble.size
-        self.world.call_later(duration, setattr, self.registry, "work", 0.0)
+        self.discovery.work_ms = trouble.size
+        self.world.call_later(duration, setattr, self.discovery, "work_ms", 0.0)
 
     def _platform_cut(self, trouble, duration):
         """Agents are gone: not even notices are heard."""
@@ -626,7 +626,7 @@
                     self.world.call_at(CLIENTS_START_MS, self.scrape, courier)
             for text in self.texts:
                 courier = self.rng.choice(self.couriers)
-                self.world.call_at(text["due"], self.clients.hand_in, text, courier)
+                self.world.call_at(text["due"], self.clients.send_text, text, courier)
             for trouble in self.troubles:
                 self.world.call_at(CLIENTS_START_MS + trouble.at_s * 1000.0, self.begin_trouble, trouble)
             self.world.run(self.length_ms())
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -19,7 +19,7 @@
 from calicopin.facade import Answer, Facade, Far, Place
 from calicopin.state.texts import Text
 
-MODES = ("refuse", "hang", "shut", "vanish", "slow", "errors", "lose", "spoil")
+FLEET_TROUBLES = ("refuse", "hang", "shut", "vanish", "slow", "errors", "lose", "spoil")
 
 
 class Instance:
@@ -149,13 +149,13 @@
         endpoint = self.endpoints[call.place.ident]
         one = self.destinations[call.place.dest]
         idents = tuple(text.ident for text in call.texts)
-        if one.fell or one.modes.get("refuse"):
+        if one.overloaded or one.active_troubles.get("refuse"):
             one.met.add(courier.name)
             self.world.call_later(
                 self.latency(), self.end, number, courier, call, begun, Answer(Far.UNCONNECTED), False
             )
             return
-        if one.modes.get("vanish"):
+        if one.active_troubles.get("vanish"):
             one.met.add(courier.name)
             self.world.call_later(
                 self.scenario.couriers.connect_ms,
@@ -174,25 +174,31 @@
             "call", number, courier.name, endpoint.ident, endpoint.zone, one.number, texts, begun
         )
         reply = one.arrive(endpoint, courier.name, idents)
-        if reply.ran:
-            self.world.call_later(reply.ran_after, self.world.record, "ran", number, reply.ran)
-        if reply.after != NEVER:
-            self.world.call_later(reply.after, self.reply, number, courier, call, begun, reply)
+        if reply.processed:
+            self.world.call_later(reply.processed_after_ms, self.world.record, "ran", number, reply.processed)
+        if reply.delay_ms != NEVER:
+            self.world.call_later(reply.delay_ms, self.reply, number, courier, call, begun, reply)
 
     def reply(self, number, courier, call, begun, reply):
         if number not in self.open:
             return
-        lost = reply.lost or reply.spoilt
+        lost = reply.drop_connection or reply.corrupt
         states = reply.states
         if len(call.texts) > 1 and reply.status == 200:
-            states = states or {ident: "delivered" for ident in reply.ran}
+            states = states or {ident: "delivered" for ident in reply.processed}
         if lost:
             self.world.record("lost", number)
             answer = Answer(Far.SENT)
         else:
-            self.world.record("reply", number, reply.status, reply.wait, tuple((states or {}).items()))
+            self.world.record(
+                "reply", number, reply.status, reply.retry_after_ms, tuple((states or {}).items())
+            )
             answer = Answer(
-                Far.ANSWERED, status=reply.status, wait=reply.wait, load=reply.load or {}, ends=states
+                Far.ANSWERED,
+                status=reply.status,
+                wait=reply.retry_after_ms,
+                load=reply.load or {},
+                ends=states,
             )
         self.world.call_later(self.latency(), self.end, number, courier, call, begun, answer, not lost)
 
@@ -207,7 +213,7 @@
     # The run.
 
     def strike(self, trouble):
-        if trouble.kind not in PARTNER_TROUBLES or trouble.kind not in (*MODES, "limit"):
+        if trouble.kind not in PARTNER_TROUBLES or trouble.kind not in (*FLEET_TROUBLES, "limit"):
             return
         kind, _, name = trouble.whom.partition(":")
         some = [
@@ -222,12 +228,12 @@
             lasts = trouble.for_s * 1000.0
             self.world.record("trouble", trouble.kind, f"destination {one.number}", lasts)
             if trouble.kind == "limit":
-                one.factor = trouble.size
-                self.world.call_later(lasts, setattr, one, "factor", 1.0)
+                one.limit_factor = trouble.size
+                self.world.call_later(lasts, setattr, one, "limit_factor", 1.0)
             else:
-                one.begin(trouble.kind, trouble.size)
+                one.begin_trouble(trouble.kind, trouble.size)
                 one.shut_until = max(one.shut_until, self.world.now + lasts)
-                self.world.call_later(lasts, one.end, trouble.kind)
+                self.world.call_later(lasts, one.end_trouble, trouble.kind)
 
     def play(self):
         for courier in self.couriers:
--- a/calicopin/emulator/net.py
+++ b/calicopin/emulator/net.py
@@ -29,7 +29,7 @@
 class Pipe:
     """One direction of a connection: pieces in order, the first of them on its way."""
 
-    __slots__ = ("queue", "last", "wait", "busy")
+    __slots__ = ("queue", "last_arrival", "retransmit_ms", "busy")
 
     def __init__(self):
         self.queue, self.last_arrival, self.retransmit_ms, self.busy = deque(), 0.0, RETRANSMIT_MIN_MS, False
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -22,7 +22,7 @@
 from calicopin.emulator.net import End
 from calicopin.emulator.process import Handle, ListeningSocket, Process, SystemCalls
 from calicopin.emulator.scenario import Trouble
-from calicopin.emulator.standins import Parsed
+from calicopin.emulator.standins import MessageParser
 from calicopin.lifecycle import subscribed as subscribed_module
 from calicopin.subscription.leases import LeaseBounds
 from calicopin.wire.subscriber import Subscriber
@@ -112,10 +112,10 @@
 
     def __init__(self, node: "NodeProcess", end: End):
         self.node, self.end, self.send, self.host = node, end, end.send, end.peer.machine.address
-        self.parsed = Parsed(httptools.HttpResponseParser, self._whole)
+        self.parsed = MessageParser(httptools.HttpResponseParser, self._whole)
         self.answers: list[dict] = []
         end.send = self._sent
-        self.asked = Parsed(httptools.HttpRequestParser, self._whole_request)
+        self.asked = MessageParser(httptools.HttpRequestParser, self._whole_request)
         self.ask, end.peer.send = end.peer.send, self._asked
 
     def _asked(self, data, heard=None):
@@ -332,7 +332,7 @@
         node.start()
 
     def _node_stand(self, trouble, lasts):
-        self._node(trouble).stand(lasts)
+        self._node(trouble).suspend(lasts)
 
     def _node_vanish(self, trouble, lasts):
         """Its machine says nothing more: connections stay half-open at the couriers."""
--- a/calicopin/emulator/partners.py
+++ b/calicopin/emulator/partners.py
@@ -21,13 +21,13 @@
     it.
     """
 
-    after: float
+    delay_ms: float
     status: int = 200
-    ran: tuple = ()
-    ran_after: float = 0.0
-    wait: float = 0.0
-    lost: bool = False
-    spoilt: bool = False
+    processed: tuple = ()
+    processed_after_ms: float = 0.0
+    retry_after_ms: float = 0.0
+    drop_connection: bool = False
+    corrupt: bool = False
     states: dict | None = None
     load: dict | None = None
 
@@ -40,29 +40,29 @@
     host: str
     zone: str
     state: str = "active"
-    free: list = field(default_factory=list)  # when each busy worker is done
-    starts: deque = field(default_factory=deque)  # of calls that wait in its queue
-    held: bool = False  # hangs by itself
-    servers: list = field(default_factory=list)  # its connections, where there is a network
+    busy_until: list = field(default_factory=list)  # when each busy worker is done
+    queued_starts: deque = field(default_factory=deque)  # of calls that wait in its queue
+    stalled: bool = False  # hangs by itself
+    connections: list = field(default_factory=list)  # its connections, where there is a network
 
 
-class Limit:
+class RateLimit:
     """Calls in a sliding window. Refused ones use it up too where the partner counts them."""
 
     def __init__(self, rate, window, refused_count):
-        self.rate, self.window, self.refused_count, self.seen = rate, window, refused_count, deque()
+        self.rate, self.window, self.refused_count, self.counted_at = rate, window, refused_count, deque()
 
-    def left(self, now, factor):
-        while self.seen and self.seen[0] <= now - self.window:
-            self.seen.popleft()
-        most = max(1.0, self.rate * factor * self.window / 1000.0)
-        return (most - len(self.seen)) / most
+    def remaining_share(self, now, factor):
+        while self.counted_at and self.counted_at[0] <= now - self.window:
+            self.counted_at.popleft()
+        allowed = max(1.0, self.rate * factor * self.window / 1000.0)
+        return (allowed - len(self.counted_at)) / allowed
 
-    def take(self, now, factor):
-        fits = self.left(now, factor) > 1e-9
-        if fits or self.refused_count:
-            self.seen.append(now)
-        return fits
+    def try_take(self, now, factor):
+        allowed = self.remaining_share(now, factor) > 1e-9
+        if allowed or self.refused_count:
+            self.counted_at.append(now)
+        return allowed
 
 
 class Destination:
@@ -74,138 +74,152 @@
         self.world, self.number, self.spec, self.rules, self.endpoints = world, number, spec, rules, endpoints
         self.rng = world.random_stream(f"destination {number}")
         self.limits = {}
-        self.modes, self.size, self.shut_until = {}, {}, 0.0
-        self.out_since = self.back = None
-        self.met, self.knew, self.arrivals, self.fell = set(), set(), deque(), False
-        self.reported = (-1e12, None)
-        self.factor = 1.0  # of its limit
+        self.active_troubles, self.trouble_sizes, self.shut_until = {}, {}, 0.0
+        self.outage_since = self.recovered_at = None
+        self.couriers_in_outage, self.informed_couriers, self.recent_calls, self.overloaded = (
+            set(),
+            set(),
+            deque(),
+            False,
+        )
+        self.last_report = (-1e12, None)
+        self.limit_factor = 1.0  # of its limit
 
     # Outages and the cold time.
 
-    def out(self):
-        return self.fell or any(self.modes.get(kind) for kind in ("refuse", "hang", "shut", "vanish"))
+    def is_out(self):
+        return self.overloaded or any(
+            self.active_troubles.get(kind) for kind in ("refuse", "hang", "shut", "vanish")
+        )
 
-    def begin(self, kind, size=1.0):
+    def begin_trouble(self, kind, size=1.0):
         """A trouble sets in."""
-        before = self.out()
-        self.modes[kind], self.size[kind] = self.modes.get(kind, 0) + 1, size
-        if self.out() and not before:
-            self.out_since, self.back, self.met = self.world.now, None, set()
-
-    def end(self, kind):
-        self.modes[kind] -= 1
-        if self.out_since is not None and not self.out():
-            lasted, self.out_since = self.world.now - self.out_since, None
+        before = self.is_out()
+        self.active_troubles[kind], self.trouble_sizes[kind] = self.active_troubles.get(kind, 0) + 1, size
+        if self.is_out() and not before:
+            self.outage_since, self.recovered_at, self.couriers_in_outage = self.world.now, None, set()
+
+    def end_trouble(self, kind):
+        self.active_troubles[kind] -= 1
+        if self.outage_since is not None and not self.is_out():
+            lasted, self.outage_since = self.world.now - self.outage_since, None
             if lasted >= self.rules.span_s * 1000.0:
-                self.back, self.knew = self.world.now, self.met
-                self.arrivals.clear()
+                self.recovered_at, self.informed_couriers = self.world.now, self.couriers_in_outage
+                self.recent_calls.clear()
                 self.world.record("cold", self.number)
 
-    def warmth(self):
+    def warm_share(self):
         """The share of its capacity that it has: all of it but for the cold time after an outage."""
-        if self.back is None:
+        if self.recovered_at is None:
             return 1.0
-        passed = (self.world.now - self.back) / (self.rules.cold_s * 1000.0)
+        passed = (self.world.now - self.recovered_at) / (self.rules.cold_s * 1000.0)
         return min(1.0, self.rules.cold_from + (1.0 - self.rules.cold_from) * passed)
 
     def capacity(self):
         """Calls a second that it can do when warm."""
-        able = len(self.endpoints) * self.spec.workers * 1000.0 / self.spec.work_ms
-        return min(able, self.spec.limit) if self.spec.limit else able
+        throughput = len(self.endpoints) * self.spec.workers * 1000.0 / self.spec.work_ms
+        return min(throughput, self.spec.limit) if self.spec.limit else throughput
 
-    def pushed(self, courier):
+    def check_overload(self, courier):
         """Counts a call in the cold time; too many in the rule's span fell it."""
-        warmth = self.warmth()
-        if self.back is None or warmth >= 1.0:
+        warm_share = self.warm_share()
+        if self.recovered_at is None or warm_share >= 1.0:
             return
-        now, span = self.world.now, self.rules.span_s * 1000.0
-        self.arrivals.append((now, courier))
-        while self.arrivals[0][0] <= now - span:
-            self.arrivals.popleft()
-        most = self.rules.multiple * self.capacity() * warmth * self.rules.span_s + 2.0
-        if now - self.back >= span and len(self.arrivals) > most:
-            knew = sum(who in self.knew for _, who in self.arrivals)
-            self.fell = True
-            self.world.record("fell", self.number, len(self.arrivals), round(most, 1), knew)
+        now, window = self.world.now, self.rules.span_s * 1000.0
+        self.recent_calls.append((now, courier))
+        while self.recent_calls[0][0] <= now - window:
+            self.recent_calls.popleft()
+        limit = self.rules.multiple * self.capacity() * warm_share * self.rules.span_s + 2.0
+        if now - self.recovered_at >= window and len(self.recent_calls) > limit:
+            informed = sum(who in self.informed_couriers for _, who in self.recent_calls)
+            self.overloaded = True
+            self.world.record("fell", self.number, len(self.recent_calls), round(limit, 1), informed)
 
     # One call.
 
-    def arrive(self, endpoint, courier, idents):
+    def handle_call(self, endpoint, courier, idents):
         """A whole call has arrived with these texts; how it is answered."""
         now, spec, rng = self.world.now, self.spec, self.rng
-        if self.out():
-            self.met.add(courier)
-        if self.fell or self.modes.get("refuse") or self.modes.get("vanish"):
-            return Reply(1.0, 503, lost=True)
-        if self.modes.get("hang") or endpoint.held:
+        if self.is_out():
+            self.couriers_in_outage.add(courier)
+        if self.overloaded or self.active_troubles.get("refuse") or self.active_troubles.get("vanish"):
+            return Reply(1.0, 503, drop_connection=True)
+        if self.active_troubles.get("hang") or endpoint.stalled:
             return Reply(NEVER)
-        if self.modes.get("shut"):
-            left = max(0.0, self.shut_until - now)
-            return self.refuse(left if rng.random() < spec.tells_wait else 0.0)
-        self.pushed(courier)
+        if self.active_troubles.get("shut"):
+            remaining = max(0.0, self.shut_until - now)
+            return self.refuse(remaining if rng.random() < spec.tells_wait else 0.0)
+        self.check_overload(courier)
         if spec.limit:
             route = endpoint.ident if spec.apart else None
-            limit = self.limits.setdefault(route, Limit(spec.limit, spec.window_ms, spec.refused_count))
-            if not limit.take(now, self.factor):
+            limit = self.limits.setdefault(route, RateLimit(spec.limit, spec.window_ms, spec.refused_count))
+            if not limit.try_take(now, self.limit_factor):
                 low, high = spec.wait_ms
                 wait = low + (high - low) * rng.random()
                 return self.refuse(wait if rng.random() < spec.tells_wait else 0.0, limit)
             report = self.report(limit)
         else:
             report = None
-        return self.work(endpoint, idents, report)
+        return self.process_call(endpoint, idents, report)
 
     def refuse(self, wait, limit=None):
         self.world.record("refused", self.number)
-        return Reply(self.rng.uniform(1.0, 5.0), 429 if wait else 503, wait=wait, load=self.report(limit))
+        return Reply(
+            self.rng.uniform(1.0, 5.0), 429 if wait else 503, retry_after_ms=wait, load=self.report(limit)
+        )
 
     def report(self, limit):
         if self.spec.report == "none" or limit is None:
             return None
-        now, (since, told) = self.world.now, self.reported
-        if self.spec.report == "fresh" or now - since >= 600.0:
-            left = max(0.0, limit.left(now, self.factor))
-            self.reported = now, told = now, {"x0": round(left, 3), "x1": self.spec.limit * self.factor}
-        return told
-
-    def work(self, endpoint, idents, report):
+        now, (reported_at, report) = self.world.now, self.last_report
+        if self.spec.report == "fresh" or now - reported_at >= 600.0:
+            remaining = max(0.0, limit.remaining_share(now, self.limit_factor))
+            self.last_report = now, report = (
+                now,
+                {"x0": round(remaining, 3), "x1": self.spec.limit * self.limit_factor},
+            )
+        return report
+
+    def process_call(self, endpoint, idents, report):
         now, spec, rng = self.world.now, self.spec, self.rng
-        while endpoint.free and endpoint.free[0] <= now:
-            heapq.heappop(endpoint.free)
-        while endpoint.starts and endpoint.starts[0] <= now:
-            endpoint.starts.popleft()
-        if len(endpoint.free) < spec.workers:
-            start = now
-        elif len(endpoint.starts) < spec.queue:
-            start = heapq.nsmallest(len(endpoint.free) - spec.workers + 1, endpoint.free)[-1]
-            endpoint.starts.append(start)
+        while endpoint.busy_until and endpoint.busy_until[0] <= now:
+            heapq.heappop(endpoint.busy_until)
+        while endpoint.queued_starts and endpoint.queued_starts[0] <= now:
+            endpoint.queued_starts.popleft()
+        if len(endpoint.busy_until) < spec.workers:
+            start_at = now
+        elif len(endpoint.queued_starts) < spec.queue:
+            start_at = heapq.nsmallest(len(endpoint.busy_until) - spec.workers + 1, endpoint.busy_until)[-1]
+            endpoint.queued_starts.append(start_at)
         else:
             return Reply(2.0, 503, load=report)
         sigma = math.sqrt(math.log(1.0 + spec.work_cv**2))
-        work = spec.work_ms * (1.0 + spec.item_cost * (len(idents) - 1)) / self.warmth()
+        work_ms = spec.work_ms * (1.0 + spec.item_cost * (len(idents) - 1)) / self.warm_share()
         if sigma:
-            work *= rng.lognormvariate(-sigma * sigma / 2.0, sigma)
-        if self.modes.get("slow"):
-            work *= self.size["slow"]
-        work += spec.first_ms
-        done = start + work
-        heapq.heappush(endpoint.free, done)
-        after = done - now
-        reply = Reply(after, 200, tuple(idents), start - now, load=report)
-        errors = spec.error + (self.size["errors"] if self.modes.get("errors") else 0.0)
-        lose = spec.lose + (self.size["lose"] if self.modes.get("lose") else 0.0)
-        if errors and rng.random() < errors:
+            work_ms *= rng.lognormvariate(-sigma * sigma / 2.0, sigma)
+        if self.active_troubles.get("slow"):
+            work_ms *= self.trouble_sizes["slow"]
+        work_ms += spec.first_ms
+        done_at = start_at + work_ms
+        heapq.heappush(endpoint.busy_until, done_at)
+        delay_ms = done_at - now
+        reply = Reply(delay_ms, 200, tuple(idents), start_at - now, load=report)
+        error_odds = spec.error + (
+            self.trouble_sizes["errors"] if self.active_troubles.get("errors") else 0.0
+        )
+        loss_odds = spec.lose + (self.trouble_sizes["lose"] if self.active_troubles.get("lose") else 0.0)
+        if error_odds and rng.random() < error_odds:
             if len(idents) > 1 and rng.random() < 0.7:  # one text alone fares badly
                 reply.states = {ident: "delivered" for ident in idents}
-                bad = rng.choice(idents)
-                reply.states[bad] = rng.choice(["failed", "refused"])
-                reply.ran = tuple(i for i in idents if reply.states[i] != "refused")
+                failed_ident = rng.choice(idents)
+                reply.states[failed_ident] = rng.choice(["failed", "refused"])
+                reply.processed = tuple(i for i in idents if reply.states[i] != "refused")
             else:
                 reply.status = 500
                 if rng.random() < 0.5:
-                    reply.ran = ()
-        elif lose and rng.random() < lose:
-            reply.lost = True
-        elif self.modes.get("spoil") and rng.random() < self.size["spoil"]:
-            reply.spoilt = True
+                    reply.processed = ()
+        elif loss_odds and rng.random() < loss_odds:
+            reply.drop_connection = True
+        elif self.active_troubles.get("spoil") and rng.random() < self.trouble_sizes["spoil"]:
+            reply.corrupt = True
         return reply
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -88,7 +88,7 @@
         referee.figures(),
         simulation.world.events_run,
         kills,
-        simulation.couriers[0].number,
+        simulation.couriers[0].start_count,
     )
 
 
--- a/calicopin/emulator/standins/__init__.py
+++ b/calicopin/emulator/standins/__init__.py
@@ -5,9 +5,9 @@
 """
 
 from calicopin.emulator.standins.clients import Clients
-from calicopin.emulator.standins.http import Parsed
+from calicopin.emulator.standins.http import MessageParser
 from calicopin.emulator.standins.operators import Operator
 from calicopin.emulator.standins.partners import Partners
-from calicopin.emulator.standins.platform import Platform, Registry
+from calicopin.emulator.standins.platform import DiscoveryService, PlatformAgent
 
-__all__ = ["Clients", "Operator", "Parsed", "Partners", "Platform", "Registry"]
+__all__ = ["Clients", "Operator", "MessageParser", "Partners", "PlatformAgent", "DiscoveryService"]
--- a/calicopin/emulator/standins/clients.py
+++ b/calicopin/emulator/standins/clients.py
@@ -5,52 +5,52 @@
 
 import httptools
 
-from calicopin.emulator.standins.http import Parsed
+from calicopin.emulator.standins.http import MessageParser
 
 
-class Sender:
+class ClientConnection:
     """One connection of a client to a courier."""
 
     def __init__(self, clients, courier):
-        self.clients, self.courier, self.ask, self.ready = clients, courier, None, False
-        self.parsed = Parsed(httptools.HttpResponseParser, self.whole)
-        self.end = clients.net.connect(clients.machine, courier.host, 5000, self.up)
-        self.end.on_data, self.end.on_end = self.parsed.feed, self.over
-
-    def up(self, done):
-        if isinstance(done, int):
-            self.over(True)
+        self.clients, self.courier, self.request, self.ready = clients, courier, None, False
+        self.parser = MessageParser(httptools.HttpResponseParser, self.on_response)
+        self.end = clients.net.connect(clients.machine, courier.host, 5000, self.on_connected)
+        self.end.on_data, self.end.on_end = self.parser.feed, self.on_closed
+
+    def on_connected(self, result):
+        if isinstance(result, int):
+            self.on_closed(True)
         else:
             self.ready = True
-            if self.ask is not None:
+            if self.request is not None:
                 self.clients.send(self)
 
-    def whole(self, message, body, begun):
-        ask, self.ask = self.ask, None
+    def on_response(self, message, body, started_at):
+        request, self.request = self.request, None
         keep = message.headers.get(b"connection", b"").lower() != b"close"
-        if ask is not None:
-            self.clients.answered(ask, message.parser.get_status_code(), message.headers)
+        if request is not None:
+            self.clients.on_answer(request, message.parser.get_status_code(), message.headers)
         if keep and not self.end.closed:
             self.clients.idle[self.courier.name].append(self)
         else:
             self.end.close()
 
-    def over(self, reset):
+    def on_closed(self, reset):
         idle = self.clients.idle[self.courier.name]
         if self in idle:
             idle.remove(self)
         self.end.close()
-        ask, self.ask = self.ask, None
-        if ask is not None:
-            self.clients.broken(ask)
+        request, self.request = self.request, None
+        if request is not None:
+            self.clients.on_connection_lost(request)
 
 
-class Rude:
+class MisbehavingConnection:
     """A connection that misbehaves: each way once in a while, and hung up after a while if the courier
     does not.
     """
 
-    WAYS = (
+    PAYLOADS = (
         b"GET /",
         b"POST /x HTTP/1.1\r\nHost: c\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"POST /x HTTP/1.1\r\nHost: c\r\nContent-Length: 99999999\r\n\r\n",
@@ -63,29 +63,39 @@
         b"GET /-/ready HTTP/1.1\r\nHost: c\r\n\r\n" * 40,
     )
 
-    def __init__(self, clients, courier, way):
-        self.way, self.heard = way, 0
-        self.end = clients.net.connect(clients.machine, courier.host, 5000, self.up)
-        self.end.on_data, self.end.on_end = self.hear, lambda reset: self.end.close()
+    def __init__(self, clients, courier, payload):
+        self.payload, self.bytes_received = payload, 0
+        self.end = clients.net.connect(clients.machine, courier.host, 5000, self.on_connected)
+        self.end.on_data, self.end.on_end = self.on_data, lambda reset: self.end.close()
         clients.world.call_later(6000.0, self.end.close)
 
-    def up(self, done):
-        if not isinstance(done, int) and self.way:
-            self.end.send(self.way)
+    def on_connected(self, result):
+        if not isinstance(result, int) and self.payload:
+            self.end.send(self.payload)
 
-    def hear(self, data, _):
-        self.heard += len(data)
+    def on_data(self, data, _):
+        self.bytes_received += len(data)
 
 
-class Ask:
+class Request:
     """One handing-in of a text."""
 
-    __slots__ = ("ident", "text", "courier", "until", "sent", "line", "again", "over", "arrived")
+    __slots__ = (
+        "ident",
+        "text",
+        "courier",
+        "until",
+        "sent",
+        "connection",
+        "retried",
+        "finished",
+        "fully_read",
+    )
 
     def __init__(self, ident, text, courier, until):
         self.ident, self.text, self.courier, self.until = ident, text, courier, until
-        self.sent, self.line, self.again, self.over = False, None, False, False
-        self.arrived = False  # the courier has read all of it
+        self.sent, self.connection, self.retried, self.finished = False, None, False, False
+        self.fully_read = False  # the courier has read all of it
 
 
 class Clients:
@@ -104,45 +114,45 @@
             couriers,
         )
         self.machine, self.idle = net.machine("10.9.0.1"), {courier.name: deque() for courier in couriers}
-        self.rng, self.tries, self.asks, self.unheard = world.random_stream("clients"), {}, {}, {}
+        self.rng, self.attempts, self.requests, self.unanswered = world.random_stream("clients"), {}, {}, {}
 
-    def hand_in(self, text, courier, ident=None):
+    def send_text(self, text, courier, ident=None):
         if self.traffic.rude and self.rng.random() < self.traffic.rude:
-            Rude(self, courier, self.rng.choice(Rude.WAYS))
+            MisbehavingConnection(self, courier, self.rng.choice(MisbehavingConnection.PAYLOADS))
         if self.world.now >= text["until"] - 20.0:
             return
-        tries = self.tries[text["number"]] = self.tries.get(text["number"], 0) + 1
+        attempt = self.attempts[text["number"]] = self.attempts.get(text["number"], 0) + 1
         if ident is None:
-            ident = f"{text['number']:x}.{tries}"
-        ask = self.asks[ident] = Ask(ident, text, courier, text["until"])
-        self.begin(ask)
-        self.world.call_later(self.traffic.patience_ms, self.impatient, ask)
-
-    def begin(self, ask, new=False):
-        idle = self.idle[ask.courier.name]
-        sender = idle.pop() if idle and not new else Sender(self, ask.courier)
-        sender.ask = ask
-        ask.line = sender
-        if sender.ready:
-            self.send(sender)
-
-    def send(self, sender):
-        ask, now = sender.ask, self.world.now
-        text, product = ask.text, self.products[ask.text["product"]]
+            ident = f"{text['number']:x}.{attempt}"
+        request = self.requests[ident] = Request(ident, text, courier, text["until"])
+        self.assign_connection(request)
+        self.world.call_later(self.traffic.patience_ms, self.on_timeout, request)
+
+    def assign_connection(self, request, new=False):
+        idle = self.idle[request.courier.name]
+        connection = idle.pop() if idle and not new else ClientConnection(self, request.courier)
+        connection.request = request
+        request.connection = connection
+        if connection.ready:
+            self.send(connection)
+
+    def send(self, connection):
+        request, now = connection.request, self.world.now
+        text, product = request.text, self.products[request.text["product"]]
         path = product.name + (f"/{text['key']}" if text["key"] else "")
         key = f"Idempotency-Key: {text['reference']}\r\n" if text["reference"] else ""
         left = (text["until"] - now) / 1000.0
         head = (
-            f"POST /{path} HTTP/1.1\r\nHost: courier\r\nX-Request-ID: {ask.ident}\r\n"
+            f"POST /{path} HTTP/1.1\r\nHost: courier\r\nX-Request-ID: {request.ident}\r\n"
             f"X-Timeout: {left:.3f}\r\n{key}"
             f"X-Envelope: dest={text['dest']}\r\nContent-Length: {len(text['body'])}\r\n\r\n"
         )
-        ask.sent = True
+        request.sent = True
         self.world.record(
             "hand-in",
-            ask.ident,
+            request.ident,
             text["number"],
-            ask.courier.name,
+            request.courier.name,
             text["dest"],
             text["product"],
             text["key"],
@@ -150,63 +160,67 @@
             zlib.crc32(text["body"]),
             now + round(left * 1000.0),
         )
-        ask.arrived = False
-        sender.end.send(head.encode() + text["body"], lambda: setattr(ask, "arrived", True))
+        request.fully_read = False
+        connection.end.send(head.encode() + text["body"], lambda: setattr(request, "fully_read", True))
 
-    def answered(self, ask, status, headers):
-        if ask.over:
+    def on_answer(self, request, status, headers):
+        if request.finished:
             return
-        ask.over = True
-        self.world.record("answer", ask.ident, status)
-        self.unheard.pop(ask.text["number"], None)
+        request.finished = True
+        self.world.record("answer", request.ident, status)
+        self.unanswered.pop(request.text["number"], None)
         if status in (429, 503):
-            told = headers.get(b"retry-after")
-            wait = float(told) * 1000.0 if told and self.rng.random() < self.traffic.honour else 0.0
-            self.again(ask, max(wait, self.rng.uniform(200.0, 800.0)))
-
-    def broken(self, ask):
+            retry_after = headers.get(b"retry-after")
+            wait = (
+                float(retry_after) * 1000.0
+                if retry_after and self.rng.random() < self.traffic.honour
+                else 0.0
+            )
+            self.retry(request, max(wait, self.rng.uniform(200.0, 800.0)))
+
+    def on_connection_lost(self, request):
         """The connection ended before the answer.
 
         One that crossed the courier's closing goes once more on a new one.
         """
-        if ask.over:
+        if request.finished:
             return
-        if ask.sent and not ask.again and not ask.arrived:
-            ask.again, ask.sent = True, False
-            self.begin(ask, True)
+        if request.sent and not request.retried and not request.fully_read:
+            request.retried, request.sent = True, False
+            self.assign_connection(request, True)
             return
-        ask.over = True
-        if ask.sent:
-            self.world.record("cut", ask.ident, ask.courier.name)
-        self.again(ask, self.rng.uniform(100.0, 500.0), ask.sent)
-
-    def impatient(self, ask):
-        if not ask.over:
-            ask.over = True
-            self.world.record("left", ask.ident)
-            line = ask.line
-            if line is not None and line.ask is ask:
-                line.ask = None
-                line.end.close()
-            self.again(ask, self.rng.uniform(0.0, 100.0), ask.sent)
-
-    def noticed(self, ident, verdict, wait):
-        ask = self.asks.get(ident)
-        if ask is not None and verdict == "bounced":
-            heeds = self.rng.random() < self.traffic.honour
-            self.again(ask, max(wait if heeds else 0.0, self.rng.uniform(200.0, 800.0)))
-
-    def again(self, ask, wait, unheard=False):
+        request.finished = True
+        if request.sent:
+            self.world.record("cut", request.ident, request.courier.name)
+        self.retry(request, self.rng.uniform(100.0, 500.0), request.sent)
+
+    def on_timeout(self, request):
+        if not request.finished:
+            request.finished = True
+            self.world.record("left", request.ident)
+            connection = request.connection
+            if connection is not None and connection.request is request:
+                connection.request = None
+                connection.end.close()
+            self.retry(request, self.rng.uniform(0.0, 100.0), request.sent)
+
+    def on_notice(self, ident, verdict, wait):
+        request = self.requests.get(ident)
+        if request is not None and verdict == "bounced":
+            honours_wait = self.rng.random() < self.traffic.honour
+            self.retry(request, max(wait if honours_wait else 0.0, self.rng.uniform(200.0, 800.0)))
+
+    def retry(self, request, wait, unanswered=False):
         """The text is handed in once more; where its first answer was not heard, perhaps under the same
         id.
         """
-        traffic, number = self.traffic, ask.text["number"]
-        if traffic.again == "never" or self.tries[number] > traffic.agains:
+        traffic, number = self.traffic, request.text["number"]
+        if traffic.again == "never" or self.attempts[number] > traffic.agains:
             return
-        if unheard and traffic.again == "same":
-            self.unheard[number] = ask.ident, ask.courier
-        ident, courier = self.unheard.get(number, (None, None))
-        courier = courier or (self.rng.choice(self.couriers) if self.front else ask.courier)
-        self.world.call_later(wait, self.hand_in, ask.text, courier, ident)
+        if unanswered and traffic.again == "same":
+            self.unanswered[number] = request.ident, request.courier
+        ident, courier = self.unanswered.get(number, (None, None))
+        courier = courier or (self.rng.choice(self.couriers) if self.load_balanced else request.courier)
+        self.world.call_later(wait, self.send_text, request.text, courier, ident)
 
-    front = False
+    load_balanced = False
--- a/calicopin/emulator/standins/http.py
+++ b/calicopin/emulator/standins/http.py
@@ -18,26 +18,26 @@
     return b"".join(lines) + b"\r\n" + body
 
 
-class Parsed:
+class MessageParser:
     """Whole messages out of a stream; `done(message)` has them as (line, headers, body, first byte's
     time).
     """
 
-    def __init__(self, make, done):
-        self.parser, self.done, self.fault = make(self), done, False
-        self.begun = None
+    def __init__(self, parser_type, on_message):
+        self.parser, self.on_message, self.failed = parser_type(self), on_message, False
+        self.started_at = None
         self.on_message_begin()
 
-    def feed(self, data, sent=0.0):
-        if self.begun is None:
-            self.begun = sent
+    def feed(self, data, sent_at=0.0):
+        if self.started_at is None:
+            self.started_at = sent_at
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.fault = True
+            self.failed = True
 
     def on_message_begin(self):
-        self.headers, self.parts, self.target = {}, [], b""
+        self.headers, self.body_chunks, self.target = {}, [], b""
 
     def on_url(self, url):
         self.target += url
@@ -46,45 +46,45 @@
         self.headers[name.lower()] = value
 
     def on_body(self, data):
-        self.parts.append(data)
+        self.body_chunks.append(data)
 
     def on_message_complete(self):
-        begun, self.begun = self.begun, None
-        self.done(self, b"".join(self.parts), begun)
+        started_at, self.started_at = self.started_at, None
+        self.on_message(self, b"".join(self.body_chunks), started_at)
 
 
-class Server:
+class ServerConnection:
     """One connection to a stand-in; one request at a time, and `answer(line, headers, body, begun)` deals
     with it.
     """
 
-    def __init__(self, end, answer, closed=None):
-        self.end, self.answer, self.closed = end, answer, closed
-        self.parsed = Parsed(httptools.HttpRequestParser, self.whole)
-        self.open, self.last = True, end.net.world.now
-        end.on_data, end.on_end, end.on_peer_closed = self.parsed.feed, self.over, self.gone
+    def __init__(self, end, handler, on_closed=None):
+        self.end, self.handler, self.on_closed = end, handler, on_closed
+        self.parser = MessageParser(httptools.HttpRequestParser, self.on_request)
+        self.open, self.last_active = True, end.net.world.now
+        end.on_data, end.on_end, end.on_peer_closed = self.parser.feed, self.on_end, self.mark_closed
 
-    def whole(self, message, body, begun):
-        self.last = self.end.net.world.now
+    def on_request(self, message, body, started_at):
+        self.last_active = self.end.net.world.now
         if self.open:
-            self.answer(self, message.target, message.headers, body, begun)
+            self.handler(self, message.target, message.headers, body, started_at)
 
-    def over(self, reset):
+    def on_end(self, reset):
         """The courier ended its side: a call that is out is given up."""
-        self.gone()
+        self.mark_closed()
         self.end.close()
 
-    def gone(self):
+    def mark_closed(self):
         if self.open:
             self.open = False
-            if self.closed:
-                self.closed(self)
+            if self.on_closed:
+                self.on_closed(self)
 
-    def reply(self, data, heard=None):
-        self.last = self.end.net.world.now
+    def reply(self, data, on_read=None):
+        self.last_active = self.end.net.world.now
         if self.open:
-            self.end.send(data, heard)
+            self.end.send(data, on_read)
 
-    def hang_up(self):
+    def close(self):
         self.open = False
         self.end.close()
--- a/calicopin/emulator/standins/partners.py
+++ b/calicopin/emulator/standins/partners.py
@@ -7,62 +7,68 @@
 
 from calicopin.emulator.net import Listener
 from calicopin.emulator.partners import NEVER
-from calicopin.emulator.standins.http import Server, response
+from calicopin.emulator.standins.http import ServerConnection, response
 
-ODD = {b"/inbox": False, b"/inbox/bulk": True}
+BULK_BY_PATH = {b"/inbox": False, b"/inbox/bulk": True}
 
 
 class Partners:
     """The endpoints of every destination on the network."""
 
-    def __init__(self, world, net, who):
-        self.world, self.net, self.who, self.calls = world, net, who, 0
+    def __init__(self, world, net, courier_of):
+        self.world, self.net, self.courier_of, self.call_count = world, net, courier_of, 0
         self.rng = world.random_stream("partners")
 
     def listen(self, destination, endpoint):
         machine = self.net.machine(endpoint.host)
-        open_ = endpoint.servers = []
+        connections = endpoint.connections = []
 
         def on_connection(end):
-            if destination.modes.get("refuse") or destination.fell:
-                self.world.call_later(self.net.latency(), self.refused, destination, end)
+            if destination.active_troubles.get("refuse") or destination.overloaded:
+                self.world.call_later(self.net.latency(), self.refuse_connection, destination, end)
                 return True
-            server = Server(end, lambda *told: self.call(destination, endpoint, *told), self.closed)
-            server.call = None
-            open_.append(server)
-            self.sweep(server, destination.spec.idle_s * 1000.0, open_)
+            server = ServerConnection(
+                end, lambda *details: self.handle_request(destination, endpoint, *details), self.on_closed
+            )
+            server.call_number = None
+            connections.append(server)
+            self.close_idle(server, destination.spec.idle_s * 1000.0, connections)
             return True
 
         machine.listeners[80] = Listener(machine, on_connection, destination.spec.handshake_ms)
 
-    def refused(self, destination, end):
-        destination.met.add(self.who(end))
+    def refuse_connection(self, destination, end):
+        destination.couriers_in_outage.add(self.courier_of(end))
         end.abort()
 
-    def sweep(self, server, idle, open_):
+    def close_idle(self, server, idle, connections):
         """Closes one that has stood idle for the time in the settings."""
         if not server.open:
-            if server in open_:
-                open_.remove(server)
-        elif server.call is None and self.world.now - server.last >= idle:
-            server.hang_up()
-            open_.remove(server)
+            if server in connections:
+                connections.remove(server)
+        elif server.call_number is None and self.world.now - server.last_active >= idle:
+            server.close()
+            connections.remove(server)
         else:
             self.world.call_later(
-                max(1000.0, idle - (self.world.now - server.last)), self.sweep, server, idle, open_
+                max(1000.0, idle - (self.world.now - server.last_active)),
+                self.close_idle,
+                server,
+                idle,
+                connections,
             )
 
-    def closed(self, server):
-        call, server.call = server.call, None
+    def on_closed(self, server):
+        call, server.call_number = server.call_number, None
         if call is not None:
             self.world.record("hung-up", call)
 
-    def call(self, destination, endpoint, server, target, headers, body, begun):
-        courier = self.who(server.end)
-        if server.call is not None:
+    def handle_request(self, destination, endpoint, server, target, headers, body, started_at):
+        courier = self.courier_of(server.end)
+        if server.call_number is not None:
             self.world.record("fault", courier, "a second request on a connection before the answer")
         try:
-            bulk = ODD[target]
+            bulk = BULK_BY_PATH[target]
             items = json.loads(body) if bulk else None
             texts = (
                 [(item["id"], item.get("key"), zlib.crc32(base64.b64decode(item["body"]))) for item in items]
@@ -80,11 +86,18 @@
             self.world.record("fault", courier, f"a call that cannot be read: {target[:40]!r}")
             server.reply(response(400))
             return
-        self.calls += 1
-        number = server.call = self.calls
+        self.call_count += 1
+        number = server.call_number = self.call_count
         idents = tuple(text[0] for text in texts)
         self.world.record(
-            "call", number, courier, endpoint.ident, endpoint.zone, destination.number, tuple(texts), begun
+            "call",
+            number,
+            courier,
+            endpoint.ident,
+            endpoint.zone,
+            destination.number,
+            tuple(texts),
+            started_at,
         )
         if len(idents) > destination.spec.bundle or len(set(idents)) < len(idents):
             self.world.record(
@@ -92,52 +105,58 @@
             )
         if not self.net.machine(endpoint.host).up:
             return
-        reply = destination.arrive(endpoint, courier, idents)
-        if reply.ran:
-            self.world.call_later(reply.ran_after, self.ran, number, reply.ran)
-        if reply.after != NEVER:
-            self.world.call_later(reply.after, self.written, server, number, reply, len(idents) > 1)
+        reply = destination.handle_call(endpoint, courier, idents)
+        if reply.processed:
+            self.world.call_later(reply.processed_after_ms, self.record_ran, number, reply.processed)
+        if reply.delay_ms != NEVER:
+            self.world.call_later(reply.delay_ms, self.write_reply, server, number, reply, len(idents) > 1)
 
-    def ran(self, number, idents):
+    def record_ran(self, number, idents):
         self.world.record("ran", number, idents)
 
-    def written(self, server, number, reply, bulk):
-        if server.call != number:
+    def write_reply(self, server, number, reply, bulk):
+        if server.call_number != number:
             return
-        server.call = None
-        if reply.lost:
+        server.call_number = None
+        if reply.drop_connection:
             self.world.record("lost", number)
-            server.hang_up()
+            server.close()
             return
         headers, body = [], b""
-        if reply.wait:
-            headers.append(("X-Retry-In-Ms", f"{reply.wait:.0f}"))
+        if reply.retry_after_ms:
+            headers.append(("X-Retry-In-Ms", f"{reply.retry_after_ms:.0f}"))
         if reply.load:
             headers.append(("X-Server-Load", json.dumps(reply.load)))
         states = reply.states
         if bulk and reply.status == 200:
-            states = states or {ident: "delivered" for ident in reply.ran}
+            states = states or {ident: "delivered" for ident in reply.processed}
             body = json.dumps([{"id": ident, "state": state} for ident, state in states.items()]).encode()
         data = response(reply.status, body, headers)
         status = reply.status
-        if reply.spoilt:
-            at = self.rng.randrange(1, len(data))
+        if reply.corrupt:
+            position = self.rng.randrange(1, len(data))
             data = (
-                data[:at]
+                data[:position]
                 + bytes(self.rng.randrange(256) for _ in range(4))
-                + data[at:][: self.rng.randrange(1, 20)]
+                + data[position:][: self.rng.randrange(1, 20)]
             )
-            told = re.match(rb"HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n", data) and not bulk
-            status = 200 if told else -abs(status)  # alone in its call, a 200 counts from its first line on
+            is_success = re.match(rb"HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n", data) and not bulk
+            status = (
+                200 if is_success else -abs(status)
+            )  # alone in its call, a 200 counts from its first line on
         self.world.record(
-            "reply", number, status, 0.0 if reply.spoilt else reply.wait, tuple((states or {}).items())
+            "reply",
+            number,
+            status,
+            0.0 if reply.corrupt else reply.retry_after_ms,
+            tuple((states or {}).items()),
         )
         server.reply(data, lambda: self.world.record("heard", number))
-        if reply.spoilt:
-            server.hang_up()
+        if reply.corrupt:
+            server.close()
 
-    def restart(self, endpoint):
+    def reset_connections(self, endpoint):
         """All connections are reset, as when its process died."""
-        for server in list(endpoint.servers):
-            server.gone()
+        for server in list(endpoint.connections):
+            server.mark_closed()
             server.end.abort()
--- a/calicopin/emulator/standins/platform.py
+++ b/calicopin/emulator/standins/platform.py
@@ -3,67 +3,73 @@
 import json
 
 from calicopin.emulator.net import Listener
-from calicopin.emulator.standins.http import Server, response
+from calicopin.emulator.standins.http import ServerConnection, response
 
 
-class Registry:
+class DiscoveryService:
     """What stands behind all agents.
 
     While `work` is above 0 it is overbooked: it works off one new watch after the other, `work` ms each, also
     those whose courier it has told no meanwhile; a watch that goes on costs it nothing.
     """
 
-    PATIENCE, LINE, GOES_ON, NO = 2000.0, 24, 200.0, 60.0
+    ANSWER_TIMEOUT_MS, QUEUE_LIMIT, CONTINUED_WITHIN_MS, REJECT_AFTER_MS = 2000.0, 24, 200.0, 60.0
 
     def __init__(self):
-        self.work = self.free = 0.0
+        self.work_ms = self.free_at = 0.0
 
-    def turn(self, now):
+    def admit(self, now):
         """(after how many ms it answers, whether it serves)."""
-        delay = max(0.0, self.free - now)
-        if delay > self.LINE * self.work:
-            return self.NO, False
-        self.free = now + delay + self.work
-        return (delay + self.work, True) if delay <= self.PATIENCE else (self.PATIENCE, False)
+        delay = max(0.0, self.free_at - now)
+        if delay > self.QUEUE_LIMIT * self.work_ms:
+            return self.REJECT_AFTER_MS, False
+        self.free_at = now + delay + self.work_ms
+        return (
+            (delay + self.work_ms, True)
+            if delay <= self.ANSWER_TIMEOUT_MS
+            else (self.ANSWER_TIMEOUT_MS, False)
+        )
 
 
-class Platform:
+class PlatformAgent:
     """The agent beside one courier: the list, watches on it and notices.
 
     `entries` are the list as it is told.
     """
 
-    def __init__(self, world, net, courier, host, entries, late, rng, registry):
-        self.world, self.net, self.courier, self.late, self.rng = world, net, courier, late, rng
-        self.registry, self.answered = registry, -1e12
+    def __init__(self, world, net, courier, host, entries, delay_range, rng, discovery):
+        self.world, self.net, self.courier, self.delay_range, self.rng = world, net, courier, delay_range, rng
+        self.discovery, self.last_answer_at = discovery, -1e12
         self.machine = net.machine(host)
         self.version, self.entries, self.history = 1, dict(entries), []
-        self.silent, self.watchers, self.news, self.held = 0, [], 0.0, []
+        self.silence_count, self.watchers, self.last_change_at, self.pending_changes = 0, [], 0.0, []
         self.listen()
 
     def listen(self):
         self.machine.listeners[8500] = Listener(self.machine, self.on_connection)
 
     def on_connection(self, end):
-        Server(end, self.answer)
+        ServerConnection(end, self.handle_request)
         return True
 
-    def known(self):
+    def snapshot(self):
         return {
             "version": self.version,
             "full": True,
             "servers": [dict(entry) for entry in self.entries.values()],
         }
 
-    def change(self, *entries):
+    def publish_change(self, *entries):
         """News, on their way to this agent."""
-        low, high = self.late
-        self.news = max(self.news, self.world.now + low + (high - low) * self.rng.random())  # in their order
-        self.world.call_at(self.news, self.changed, entries)
-
-    def changed(self, entries):
-        if self.silent:  # what it has to tell is told once discovery is back
-            self.held.append(entries)
+        low, high = self.delay_range
+        self.last_change_at = max(
+            self.last_change_at, self.world.now + low + (high - low) * self.rng.random()
+        )  # in their order
+        self.world.call_at(self.last_change_at, self.apply_change, entries)
+
+    def apply_change(self, entries):
+        if self.silence_count:  # what it has to tell is told once discovery is back
+            self.pending_changes.append(entries)
             return
         self.version += 1
         on, off = (
@@ -79,38 +85,38 @@
                 self.entries[entry["id"]] = dict(entry)
         watchers, self.watchers = self.watchers, []
         for server, index in watchers:
-            self.tell(server, index)
+            self.send_list(server, index)
 
-    def speak(self):
+    def end_silence(self):
         """No longer silent."""
-        self.silent -= 1
-        if not self.silent:
-            held, self.held = self.held, []
-            for entries in held:
-                self.changed(entries)
+        self.silence_count -= 1
+        if not self.silence_count:
+            pending_changes, self.pending_changes = self.pending_changes, []
+            for entries in pending_changes:
+                self.apply_change(entries)
 
-    def tell(self, server, index):
+    def send_list(self, server, index):
         if not server.open:
             return
-        self.answered = self.world.now
+        self.last_answer_at = self.world.now
         if index is None or index > self.version:
-            told = self.known()
+            answer = self.snapshot()
         else:
-            told = {
+            answer = {
                 "version": self.version,
                 "full": False,
                 "servers": [entry for version, entry in self.history if version > index],
             }
-        servers = told["servers"]
+        servers = answer["servers"]
         off = tuple(entry["id"] for entry in servers if entry["state"] != "active")
         on = tuple(entry["id"] for entry in servers if entry["state"] == "active")
-        full = told["full"]
+        full = answer["full"]
         server.reply(
-            response(200, json.dumps(told).encode()),
+            response(200, json.dumps(answer).encode()),
             lambda: self.world.record("told", self.courier, full, on, off),
         )
 
-    def answer(self, server, target, headers, body, begun):
+    def handle_request(self, server, target, headers, body, started_at):
         if target == b"/v1/outcomes":
             try:
                 lines = [json.loads(line) for line in body.splitlines()]
@@ -128,40 +134,46 @@
                 return
             for notice in notices:
                 self.world.record("notice", self.courier, *notice)
-                self.heard(*notice)
+                self.on_notice(*notice)
             server.reply(response(204))
             return
         path, _, query = target.partition(b"?")
-        told = dict(part.split(b"=") for part in query.split(b"&") if b"=" in part)
+        parameters = dict(part.split(b"=") for part in query.split(b"&") if b"=" in part)
         if path != b"/api/targets":
             server.reply(response(404))
-        elif not self.silent:
-            index, wait = int(told[b"index"]) if b"index" in told else None, float(told.get(b"wait", b"0"))
-            if not self.registry.work or self.world.now <= self.answered + Registry.GOES_ON:
+        elif not self.silence_count:
+            index, wait = (
+                int(parameters[b"index"]) if b"index" in parameters else None,
+                float(parameters.get(b"wait", b"0")),
+            )
+            if (
+                not self.discovery.work_ms
+                or self.world.now <= self.last_answer_at + DiscoveryService.CONTINUED_WITHIN_MS
+            ):
                 self.watch(server, index, wait)
                 return
-            after, serves = self.registry.turn(self.world.now)
+            delay, serves = self.discovery.admit(self.world.now)
             self.world.record("asked", self.courier, serves)
             self.world.call_later(
-                after, self.watch if serves else self.turn_away, server, index, max(0.0, wait - after)
+                delay, self.watch if serves else self.reject, server, index, max(0.0, wait - delay)
             )
 
-    def turn_away(self, server, index, wait):
+    def reject(self, server, index, wait):
         if server.open:
             server.reply(response(503))
 
     def watch(self, server, index, wait):
         if index is None or index != self.version:
-            self.tell(server, index)
+            self.send_list(server, index)
         elif server.open:
             self.watchers.append((server, index))
-            self.world.call_later(wait, self.nothing, server, index)
+            self.world.call_later(wait, self.watch_expired, server, index)
 
-    def nothing(self, server, index):
+    def watch_expired(self, server, index):
         if (server, index) in self.watchers:
             self.watchers.remove((server, index))
-            if not self.silent:
-                self.tell(server, index)
+            if not self.silence_count:
+                self.send_list(server, index)
 
-    def heard(self, ident, verdict, wait):
+    def on_notice(self, ident, verdict, wait):
         """Set by the run: the client hears of it."""
