--- a/calicopin/emulator/__main__.py
+++ b/calicopin/emulator/__main__.py
@@ -16,10 +16,10 @@
 
 from calicopin.emulator import fleet, runs
 from calicopin.emulator.faults import FAULTS
-from calicopin.emulator.scenario import ScenarioError, dump, load, names
-from calicopin.emulator.story import story
+from calicopin.emulator.scenario import ScenarioError, dump, load, scenario_names
+from calicopin.emulator.story import describe_trace
 
-SHOWN = ("revenue", "of_best", "in_sla", "p50_ms", "p99_ms", "refused", "waste", "fairness")
+TABLE_FIGURES = ("revenue", "of_best", "in_sla", "p50_ms", "p99_ms", "refused", "waste", "fairness")
 
 
 class Seeds(click.ParamType):
@@ -40,15 +40,15 @@
         return out
 
 
-def read(word):
+def read(name_or_path):
     try:
-        return load(word)
-    except ScenarioError as fault:
-        click.echo(str(fault), err=True)
+        return load(name_or_path)
+    except ScenarioError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
 
 
-def wide():
+def make_console():
     """A console that folds no table where nobody looks at it."""
     return Console() if sys.stdout.isatty() else Console(width=200)
 
@@ -72,9 +72,9 @@
 def list_():
     """The scenarios that come with the emulator."""
     table = Table("scenario", "what happens", box=None)
-    for name in names():
+    for name in scenario_names():
         table.add_row(name, read(name).about)
-    wide().print(table)
+    make_console().print(table)
 
 
 @main.command()
@@ -91,11 +91,11 @@
 )
 def run(scenarios, seeds, jobs, fault, path):
     """Plays SCENARIOS (names or files; `all` for all that come with it) and judges them."""
-    words = [name for word in scenarios for name in (names() if word == "all" else [word])]
-    loaded = {word: read(word) for word in words}
-    console, results, began = wide(), [], time.monotonic()
-    todo = [(word, seed, fault, ()) for seed in seeds for word in words]
-    bar = Progress(
+    selected = [name for word in scenarios for name in (scenario_names() if word == "all" else [word])]
+    loaded = {word: read(word) for word in selected}
+    console, results, started = make_console(), [], time.monotonic()
+    jobs_to_run = [(word, seed, fault, ()) for seed in seeds for word in selected]
+    progress = Progress(
         TextColumn("{task.description}"),
         BarColumn(),
         MofNCompleteColumn(),
@@ -103,10 +103,10 @@
         console=Console(stderr=True),
         transient=True,
     )
-    with bar:
-        task = bar.add_task("playing", total=len(todo))
+    with progress:
+        task = progress.add_task("playing", total=len(jobs_to_run))
 
-        def told(result):
+        def on_result(result):
             results.append(result)
             if result.breaks:
                 word = next(word for word, scenario in loaded.items() if scenario.name == result.scenario)
@@ -117,13 +117,13 @@
                     highlight=False,
                     soft_wrap=True,
                 )
-            bar.advance(task)
+            progress.advance(task)
 
         try:
-            runs.many(todo, min(jobs, len(todo)), told)
+            runs.run_jobs(jobs_to_run, min(jobs, len(jobs_to_run)), on_result)
         except KeyboardInterrupt:
-            console.print(f"stopped after {len(results)} of {len(todo)} runs")
-    summary(console, results, time.monotonic() - began)
+            console.print(f"stopped after {len(results)} of {len(jobs_to_run)} runs")
+    summary(console, results, time.monotonic() - started)
     if path:
         with open(path, "w", encoding="utf-8") as file:
             for result in sorted(results, key=lambda one: (one.scenario, one.seed)):
@@ -142,26 +142,28 @@
     sys.exit(1 if any(result.breaks for result in results) else 0)
 
 
-def summary(console, results, took):
+def summary(console, results, elapsed_s):
     """A line a scenario: means over its runs, and how many broke which rule."""
-    table = Table("scenario", "runs", "broken", "rules", "texts", *SHOWN, "times real", box=None)
+    table = Table("scenario", "runs", "broken", "rules", "texts", *TABLE_FIGURES, "times real", box=None)
     for name in sorted({result.scenario for result in results}):
-        some = [result for result in results if result.scenario == name]
-        broken = [result for result in some if result.breaks]
+        of_scenario = [result for result in results if result.scenario == name]
+        broken = [result for result in of_scenario if result.breaks]
         rules = Counter(rule for result in broken for rule in {one.rule for one in result.breaks})
-        means = [sum(result.figures[key] for result in some) / len(some) for key in SHOWN]
+        means = [
+            sum(result.figures[key] for result in of_scenario) / len(of_scenario) for key in TABLE_FIGURES
+        ]
         table.add_row(
             name,
-            str(len(some)),
+            str(len(of_scenario)),
             str(len(broken)),
             ", ".join(f"{r} {n}" for r, n in rules.most_common()),
-            str(sum(result.figures["texts"] for result in some)),
+            str(sum(result.figures["texts"] for result in of_scenario)),
             *(f"{mean:.3g}" for mean in means),
-            f"{sum(r.simulated_s for r in some) / max(1e-9, sum(r.cpu for r in some)):.1f}",
+            f"{sum(r.simulated_s for r in of_scenario) / max(1e-9, sum(r.cpu for r in of_scenario)):.1f}",
         )
     console.print(table)
     console.print(
-        f"{len(results)} runs, {sum(r.simulated_s for r in results):.0f} simulated seconds in {took:.0f} s; "
+        f"{len(results)} runs, {sum(r.simulated_s for r in results):.0f} simulated seconds in {elapsed_s:.0f} s; "
         "what was searched is no proof"
     )
 
@@ -177,21 +179,21 @@
 def sweep(scenario, seed, calls, again, jobs):
     """Plays one run again and again, its first courier killed at each of the system calls in turn."""
     read(scenario)
-    todo = [
-        (scenario, seed, None, (call, *more))
+    jobs_to_run = [
+        (scenario, seed, None, (call, *next_kills))
         for call in calls
-        for more in ([(two,) for two in again] if again else [()])
+        for next_kills in ([(second_call,) for second_call in again] if again else [()])
     ]
     broken, killed, done = 0, 0, 0
 
-    def told(result):
+    def on_result(result):
         nonlocal broken, killed, done
         done, killed = done + 1, killed + (result.starts > len(result.kills))
         if result.breaks:
             broken += 1
             click.echo(f"killed at {result.kills}: {result.breaks[0]}")
 
-    runs.many(todo, min(jobs, len(todo)), told)
+    runs.run_jobs(jobs_to_run, min(jobs, len(jobs_to_run)), on_result)
     click.echo(f"{done} runs, {killed} of them with every kill carried out, {broken} broken")
     sys.exit(1 if broken else 0)
 
@@ -208,9 +210,9 @@
 def play(scenario, seed, fault, kills, ident, log):
     """One run, told in plain words, with the referee's reasons at its end."""
     simulation, referee, cpu = runs.play(read(scenario), seed, fault, kills=tuple(kills or ()))
-    lines = story(simulation.world.trace, ident)
+    lines = describe_trace(simulation.world.trace, ident)
     if log:
-        lines += [f"{at:12.1f} ms  {who} {level} {line}" for at, who, level, line in simulation.log_lines]
+        lines += [f"{at:12.1f} ms  {party} {level} {line}" for at, party, level, line in simulation.log_lines]
         lines.sort(key=lambda line: float(line.split(" ms", 1)[0]))
     for line in lines:
         click.echo(line)
@@ -228,11 +230,11 @@
 @click.option("--most", type=click.IntRange(1, 10000), default=200, show_default=True, help="Runs to spend.")
 def shrink(scenario, seed, fault, most):
     """Makes a failing run smaller: fewer troubles and texts, as long as the same rule breaks."""
-    made = runs.shrink(read(scenario), seed, fault, lambda line: click.echo(line, err=True), most)
-    if made is None:
+    result = runs.shrink(read(scenario), seed, fault, lambda line: click.echo(line, err=True), most)
+    if result is None:
         click.echo("no rule breaks in that run")
         sys.exit(0)
-    troubles, texts, found = made
+    troubles, texts, violation = result
     click.echo(
         f"{len(troubles)} troubles and {len(texts)} texts are left: {[text['number'] for text in texts][:40]}"
     )
@@ -241,7 +243,7 @@
             f"  {trouble.kind} at {trouble.at_s:g} s for {trouble.for_s:g} s, {trouble.whom}, "
             f"size {trouble.size:g}"
         )
-    click.echo(f"BROKEN {found}")
+    click.echo(f"BROKEN {violation}")
     sys.exit(1)
 
 
--- a/calicopin/emulator/day.py
+++ b/calicopin/emulator/day.py
@@ -313,7 +313,7 @@
             "settings": settings(self.scenario, process.slot_number),
             "store": couriers.store,
         }
-        return json.dumps(config | self.nodes.told() | other).encode()
+        return json.dumps(config | self.nodes.courier_settings() | other).encode()
 
     def start(self, process):
         if process.ended:
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -22,7 +22,7 @@
 FLEET_TROUBLES = ("refuse", "hang", "shut", "vanish", "slow", "errors", "lose", "spoil")
 
 
-class Instance:
+class CourierInstance:
     """One courier's decisions, with the wake-up that is due for them."""
 
     def __init__(self, fleet, number):
@@ -32,15 +32,15 @@
             seed, settings(fleet.scenario, number), fleet.scenario.couriers.slots, self.world.now
         )
         self.facade.listed([replace(place) for place in fleet.places], True)
-        self.due, self.serial = float("inf"), 0
+        self.next_due, self.wake_serial = float("inf"), 0
         self.world.record("start", self.name)
 
-    def turn(self):
+    def process(self):
         """What came in is decided and carried out."""
         facade, world = self.facade, self.world
         due = facade.tick(world.now)
-        while back := facade.back():
-            back[0].came_back(back[1])
+        while returned := facade.back():
+            returned[0].came_back(returned[1])
         while facade.said():
             pass
         while call := facade.pick():
@@ -48,14 +48,14 @@
         while end := facade.ended():
             if end.verdict is not None:
                 world.record("notice", self.name, end.text.ident, end.verdict, end.wait)
-                self.fleet.noticed(end.text.ident, end.verdict, end.wait)
+                self.fleet.on_notice(end.text.ident, end.verdict, end.wait)
         if due < float("inf"):
-            self.serial += 1
-            world.call_at(max(due, world.now), self.wake, self.serial)
+            self.wake_serial += 1
+            world.call_at(max(due, world.now), self.wake, self.wake_serial)
 
-    def wake(self, serial):
-        if serial == self.serial:
-            self.turn()
+    def wake(self, wake_serial):
+        if wake_serial == self.wake_serial:
+            self.process()
 
 
 class Fleet:
@@ -63,7 +63,12 @@
 
     def __init__(self, scenario, seed):
         self.scenario, self.seed, self.world = scenario, seed, World(seed)
-        self.rng, self.numbers, self.calls, self.open = self.world.random_stream("fleet"), {}, 0, {}
+        self.rng, self.attempts, self.call_count, self.open_calls = (
+            self.world.random_stream("fleet"),
+            {},
+            0,
+            {},
+        )
         self.destinations, self.places, self.endpoints = {}, [], {}
         for number, partner, _ in scenario.destinations():
             endpoints = [
@@ -77,8 +82,8 @@
         self.texts = arrivals(
             msgspec.structs.replace(scenario, trouble=tuple(self.troubles), mixed=None), self.world
         )
-        self.asked = {}
-        self.couriers = [Instance(self, number) for number in range(scenario.couriers.count)]
+        self.submissions = {}
+        self.couriers = [CourierInstance(self, number) for number in range(scenario.couriers.count)]
 
     def latency(self):
         low, high = self.scenario.net.partner_ms
@@ -86,16 +91,16 @@
 
     # Clients.
 
-    def hand_in(self, text, courier):
+    def send_text(self, text, courier):
         now = self.world.now
         if now >= text["until"] - 20.0:
             return
-        tries = self.numbers[text["number"]] = self.numbers.get(text["number"], 0) + 1
-        ident = f"{text['number']:x}.{tries}"
-        made = Text(
+        attempt = self.attempts[text["number"]] = self.attempts.get(text["number"], 0) + 1
+        ident = f"{text['number']:x}.{attempt}"
+        message = Text(
             ident, text["dest"], text["product"], text["reference"], text["key"], text["until"], text["body"]
         )
-        self.asked[ident] = text, courier
+        self.submissions[ident] = text, courier
         self.world.record(
             "hand-in",
             ident,
@@ -110,77 +115,80 @@
         )
         if courier.facade.full():
             self.world.record("answer", ident, 503)
-            self.again(text, courier, courier.facade.advice(made))
+            self.retry(text, courier, courier.facade.advice(message))
             return
         self.world.record("answer", ident, 202)
-        courier.facade.hand_in(made)
-        courier.turn()
+        courier.facade.hand_in(message)
+        courier.process()
 
-    def noticed(self, ident, verdict, wait):
-        text, courier = self.asked[ident]
+    def on_notice(self, ident, verdict, wait):
+        text, courier = self.submissions[ident]
         if verdict == "bounced":
-            self.again(text, courier, wait)
+            self.retry(text, courier, wait)
 
-    def again(self, text, courier, wait):
+    def retry(self, text, courier, wait):
         traffic = self.scenario.traffic
-        if traffic.again != "never" and self.numbers[text["number"]] <= traffic.agains:
-            heeds = self.rng.random() < traffic.honour
+        if traffic.again != "never" and self.attempts[text["number"]] <= traffic.agains:
+            honours_wait = self.rng.random() < traffic.honour
             self.world.call_later(
-                max(wait if heeds else 0.0, self.rng.uniform(200.0, 800.0)), self.hand_in, text, courier
+                max(wait if honours_wait else 0.0, self.rng.uniform(200.0, 800.0)),
+                self.send_text,
+                text,
+                courier,
             )
 
     # Calls.
 
     def call(self, courier, call):
         """On its way; what ends it first is what it ends with."""
-        self.calls += 1
-        number, begun = self.calls, self.world.now
-        self.open[number] = False  # not there yet
+        self.call_count += 1
+        number, started_at = self.call_count, self.world.now
+        self.open_calls[number] = False  # not there yet
         for text in call.texts:
-            text.went_out(begun, call.place.zone)
-        self.world.call_later(self.latency(), self.arrive, number, courier, call, begun)
+            text.went_out(started_at, call.place.zone)
+        self.world.call_later(self.latency(), self.arrive, number, courier, call, started_at)
         self.world.call_later(
-            call.timeout, self.end, number, courier, call, begun, Answer(Far.SENT, late=True), False
+            call.timeout, self.end, number, courier, call, started_at, Answer(Far.SENT, late=True), False
         )
 
-    def arrive(self, number, courier, call, begun):
-        if number not in self.open:
+    def arrive(self, number, courier, call, started_at):
+        if number not in self.open_calls:
             return
         endpoint = self.endpoints[call.place.ident]
-        one = self.destinations[call.place.dest]
+        destination = self.destinations[call.place.dest]
         idents = tuple(text.ident for text in call.texts)
-        if one.overloaded or one.active_troubles.get("refuse"):
-            one.met.add(courier.name)
+        if destination.overloaded or destination.active_troubles.get("refuse"):
+            destination.met.add(courier.name)
             self.world.call_later(
-                self.latency(), self.end, number, courier, call, begun, Answer(Far.UNCONNECTED), False
+                self.latency(), self.end, number, courier, call, started_at, Answer(Far.UNCONNECTED), False
             )
             return
-        if one.active_troubles.get("vanish"):
-            one.met.add(courier.name)
+        if destination.active_troubles.get("vanish"):
+            destination.met.add(courier.name)
             self.world.call_later(
                 self.scenario.couriers.connect_ms,
                 self.end,
                 number,
                 courier,
                 call,
-                begun,
+                started_at,
                 Answer(Far.UNCONNECTED),
                 False,
             )
             return
-        self.open[number] = True
+        self.open_calls[number] = True
         texts = tuple((text.ident, text.reference, zlib.crc32(text.body)) for text in call.texts)
         self.world.record(
-            "call", number, courier.name, endpoint.ident, endpoint.zone, one.number, texts, begun
+            "call", number, courier.name, endpoint.ident, endpoint.zone, destination.number, texts, started_at
         )
-        reply = one.arrive(endpoint, courier.name, idents)
+        reply = destination.arrive(endpoint, courier.name, idents)
         if reply.processed:
             self.world.call_later(reply.processed_after_ms, self.world.record, "ran", number, reply.processed)
         if reply.delay_ms != NEVER:
-            self.world.call_later(reply.delay_ms, self.reply, number, courier, call, begun, reply)
+            self.world.call_later(reply.delay_ms, self.reply, number, courier, call, started_at, reply)
 
-    def reply(self, number, courier, call, begun, reply):
-        if number not in self.open:
+    def reply(self, number, courier, call, started_at, reply):
+        if number not in self.open_calls:
             return
         lost = reply.drop_connection or reply.corrupt
         states = reply.states
@@ -200,50 +208,50 @@
                 load=reply.load or {},
                 ends=states,
             )
-        self.world.call_later(self.latency(), self.end, number, courier, call, begun, answer, not lost)
+        self.world.call_later(self.latency(), self.end, number, courier, call, started_at, answer, not lost)
 
-    def end(self, number, courier, call, begun, answer, heard):
-        met = self.open.pop(number, None)
-        if met is not None:
-            if met:
-                self.world.record("heard" if heard else "hung-up", number)
-            courier.facade.report(call, answer, self.world.now - begun)
-            courier.turn()
+    def end(self, number, courier, call, started_at, answer, answer_read):
+        arrived = self.open_calls.pop(number, None)
+        if arrived is not None:
+            if arrived:
+                self.world.record("heard" if answer_read else "hung-up", number)
+            courier.facade.report(call, answer, self.world.now - started_at)
+            courier.process()
 
     # The run.
 
-    def strike(self, trouble):
+    def begin_trouble(self, trouble):
         if trouble.kind not in PARTNER_TROUBLES or trouble.kind not in (*FLEET_TROUBLES, "limit"):
             return
         kind, _, name = trouble.whom.partition(":")
-        some = [
-            one
-            for one in self.destinations.values()
+        targets = [
+            destination
+            for destination in self.destinations.values()
             if kind == "partner"
-            and one.spec.name == name
+            and destination.spec.name == name
             or kind == "destination"
-            and one.number == int(name)
+            and destination.number == int(name)
         ]
-        for one in some or [self.rng.choice(list(self.destinations.values()))]:
-            lasts = trouble.for_s * 1000.0
-            self.world.record("trouble", trouble.kind, f"destination {one.number}", lasts)
+        for destination in targets or [self.rng.choice(list(self.destinations.values()))]:
+            duration = trouble.for_s * 1000.0
+            self.world.record("trouble", trouble.kind, f"destination {destination.number}", duration)
             if trouble.kind == "limit":
-                one.limit_factor = trouble.size
-                self.world.call_later(lasts, setattr, one, "limit_factor", 1.0)
+                destination.limit_factor = trouble.size
+                self.world.call_later(duration, setattr, destination, "limit_factor", 1.0)
             else:
-                one.begin_trouble(trouble.kind, trouble.size)
-                one.shut_until = max(one.shut_until, self.world.now + lasts)
-                self.world.call_later(lasts, one.end_trouble, trouble.kind)
+                destination.begin_trouble(trouble.kind, trouble.size)
+                destination.shut_until = max(destination.shut_until, self.world.now + duration)
+                self.world.call_later(duration, destination.end_trouble, trouble.kind)
 
     def play(self):
         for courier in self.couriers:
-            courier.turn()
+            courier.process()
         for text in self.texts:
-            self.world.call_at(text["due"], self.hand_in, text, self.rng.choice(self.couriers))
+            self.world.call_at(text["due"], self.send_text, text, self.rng.choice(self.couriers))
         for trouble in self.troubles:
-            self.world.call_at(CLIENTS_START_MS + trouble.at_s * 1000.0, self.strike, trouble)
-        last = max(product.validity_s for product in self.scenario.product) * 1000.0
-        self.world.run(CLIENTS_START_MS + self.scenario.length_s * 1000.0 + last + 1500.0)
+            self.world.call_at(CLIENTS_START_MS + trouble.at_s * 1000.0, self.begin_trouble, trouble)
+        longest_validity_ms = max(product.validity_s for product in self.scenario.product) * 1000.0
+        self.world.run(CLIENTS_START_MS + self.scenario.length_s * 1000.0 + longest_validity_ms + 1500.0)
 
 
 def play(scenario, seed, couriers=None, texts=None):
@@ -256,10 +264,10 @@
         scenario = msgspec.structs.replace(
             scenario, traffic=msgspec.structs.replace(scenario.traffic, texts=texts)
         )
-    began = time.process_time()
+    started = time.process_time()
     fleet = Fleet(scenario, seed)
     fleet.play()
-    cpu = time.process_time() - began
+    cpu = time.process_time() - started
     referee = Referee(fleet)
     return Result(
         scenario.name,
--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -13,14 +13,16 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from calicopin.emulator.referee import DRAIN, GRACE, INFINITE, KNOWN, Referee
+from calicopin.emulator.referee import DRAIN, INFINITE, KNOWN, REACTION_MS, Referee
 from calicopin.state.known_list import DamagedError, decode
 
-TOLD_WITHIN = 6000.0  # ms of reach to a node
-FILE_WITHIN = 8000.0  # ms without a change, after which each courier's file is up to date
-HEARD_WITHIN = 6000.0  # ms before the end in which each courier has heard a node, where one can be reached
-LAST_LOSS = 500.0  # ms: a connection may be reset that long after the time of such a trouble
-KNOWN_LIST = "state/known-list"
+UPDATE_WITHIN_MS = 6000.0  # ms of reach to a node
+STORED_WITHIN_MS = 8000.0  # ms without a change, after which each courier's file is up to date
+ANSWER_WITHIN_MS = (
+    6000.0  # ms before the end in which each courier has heard a node, where one can be reached
+)
+LOSS_TOLERANCE_MS = 500.0  # ms: a connection may be reset that long after the time of such a trouble
+KNOWN_LIST_PATH = "state/known-list"
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +59,7 @@
 
     starts: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
-    stands: list[Span] = field(default_factory=list)
+    suspensions: list[Span] = field(default_factory=list)
 
     def silent(self) -> list[Span]:
         """When it did nothing."""
@@ -66,80 +68,86 @@
         for end in self.ends:
             later = bisect_right(self.starts, end)
             down.append(Span(end, self.starts[later] if later < len(self.starts) else INFINITE))
-        return down + self.stands
+        return down + self.suspensions
 
     def ran_through(self, begin: float, end: float) -> bool:
         """Whether one process ran all that time."""
         started = bisect_right(self.starts, begin)
-        return started > 0 and self.life(end) == self.starts[started - 1] and not self.ended(begin, end)
+        return (
+            started > 0 and self.process_start(end) == self.starts[started - 1] and not self.ended(begin, end)
+        )
 
     def ended(self, begin: float, end: float) -> bool:
         """Whether a process ended in that time."""
         return any(begin <= at <= end for at in self.ends)
 
-    def life(self, at: float) -> float:
+    def process_start(self, at: float) -> float:
         """When the process that ran at that time began."""
         return self.starts[bisect_right(self.starts, at) - 1]
 
 
-class Reach:
+class Reachability:
     """When a courier could speak with each node."""
 
-    def __init__(self, silent: list[list[Span]]):
-        self.silent = [sorted(spans, key=lambda span: span.begin) for spans in silent]
+    def __init__(self, unreachable: list[list[Span]]):
+        self.unreachable = [sorted(spans, key=lambda span: span.begin) for spans in unreachable]
 
-    def told_by(self, at: float) -> float:
+    def update_due(self, at: float) -> float:
         """By when what every node had at that time is told: after 6 s in which one node could be reached all
         the time."""
-        return min((self._told_by(spans, at) for spans in self.silent), default=INFINITE)
+        return min((self._update_due_from(spans, at) for spans in self.unreachable), default=INFINITE)
 
-    def _told_by(self, spans: list[Span], at: float) -> float:
+    def _update_due_from(self, spans: list[Span], at: float) -> float:
         for span in spans:
             if span.end <= at:
                 continue
-            if span.begin - at >= TOLD_WITHIN:
+            if span.begin - at >= UPDATE_WITHIN_MS:
                 break
             at = max(at, span.end)
-        return at + TOLD_WITHIN
+        return at + UPDATE_WITHIN_MS
 
-    def any(self, begin: float, end: float) -> bool:
+    def any_node(self, begin: float, end: float) -> bool:
         """Whether one and the same node could be reached all that time."""
-        return any(not any(span.begin < end and span.end > begin for span in spans) for spans in self.silent)
+        return any(
+            not any(span.begin < end and span.end > begin for span in spans) for spans in self.unreachable
+        )
 
-    def whole(self, begin: float, end: float) -> bool:
+    def every_node(self, begin: float, end: float) -> bool:
         """Whether every node could be reached all that time."""
-        return not any(span.begin < end and span.end > begin for spans in self.silent for span in spans)
+        return not any(span.begin < end and span.end > begin for spans in self.unreachable for span in spans)
 
 
-class Told:
+class KnownDestinations:
     """What one courier was told, and what it gave up."""
 
     def __init__(self):
         self.answers: list[float] = []
         self.endpoints: dict[str, float] = {}  # when it was told of first
         self.destinations: dict[int, list[float]] = defaultdict(list)  # answers that held it, in order
-        self.named: dict[int, list[float]] = defaultdict(list)  # the same, and those that told it as unknown
+        self.answered: dict[int, list[float]] = defaultdict(
+            list
+        )  # the same, and those that told it as unknown
         self.given_up: dict[int, list[float]] = defaultdict(list)
 
-    def since_given_up(self, destination: int, at: float) -> bool:
+    def is_known(self, destination: int, at: float) -> bool:
         """Whether an answer has told of the destination since it was given up last."""
-        told = self.destinations.get(destination, ())
+        known = self.destinations.get(destination, ())
         given_up = self.given_up.get(destination, ())
-        last_told = bisect_right(told, at)
+        last_told = bisect_right(known, at)
         last_up = bisect_right(given_up, at)
         if not last_told:
             return False
-        return not last_up or told[last_told - 1] > given_up[last_up - 1]
+        return not last_up or known[last_told - 1] > given_up[last_up - 1]
 
-    def held(self, destination: int, life: float, begin: float, end: float) -> bool:
+    def was_subscribed(self, destination: int, life: float, begin: float, end: float) -> bool:
         """Whether it was subscribed to all that time, and told of to the process that began at `life`."""
         given_up = any(begin < at <= end for at in self.given_up.get(destination, ()))
-        told = self.since_given_up(destination, begin) and self.was_named(destination, life, begin)
-        return told and not given_up
+        known = self.is_known(destination, begin) and self.was_answered(destination, life, begin)
+        return known and not given_up
 
-    def was_named(self, destination: int, begin: float, end: float) -> bool:
+    def was_answered(self, destination: int, begin: float, end: float) -> bool:
         """Whether an answer of that time told of it."""
-        return any(begin <= at <= end for at in self.named.get(destination, ()))
+        return any(begin <= at <= end for at in self.answered.get(destination, ()))
 
 
 class ListReferee:
@@ -149,32 +157,32 @@
         self.simulation, self.referee, self.settings = simulation, referee, simulation.scenario.nodes
         self.parties: dict[str, Party] = defaultdict(Party)
         self.cuts: dict[tuple[str, str], list[Span]] = defaultdict(list)
-        self.told: dict[str, Told] = defaultdict(Told)
+        self.known: dict[str, KnownDestinations] = defaultdict(KnownDestinations)
         self.changes: dict[int, Change] = {}
         self.listings: dict[str, list[Listing]] = defaultdict(list)
         self.changed_at = 0.0
-        self.leaves = 0  # announced to couriers that held the destination, and judged
-        self.compared = 0  # destinations held by couriers' files at the end
-        self.losing: list[Span] = []  # when answers were lost with their connections
-        for ident, entry in simulation.nodes.first.items():
+        self.leaves_judged = 0  # announced to couriers that held the destination, and judged
+        self.destinations_compared = 0  # destinations held by couriers' files at the end
+        self.loss_spans: list[Span] = []  # when answers were lost with their connections
+        for ident, entry in simulation.nodes.initial_entries.items():
             self.listings[ident].append(Listing(entry["cell"], 0.0))
-        for at, kind, *told in simulation.world.trace:
-            getattr(self, "_" + kind.replace("-", "_"), self._pass)(at, *told)
+        for at, kind, *known in simulation.world.trace:
+            getattr(self, "_" + kind.replace("-", "_"), self._ignore)(at, *known)
         nodes = [node.name for node in simulation.nodes.processes]
         self.reach = {
-            courier.name: Reach([self._apart(courier.name, node) for node in nodes])
+            courier.name: Reachability([self._unreachable_spans(courier.name, node) for node in nodes])
             for courier in simulation.couriers
         }
         self._judge()
         referee.breaks.sort(key=lambda one: (one.at, one.rule))
 
-    def _apart(self, courier: str, node: str) -> list[Span]:
+    def _unreachable_spans(self, courier: str, node: str) -> list[Span]:
         parties = self.parties[courier].silent() + self.parties[node].silent()
         return parties + self.cuts[courier, node]
 
     # Reading the trace.
 
-    def _pass(self, *_):
+    def _ignore(self, *_):
         pass
 
     def _start(self, at, name):
@@ -184,38 +192,38 @@
         self.parties[name].ends.append(at)
 
     def _stands(self, at, name, ms):
-        self.parties[name].stands.append(Span(at, at + ms))
+        self.parties[name].suspensions.append(Span(at, at + ms))
 
     def _leaves_service(self, at, name):
         """Told to end, a node may answer no more."""
-        self.parties[name].stands.append(Span(at, at + 1000.0))
+        self.parties[name].suspensions.append(Span(at, at + 1000.0))
 
     def _trouble(self, at, kind, whom, ms):
         if kind in ("answers-lost", "resets"):
-            self.losing.append(Span(at, at + ms + LAST_LOSS))
+            self.loss_spans.append(Span(at, at + ms + LOSS_TOLERANCE_MS))
 
     def _machine_gone(self, at, name, ms):
-        self.parties[name].stands.append(Span(at, at + ms))
+        self.parties[name].suspensions.append(Span(at, at + ms))
 
     def _cut_off(self, at, courier, node, ms):
         self.cuts[courier, node].append(Span(at, at + ms))
 
     def _told(self, at, courier, full, on, off):
-        endpoints = self.told[courier].endpoints
+        endpoints = self.known[courier].endpoints
         for endpoint in on:
             endpoints.setdefault(endpoint, at)
 
     def _answered(self, at, courier, node, complete, unknown):
-        told = self.told[courier]
-        told.answers.append(at)
+        known = self.known[courier]
+        known.answers.append(at)
         for destination in complete:
-            told.destinations[destination].append(at)
+            known.destinations[destination].append(at)
         for destination in complete + unknown:
-            told.named[destination].append(at)
+            known.answered[destination].append(at)
 
     def _gives_up(self, at, courier, destinations):
         for destination in destinations:
-            self.told[courier].given_up[destination].append(at)
+            self.known[courier].given_up[destination].append(at)
 
     def _source(self, at, serial, node, endpoint, destination, state, nodes):
         """A change is in a node's source; the first sights of changes are in their order, as each node has
@@ -251,30 +259,32 @@
         for courier in self.simulation.couriers:
             self._judge_leaves(courier.name)
             if not self.parties[courier.name].ends or self.parties[courier.name].ends[-1] >= self._end_at():
-                self._quiet_end(courier)
+                self._judge_end_state(courier)
 
     def _end_at(self) -> float:
         return self.simulation.world.now
 
     def _judge_call(self, call):
-        told, party, reach = self.told[call.courier], self.parties[call.courier], self.reach[call.courier]
-        began, at = party.life(call.begun), call.begun
-        if told.endpoints.get(call.endpoint, INFINITE) > at:
+        known, party, reach = self.known[call.courier], self.parties[call.courier], self.reach[call.courier]
+        process_start, at = party.process_start(call.started_at), call.started_at
+        if known.endpoints.get(call.endpoint, INFINITE) > at:
             self.referee.add(KNOWN, at, call.courier, f"a call to {call.endpoint}, of which no node has told")
-        elif not told.since_given_up(call.dest, at):
+        elif not known.is_known(call.dest, at):
             self.referee.add(
                 KNOWN,
                 at,
                 call.courier,
                 f"a call to destination {call.dest}, which it gave up: no answer since then",
             )
-        heard = bisect_right(told.answers, at)
-        if not heard or told.answers[heard - 1] < began:
-            self._before_first_answer(call, began, told.answers[heard - 1] if heard else -INFINITE)
+        answer_count = bisect_right(known.answers, at)
+        if not answer_count or known.answers[answer_count - 1] < process_start:
+            self._judge_call_before_answer(
+                call, process_start, known.answers[answer_count - 1] if answer_count else -INFINITE
+            )
         for listing in self.listings[call.endpoint]:
             if listing.leave <= at < listing.end:
-                due = party_later(party, reach.told_by(listing.leave))
-                if at > due + self.simulation.scenario.rules.drain_ms + GRACE:
+                due = resume_time(party, reach.update_due(listing.leave))
+                if at > due + self.simulation.scenario.rules.drain_ms + REACTION_MS:
                     self.referee.add(
                         DRAIN,
                         at,
@@ -286,18 +296,18 @@
     def _judge_leaves(self, courier: str):
         """Each leave of a destination that the courier holds is told in time, whether a call would follow or
         not."""
-        told, party = self.told[courier], self.parties[courier]
+        known, party = self.known[courier], self.parties[courier]
         for endpoint, listings in self.listings.items():
             for listing in listings:
                 if listing.leave == INFINITE:
                     continue
-                due = party_later(party, self.reach[courier].told_by(listing.leave)) + GRACE
+                due = resume_time(party, self.reach[courier].update_due(listing.leave)) + REACTION_MS
                 begin = listing.first_leave
                 if due > min(listing.end, self._end_at()) or not party.ran_through(begin, due):
                     continue
-                if told.held(listing.destination, party.life(begin), begin, due):
-                    self.leaves += 1
-                    if not told.was_named(listing.destination, begin, due):
+                if known.was_subscribed(listing.destination, party.process_start(begin), begin, due):
+                    self.leaves_judged += 1
+                    if not known.was_answered(listing.destination, begin, due):
                         self.referee.add(
                             KNOWN,
                             due,
@@ -305,110 +315,121 @@
                             f"the leave of {endpoint}, at every node by {listing.leave:.1f}, was not told",
                         )
 
-    def _before_first_answer(self, call, began: float, heard: float):
+    def _judge_call_before_answer(self, call, process_start: float, previous_answer: float):
         """A call by what the folder held."""
-        lost = any(span.begin < call.begun and span.end > began for span in self.losing)
-        if not lost and self.reach[call.courier].whole(began, call.begun):
+        answer_lost = any(
+            span.begin < call.started_at and span.end > process_start for span in self.loss_spans
+        )
+        if not answer_lost and self.reach[call.courier].every_node(process_start, call.started_at):
             self.referee.add(
                 KNOWN,
-                call.begun,
+                call.started_at,
                 call.courier,
                 "a call before its first answer, though every node could be reached and none was lost",
             )
         for listing in self.listings[call.endpoint]:
-            announced = listing.leave < began and call.begun < listing.end
-            if announced and not lost and self.reach[call.courier].any(began, call.begun):
+            announced = listing.leave < process_start and call.started_at < listing.end
+            if (
+                announced
+                and not answer_lost
+                and self.reach[call.courier].any_node(process_start, call.started_at)
+            ):
                 self.referee.add(
                     DRAIN,
-                    call.begun,
+                    call.started_at,
                     call.courier,
                     f"a call to {call.endpoint}, announced as leaving before its start, no node asked: "
                     "a node could be reached",
                 )
-        if began - heard > self.settings.list_age_s * 1000.0:
+        if process_start - previous_answer > self.settings.list_age_s * 1000.0:
             self.referee.add(
                 KNOWN,
-                call.begun,
+                call.started_at,
                 call.courier,
-                f"a call by a list that was {(began - heard) / 1000.0:.1f} s old at the start, over list_age",
+                f"a call by a list that was {(process_start - previous_answer) / 1000.0:.1f} s old at the start, over list_age",
             )
 
     def _judge_answer(self, ident: str, at: float, status: int):
-        _, _, courier, destination, *_ = self.referee.hands[ident]
-        if status == 202 and not self.told[courier].since_given_up(destination, at):
+        _, _, courier, destination, *_ = self.referee.submissions[ident]
+        if status == 202 and not self.known[courier].is_known(destination, at):
             self.referee.add(
                 KNOWN,
                 at,
                 courier,
                 f"{ident} taken on for destination {destination}, of which no node has told",
             )
-        if status == 404 and self._listed_long(courier, destination, at):
+        if status == 404 and self._was_listed(courier, destination, at):
             self.referee.add(
                 KNOWN, at, courier, f"{ident} refused with 404: destination {destination} was in the list"
             )
 
-    def _listed_long(self, courier: str, destination: int, at: float) -> bool:
+    def _was_listed(self, courier: str, destination: int, at: float) -> bool:
         return any(
             listing.destination == destination
-            and self.reach[courier].told_by(listing.begin) + GRACE < at < listing.first_leave
+            and self.reach[courier].update_due(listing.begin) + REACTION_MS < at < listing.first_leave
             for listings in self.listings.values()
             for listing in listings
         )
 
-    def _quiet_end(self, courier):
+    def _judge_end_state(self, courier):
         """What the courier's file holds against the source, and that it still hears a node."""
         end, name = self._end_at(), courier.name
-        told, life = self.told[name], self.parties[name].life(end)
-        can_hear = self.reach[name].told_by(life) < end
-        quiet = can_hear and self.reach[name].told_by(self.changed_at) + FILE_WITHIN - TOLD_WITHIN < end
-        if can_hear and self.reach[name].told_by(end - HEARD_WITHIN) <= end:
-            if not told.answers or told.answers[-1] < end - HEARD_WITHIN:
+        known, process_start = self.known[name], self.parties[name].process_start(end)
+        can_be_updated = self.reach[name].update_due(process_start) < end
+        quiet = (
+            can_be_updated
+            and self.reach[name].update_due(self.changed_at) + STORED_WITHIN_MS - UPDATE_WITHIN_MS < end
+        )
+        if can_be_updated and self.reach[name].update_due(end - ANSWER_WITHIN_MS) <= end:
+            if not known.answers or known.answers[-1] < end - ANSWER_WITHIN_MS:
                 self.referee.add(
                     KNOWN, end, name, "it has heard no node for 6 s, though one could be reached"
                 )
         if quiet:
-            self._compare(courier, life)
+            self._compare_stored_list(courier, process_start)
 
-    def _compare(self, courier, life: float):
+    def _compare_stored_list(self, courier, process_start: float):
         end, name = self._end_at(), courier.name
         try:
-            held = decode(bytes(courier.disk.files.get(KNOWN_LIST, b""))).places
-        except DamagedError as fault:
-            self.referee.add(KNOWN, end, name, f"its list in the folder: {fault}")
+            stored = decode(bytes(courier.disk.files.get(KNOWN_LIST_PATH, b""))).places
+        except DamagedError as error:
+            self.referee.add(KNOWN, end, name, f"its list in the folder: {error}")
             return
         listed = defaultdict(set)
         for entry in self.simulation.nodes.source.entries.values():
             listed[entry["cell"]].add((entry["id"], entry["addr"], entry["zone"], entry["state"] == "active"))
-        self.compared += len(held)
-        for destination, places in held.items():
-            own = {(place.ident, place.address, place.zone, place.ready) for place in places}
-            if own != listed[destination]:
+        self.destinations_compared += len(stored)
+        for destination, places in stored.items():
+            stored_entries = {(place.ident, place.address, place.zone, place.ready) for place in places}
+            if stored_entries != listed[destination]:
                 self.referee.add(
                     KNOWN,
                     end,
                     name,
-                    f"destination {destination}: it holds {sorted(own)}, not {sorted(listed[destination])}",
+                    f"destination {destination}: it holds {sorted(stored_entries)}, not {sorted(listed[destination])}",
                 )
-        for destination in self._used(name, life):
-            if listed[destination] and destination not in held:
+        for destination in self._used_destinations(name, process_start):
+            if listed[destination] and destination not in stored:
                 self.referee.add(KNOWN, end, name, f"destination {destination} is used and not held")
 
-    def _used(self, courier: str, life: float) -> list[int]:
+    def _used_destinations(self, courier: str, process_start: float) -> list[int]:
         """Destinations of messages that its last process took on, none of which may be given up yet."""
-        since = max(life, self._end_at() - (self.settings.given_up_s or 600.0) * 1000.0)
-        hands = self.referee.hands
+        since = max(process_start, self._end_at() - (self.settings.given_up_s or 600.0) * 1000.0)
+        submissions = self.referee.submissions
         return sorted(
             {
-                hands[ident][3]
+                submissions[ident][3]
                 for ident, (at, status) in self.referee.answers.items()
-                if status == 202 and hands[ident][2] == courier and since < at < self._end_at() - FILE_WITHIN
+                if status == 202
+                and submissions[ident][2] == courier
+                and since < at < self._end_at() - STORED_WITHIN_MS
             }
         )
 
 
-def party_later(party: Party, at: float) -> float:
+def resume_time(party: Party, at: float) -> float:
     """When a party that stood still at that time goes on."""
-    for span in party.stands:
+    for span in party.suspensions:
         if span.begin <= at <= span.end:
             at = span.end
     return at
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -30,10 +30,10 @@
 FLEET = "emulated"
 PORT = 7400
 SOURCE = "list.log"
-START_WITHIN = 50.0  # ms: all nodes begin in that time
-LEFT_AFTER = 6000.0  # ms from an announced leave to the leave
+START_WITHIN_MS = 50.0  # ms: all nodes begin in that time
+LEFT_AFTER_MS = 6000.0  # ms from an announced leave to the leave
 DESCRIPTORS = 1000
-LINE_FIELDS = ("form", "fleet", "id", "addr", "cell", "kind", "zone", "state", "weight")
+SOURCE_FIELDS = ("form", "fleet", "id", "addr", "cell", "kind", "zone", "state", "weight")
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,46 +102,46 @@
         """Takes a connection, and watches what is answered on it."""
         accepted = super().on_connection(end)
         if accepted:
-            AnswerWatch(self.calls.process, end)
+            AnswerMonitor(self.calls.process, end)
         return accepted
 
 
-class AnswerWatch:
+class AnswerMonitor:
     """Reads what passes on one connection: what the courier gives up as it asks for that, and an answer once
     the courier has read the whole of it."""
 
     def __init__(self, node: "NodeProcess", end: End):
-        self.node, self.end, self.send, self.host = node, end, end.send, end.peer.machine.address
-        self.parsed = MessageParser(httptools.HttpResponseParser, self._whole)
+        self.node, self.end, self.node_send, self.host = node, end, end.node_send, end.peer.machine.address
+        self.answer_parser = MessageParser(httptools.HttpResponseParser, self._on_answer_parsed)
         self.answers: list[dict] = []
-        end.send = self._sent
-        self.asked = MessageParser(httptools.HttpRequestParser, self._whole_request)
-        self.ask, end.peer.send = end.peer.send, self._asked
+        end.node_send = self._node_sent
+        self.request_parser = MessageParser(httptools.HttpRequestParser, self._on_request_parsed)
+        self.client_send, end.peer.node_send = end.peer.node_send, self._client_sent
 
-    def _asked(self, data, heard=None):
-        self.asked.feed(data)
-        self.ask(data, heard)
+    def _client_sent(self, data, on_read=None):
+        self.request_parser.feed(data)
+        self.client_send(data, on_read)
 
-    def _whole_request(self, message, body, begun):
-        self.node.asked(self.host, json.loads(body)["subscription"])
+    def _on_request_parsed(self, message, body, started_at):
+        self.node.on_request(self.host, json.loads(body)["subscription"])
 
-    def _sent(self, data, heard=None):
-        self.parsed.feed(data)
+    def _node_sent(self, data, on_read=None):
+        self.answer_parser.feed(data)
         answers, self.answers = self.answers, []
-        if answers and self.node.loses():
+        if answers and self.node.drops_answer():
             self.end.abort()
             return
         if answers:
-            heard = partial(self._heard, answers)
-        self.send(data, heard)
+            on_read = partial(self._answers_read, answers)
+        self.node_send(data, on_read)
 
-    def _whole(self, message, body, begun):
+    def _on_answer_parsed(self, message, body, started_at):
         if message.parser.get_status_code() == 200:
             self.answers.append(json.loads(body))
 
-    def _heard(self, answers: list[dict]):
+    def _answers_read(self, answers: list[dict]):
         for answer in answers:
-            self.node.heard(self.node.name, self.host, answer)
+            self.node.on_answer(self.node.name, self.host, answer)
 
 
 class NodeProcess(Process):
@@ -149,11 +149,11 @@
 
     system_calls_type = NodeSystemCalls
     file_number = 1
-    lose_odds = 0.0
+    answer_loss_odds = 0.0
 
-    def loses(self) -> bool:
+    def drops_answer(self) -> bool:
         """Whether the answer that is due now is lost with its connection."""
-        return self.lose_odds > 0.0 and self.rng.random() < self.lose_odds
+        return self.answer_loss_odds > 0.0 and self.rng.random() < self.answer_loss_odds
 
     def write_source(self, data: bytes):
         """Another file is renamed into the source's place."""
@@ -169,37 +169,39 @@
     """The list as the platform has it, written to each node's source. `entries` by endpoint."""
 
     def __init__(
-        self, world, processes: list[NodeProcess], entries: dict[str, dict], late, rng: random.Random
+        self, world, processes: list[NodeProcess], entries: dict[str, dict], delay_range, rng: random.Random
     ):
         self.world, self.processes, self.entries = world, processes, entries
-        self.late, self.rng, self.serial = late, rng, 0
-        self.arrival = [0.0] * len(processes)  # of the last change at each node: they come in their order
+        self.delay_range, self.rng, self.change_count = delay_range, rng, 0
+        self.last_arrival = [0.0] * len(
+            processes
+        )  # of the last change at each node: they come in their order
         for process in processes:
-            process.write_source(self.whole())
+            process.write_source(self.encode_all())
 
-    def whole(self) -> bytes:
+    def encode_all(self) -> bytes:
         """A source file that holds the list as it is."""
         header = {"form": 1, "fleet": FLEET}
         return b"".join(encode(line) for line in (header, *self.entries.values()))
 
     def change(self, entry: dict):
         """One endpoint is not as before."""
-        self.serial += 1
+        self.change_count += 1
         if entry["state"] == "left":
             self.entries.pop(entry["id"], None)
         else:
             self.entries[entry["id"]] = dict(entry)
-        low, high = self.late
+        low, high = self.delay_range
         for number, process in enumerate(self.processes):
-            at = max(self.arrival[number], self.world.now + low + (high - low) * self.rng.random())
-            self.arrival[number] = at
-            self.world.call_at(at, self._append, process, self.serial, dict(entry))
+            at = max(self.last_arrival[number], self.world.now + low + (high - low) * self.rng.random())
+            self.last_arrival[number] = at
+            self.world.call_at(at, self._append, process, self.change_count, dict(entry))
 
     def replace(self):
         """A short file takes the place of each node's, once all changes until now are in it."""
-        whole = self.whole()
+        content = self.encode_all()
         for number, process in enumerate(self.processes):
-            self.world.call_at(max(self.arrival[number], self.world.now), process.write_source, whole)
+            self.world.call_at(max(self.last_arrival[number], self.world.now), process.write_source, content)
 
     def _append(self, process: NodeProcess, serial: int, entry: dict):
         process.append_source(encode(entry))
@@ -210,8 +212,8 @@
 
 def encode(line: dict) -> bytes:
     """One line of a source: what a source may say of it, in order."""
-    told = {name: line[name] for name in LINE_FIELDS if name in line}
-    return json.dumps(told, separators=(",", ":")).encode() + b"\n"
+    fields = {name: line[name] for name in SOURCE_FIELDS if name in line}
+    return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
 class Nodes:
@@ -227,15 +229,17 @@
         self.rng = self.world.random_stream("nodes")
         self.processes = [self._process(number) for number in range(self.settings.count)]
         self.by_name = {process.name: process for process in self.processes}
-        self.serving: dict[str, str] = {}  # the node that answered each courier last
-        self.known: dict[str, dict[int, set[str]]] = defaultdict(dict)  # what each courier was told
-        late = tuple(simulation.scenario.platform.late_ms)
+        self.serving_node: dict[str, str] = {}  # the node that answered each courier last
+        self.known_by_courier: dict[str, dict[int, set[str]]] = defaultdict(
+            dict
+        )  # what each courier was told
+        delay_range = tuple(simulation.scenario.platform.late_ms)
         absent = [int(trouble.whom[12:]) for trouble in simulation.troubles if trouble.kind == "publish"]
         entries = {
             ident: entry for ident, entry in simulation.server_list.items() if entry["cell"] not in absent
         }
-        self.first = dict(entries)
-        self.source = ListSource(self.world, self.processes, entries, late, self.rng)
+        self.initial_entries = dict(entries)
+        self.source = ListSource(self.world, self.processes, entries, delay_range, self.rng)
 
     def _process(self, number: int) -> NodeProcess:
         name, host = f"node{number}", f"10.5.0.{number + 1}"
@@ -243,7 +247,7 @@
             self.world, self.net, name, host, self._begin, {}, DESCRIPTORS, self.world.random_stream(name)
         )
         process.pass_ms = self.simulation.scenario.couriers.pass_ms
-        process.heard, process.asked = self._heard, self._asked
+        process.on_answer, process.on_request = self._on_answer, self._on_request
         return process
 
     def _begin(self, environ, signal_reader, system):
@@ -256,37 +260,37 @@
     def begin(self):
         """All nodes start."""
         for process in self.processes:
-            self.world.call_at(self.rng.uniform(0.0, START_WITHIN), process.start)
+            self.world.call_at(self.rng.uniform(0.0, START_WITHIN_MS), process.start)
 
     def end(self):
         """The run is over."""
         for process in self.processes:
             process.kill()
 
-    def told(self) -> dict:
+    def courier_settings(self) -> dict:
         """What a courier's configuration says of them."""
         if not self.processes:
             return {}
         addresses = [f"{process.host}:{PORT}" for process in self.processes]
         return {"nodes": addresses, "fleet": FLEET, "list_age": self.settings.list_age_s}
 
-    def _asked(self, host: str, subscription: dict):
+    def _on_request(self, host: str, subscription: dict):
         """A courier asks. A request for a new lease names the whole set: what is not in it was given up
         before."""
         courier = self.simulation.courier_by_host[host]
         given_up = subscription["unsubscribe"]
         if subscription["lease"] is None:
-            given_up = sorted(self.known[courier].keys() - set(subscription["subscribe"]))
+            given_up = sorted(self.known_by_courier[courier].keys() - set(subscription["subscribe"]))
         for destination in given_up:
-            self.known[courier].pop(destination, None)
+            self.known_by_courier[courier].pop(destination, None)
         if given_up:
             self.world.record("gives-up", courier, tuple(given_up))
 
-    def _heard(self, node: str, host: str, answer: dict):
+    def _on_answer(self, node: str, host: str, answer: dict):
         """A courier has read an answer."""
         courier = self.simulation.courier_by_host[host]
-        self.serving[courier] = node
-        subscription, known = answer["subscription"], self.known[courier]
+        self.serving_node[courier] = node
+        subscription, known = answer["subscription"], self.known_by_courier[courier]
         listed: dict[int, set[str]] = {destination: set() for destination in subscription["complete"]}
         for entry in answer["servers"]:
             if entry["state"] == "active":
@@ -307,112 +311,114 @@
 
     def begin_trouble(self, trouble: Trouble):
         """One trouble of subscriptions begins."""
-        lasts = trouble.for_s * 1000.0
-        self.world.record("trouble", trouble.kind, trouble.whom, lasts)
-        getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble, lasts)
+        duration = trouble.for_s * 1000.0
+        self.world.record("trouble", trouble.kind, trouble.whom, duration)
+        getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble, duration)
 
-    def _node(self, trouble: Trouble) -> NodeProcess:
+    def _target_node(self, trouble: Trouble) -> NodeProcess:
         kind, _, name = trouble.whom.partition(":")
         return self.processes[int(name)] if kind == "node" else self.rng.choice(self.processes)
 
-    def _node_kill(self, trouble, lasts):
-        node = self._node(trouble)
+    def _node_kill(self, trouble, duration):
+        node = self._target_node(trouble)
         node.kill()
-        self.world.call_later(max(lasts, 1.0), node.start)
+        self.world.call_later(max(duration, 1.0), node.start)
 
-    def _node_term(self, trouble, lasts):
+    def _node_term(self, trouble, duration):
         """SIGTERM; it is started again after that time, and killed where it has not ended by then."""
-        node = self._node(trouble)
+        node = self._target_node(trouble)
         node.signal(signal.SIGTERM)
         self.world.record("leaves-service", node.name)
-        self.world.call_later(max(lasts, 1000.0), self._again, node)
+        self.world.call_later(max(duration, 1000.0), self._restart_node, node)
 
-    def _again(self, node):
+    def _restart_node(self, node):
         node.kill()
         node.start()
 
-    def _node_stand(self, trouble, lasts):
-        self._node(trouble).suspend(lasts)
+    def _node_stand(self, trouble, duration):
+        self._target_node(trouble).suspend(duration)
 
-    def _node_vanish(self, trouble, lasts):
+    def _node_vanish(self, trouble, duration):
         """Its machine says nothing more: connections stay half-open at the couriers."""
-        node = self._node(trouble)
+        node = self._target_node(trouble)
         machine = self.net.machine(node.host)
         self.net.take_down(machine)
-        self.world.record("machine-gone", node.name, lasts)
+        self.world.record("machine-gone", node.name, duration)
         node.kill()
-        self.world.call_later(max(lasts, 1.0), self._machine_back, node, machine)
+        self.world.call_later(max(duration, 1.0), self._restore_machine, node, machine)
 
-    def _machine_back(self, node, machine):
+    def _restore_machine(self, node, machine):
         machine.up = True
         node.start()
 
-    def _node_cut(self, trouble, lasts):
+    def _node_cut(self, trouble, duration):
         """No courier can speak with that node."""
-        node = self._node(trouble)
+        node = self._target_node(trouble)
         for courier in self.simulation.couriers:
-            self._cut(courier, node, lasts)
+            self._partition_pair(courier, node, duration)
 
-    def _node_partition(self, trouble, lasts):
+    def _node_partition(self, trouble, duration):
         """A courier cannot speak with the node that serves it; size 2: with no node."""
         for courier in self.simulation.targets(trouble):
-            serving = self.by_name.get(self.serving.get(courier.name, ""), self.processes[0])
+            serving = self.by_name.get(self.serving_node.get(courier.name, ""), self.processes[0])
             for node in self.processes if trouble.size >= 2.0 else [serving]:
-                self._cut(courier, node, lasts)
+                self._partition_pair(courier, node, duration)
 
-    def _cut(self, courier, node, lasts):
+    def _partition_pair(self, courier, node, duration):
         here, there = self.net.machine(courier.host), self.net.machine(node.host)
         self.net.set_partition(here, there)
-        self.world.record("cut-off", courier.name, node.name, lasts)
-        self.world.call_later(lasts, self.net.set_partition, here, there, False)
+        self.world.record("cut-off", courier.name, node.name, duration)
+        self.world.call_later(duration, self.net.set_partition, here, there, False)
 
-    def _answers_lost(self, trouble, lasts):
+    def _answers_lost(self, trouble, duration):
         """Each answer of any node is lost with these odds, and its connection with it."""
         for node in self.processes:
-            node.lose_odds = trouble.size
-            self.world.call_later(lasts, setattr, node, "lose_odds", 0.0)
+            node.answer_loss_odds = trouble.size
+            self.world.call_later(duration, setattr, node, "answer_loss_odds", 0.0)
 
-    def _source_replaced(self, trouble, lasts):
+    def _source_replaced(self, trouble, duration):
         self.source.replace()
 
-    def _courier_herd(self, trouble, lasts):
+    def _courier_herd(self, trouble, duration):
         """That share of the couriers is killed at once, and started again with their folders as they are."""
         many = max(1, round(trouble.size * len(self.simulation.couriers)))
         for courier in self.rng.sample(self.simulation.couriers, many):
             courier.kill()
             self.world.call_later(
-                max(lasts, self.simulation.scenario.couriers.restart_ms), self.simulation.start, courier
+                max(duration, self.simulation.scenario.couriers.restart_ms), self.simulation.start, courier
             )
 
-    def _publish(self, trouble, lasts):
+    def _publish(self, trouble, duration):
         """A destination comes into the list."""
-        for one in self.simulation.targets(trouble):
-            for endpoint in one.endpoints:
-                self.simulation.announce(one, endpoint, "active")
+        for destination in self.simulation.targets(trouble):
+            for endpoint in destination.endpoints:
+                self.simulation.announce(destination, endpoint, "active")
 
-    def _withdraw(self, trouble, lasts):
+    def _withdraw(self, trouble, duration):
         """All endpoints of a destination are announced as leaving, and have left later; size 0: they have
         left at once. It is listed again after that time, where one is told."""
-        gap = LEFT_AFTER if trouble.size else 0.0
-        for one in self.simulation.targets(trouble):
-            for endpoint in one.endpoints:
+        gap = LEFT_AFTER_MS if trouble.size else 0.0
+        for destination in self.simulation.targets(trouble):
+            for endpoint in destination.endpoints:
                 if gap:
-                    self.simulation.announce(one, endpoint, "leaving")
-                self.world.call_later(gap, self.simulation.announce, one, endpoint, "left")
-                if lasts:
-                    self.world.call_later(gap + lasts, self.simulation.announce, one, endpoint, "active")
+                    self.simulation.announce(destination, endpoint, "leaving")
+                self.world.call_later(gap, self.simulation.announce, destination, endpoint, "left")
+                if duration:
+                    self.world.call_later(
+                        gap + duration, self.simulation.announce, destination, endpoint, "active"
+                    )
 
 
 @contextmanager
-def given_up_after(seconds: float) -> Iterator[None]:
+def unsubscribe_after(seconds: float) -> Iterator[None]:
     """Couriers give a destination up that long after its last message, in place of the program's own
     minutes."""
     if not seconds:
         yield
         return
-    before = subscribed_module.Subscriber
+    original = subscribed_module.Subscriber
     subscribed_module.Subscriber = partial(Subscriber, idle=seconds * 1000.0)
     try:
         yield
     finally:
-        subscribed_module.Subscriber = before
+        subscribed_module.Subscriber = original
--- a/calicopin/emulator/referee.py
+++ b/calicopin/emulator/referee.py
@@ -26,24 +26,24 @@
 SERVICE = "service"
 KNOWN = "known list"  # of couriers that subscribe to parts of the list: judged in list_referee.py
 RULES = (ANSWER, EFFECT, DRAIN, PUSH, ORDER, WAIT, SOUND, SERVICE, KNOWN)
-OVERDUE = 350.0  # after its time is up
-READY = 1500.0  # after a courier is ready again no notice is overdue
-GRACE = 60.0  # for a pass of the courier's loop after it could read something
-OUT = ("refuse", "hang", "shut", "vanish")
+ANSWER_TOLERANCE_MS = 350.0  # after its time is up
+RESTART_TOLERANCE_MS = 1500.0  # after a courier is ready again no notice is overdue
+REACTION_MS = 60.0  # for a pass of the courier's loop after it could read something
+OUTAGE_KINDS = ("refuse", "hang", "shut", "vanish")
 INFINITE = float("inf")
 
 
 @dataclass(slots=True)
-class Break:
+class Violation:
     """One break of a rule: which, when in ms, who, and why in a plain sentence."""
 
     rule: str
     at: float
-    who: str
-    why: str
+    party: str
+    reason: str
 
     def __str__(self):
-        return f"{self.rule}: {self.who} at {self.at:.1f} ms: {self.why}"
+        return f"{self.rule}: {self.party} at {self.at:.1f} ms: {self.reason}"
 
 
 @dataclass(slots=True)
@@ -57,12 +57,12 @@
     zone: str
     dest: int
     texts: tuple
-    begun: float
-    over: float = INFINITE  # when it was no longer out: answered or hung up
+    started_at: float
+    ended_at: float = INFINITE  # when it was no longer out: answered or hung up
     status: int = 0
-    wait: float = 0.0
+    wait_ms: float = 0.0
     states: dict = field(default_factory=dict)
-    heard: float = INFINITE
+    answer_read_at: float = INFINITE
 
     def refused(self, ident):
         """Whether the partner said that it never ran."""
@@ -72,31 +72,31 @@
         return self.status == 200 and self.states.get(ident, "delivered") == "delivered"
 
 
-class Lives:
+class CourierHistory:
     """When one courier ran, stood still, was without disk or platform."""
 
     def __init__(self):
-        self.starts, self.ends, self.excused, self.lost, self.stands = [], [], [], [], []
+        self.starts, self.ends, self.excused, self.machine_losses, self.suspensions = [], [], [], [], []
 
     def ended_between(self, low, high):
         """Whether a process of it ended in that time."""
         at = bisect_right(self.ends, low - 1e-9)
         return at < len(self.ends) and self.ends[at] <= high
 
-    def later(self, at):
+    def resumed_at(self, at):
         """A time from which it could act on what it was told at `at`."""
-        for begun, until in self.stands:
+        for begun, until in self.suspensions:
             if begun <= at <= until:
                 at = until
         return at
 
-    def due(self, until):
+    def answer_due(self, until):
         """The last moment for a final answer."""
-        last = until + OVERDUE
+        due = until + ANSWER_TOLERANCE_MS
         for begun, end in sorted(self.excused):
-            if begun <= last and end >= until - GRACE:
-                last = max(last, end)
-        return last
+            if begun <= due and end >= until - REACTION_MS:
+                due = max(due, end)
+        return due
 
 
 class Referee:
@@ -108,46 +108,56 @@
             simulation.scenario.product,
             simulation,
         )
-        self.breaks, self.hands, self.answers, self.calls = [], {}, {}, {}
-        self.notices, self.of, self.lives = defaultdict(list), defaultdict(list), defaultdict(Lives)
-        self.cuts, self.silent, self.told, self.ran, self.refusals = [], set(), [], Counter(), 0
-        self.spans, self.ended, self.operators = defaultdict(list), simulation.world.now, []
+        self.breaks, self.submissions, self.answers, self.calls = [], {}, {}, {}
+        self.notices, self.calls_by_text, self.histories = (
+            defaultdict(list),
+            defaultdict(list),
+            defaultdict(CourierHistory),
+        )
+        self.cuts, self.unanswered, self.list_updates, self.run_counts, self.refusals = (
+            [],
+            set(),
+            [],
+            Counter(),
+            0,
+        )
+        self.outages, self.end_time, self.admin_calls = defaultdict(list), simulation.world.now, []
         for entry in simulation.world.trace:
-            getattr(self, "_" + entry[1].replace("-", "_"), self._pass)(*entry[:1], *entry[2:])
-        self._excuses()
+            getattr(self, "_" + entry[1].replace("-", "_"), self._ignore)(*entry[:1], *entry[2:])
+        self._excuse_stopped_couriers()
         self._judge()
         self.breaks.sort(key=lambda one: (one.at, one.rule))
 
-    def add(self, rule, at, who, why):
-        self.breaks.append(Break(rule, at, who, why))
+    def add(self, rule, at, party, reason):
+        self.breaks.append(Violation(rule, at, party, reason))
 
     # Reading the trace.
 
-    def _pass(self, *_):
+    def _ignore(self, *_):
         pass
 
     def _hand_in(self, at, ident, number, courier, dest, product, key, reference, crc, until):
-        self.hands.setdefault(ident, (at, number, courier, dest, product, key, reference, crc, until))
+        self.submissions.setdefault(ident, (at, number, courier, dest, product, key, reference, crc, until))
 
     def _answer(self, at, ident, status):
         if self.answers.get(ident, (0, 0))[1] != 202:
             self.answers[ident] = at, status
 
     def _left(self, _, ident):
-        self.silent.add(ident)
+        self.unanswered.add(ident)
 
     def _cut(self, at, ident, courier):
-        self.silent.add(ident)
+        self.unanswered.add(ident)
         self.cuts.append((at, ident, courier))
 
-    def _call(self, at, number, courier, endpoint, zone, dest, texts, begun):
-        call = self.calls[number] = Call(number, at, courier, endpoint, zone, dest, texts, begun)
+    def _call(self, at, number, courier, endpoint, zone, dest, texts, started_at):
+        call = self.calls[number] = Call(number, at, courier, endpoint, zone, dest, texts, started_at)
         for ident, reference, crc in texts:
-            self.of[ident].append(call)
-            hand = self.hands.get(ident)
-            if hand is None:
+            self.calls_by_text[ident].append(call)
+            submission = self.submissions.get(ident)
+            if submission is None:
                 self.add(EFFECT, at, ident, "called, though no client handed it in")
-            elif (hand[3], hand[6], hand[7]) != (dest, reference, crc):
+            elif (submission[3], submission[6], submission[7]) != (dest, reference, crc):
                 self.add(
                     EFFECT,
                     at,
@@ -156,18 +166,18 @@
                 )
 
     def _ran(self, _, number, idents):
-        self.ran.update(idents)
+        self.run_counts.update(idents)
 
     def _reply(self, at, number, status, wait, states):
         call = self.calls[number]
-        call.over, call.status, call.wait, call.states = at, status, wait, dict(states)
+        call.ended_at, call.status, call.wait_ms, call.states = at, status, wait, dict(states)
         self.refusals += status in (429, 503)
 
     def _heard(self, at, number):
-        self.calls[number].heard = at
+        self.calls[number].answer_read_at = at
 
     def _hung_up(self, at, number):
-        self.calls[number].over = min(at, self.calls[number].over)
+        self.calls[number].ended_at = min(at, self.calls[number].ended_at)
 
     _lost = _hung_up
 
@@ -175,463 +185,534 @@
         self.notices[ident].append((at, courier, verdict, wait))
 
     def _told(self, at, courier, full, on, off):
-        self.told.append((at, courier, full, on, off))
+        self.list_updates.append((at, courier, full, on, off))
 
     def _had(self, at, courier, on, off):
         if self.scenario.platform.told == "had":
-            self.told.append((at, courier, False, on, off))
+            self.list_updates.append((at, courier, False, on, off))
 
-    def _fell(self, at, dest, count, most, knew):
-        if knew * 3 >= count * 2:
+    def _fell(self, at, dest, count, limit, informed):
+        if informed * 3 >= count * 2:
             self.add(
                 PUSH,
                 at,
                 f"destination {dest}",
-                f"{count} calls in the span where {most} was the most, {knew} of "
+                f"{count} calls in the span where {limit} was the most, {informed} of "
                 "them by couriers that had met the outage",
             )
 
     def _start(self, at, courier):
-        self.lives[courier].starts.append(at)
+        self.histories[courier].starts.append(at)
 
     def _ready(self, at, courier):
-        life = self.lives[courier]
-        life.excused.append((life.ends[-1] if life.ends else 0.0, at + READY))
+        history = self.histories[courier]
+        history.excused.append((history.ends[-1] if history.ends else 0.0, at + RESTART_TOLERANCE_MS))
 
-    def _end(self, at, courier, how, why):
-        self.lives[courier].ends.append(at)
+    def _end(self, at, courier, how, reason):
+        self.histories[courier].ends.append(at)
         if how in ("crash", "busy"):
-            self.add(SOUND, at, courier, f"{how}: {why}")
+            self.add(SOUND, at, courier, f"{how}: {reason}")
 
     def _term(self, at, courier):
-        self.lives[courier].excused.append((at, at + 4500.0))
+        self.histories[courier].excused.append((at, at + 4500.0))
 
     def _lost_machine(self, at, courier):
-        self.lives[courier].lost.append(at)
+        self.histories[courier].machine_losses.append(at)
 
     def _stands(self, at, courier, ms):
-        life = self.lives[courier]
-        life.stands.append((at, at + ms + GRACE))
-        life.excused.append((at, at + ms + 500.0))
+        history = self.histories[courier]
+        history.suspensions.append((at, at + ms + REACTION_MS))
+        history.excused.append((at, at + ms + 500.0))
 
     def _disk(self, at, courier, ms):
-        self.lives[courier].excused.append((at, at + ms + 1000.0))
+        self.histories[courier].excused.append((at, at + ms + 1000.0))
 
     def _agents_gone(self, at, ms):
-        for life in self.lives.values():
-            life.excused.append((at, at + ms + 3000.0))
+        for history in self.histories.values():
+            history.excused.append((at, at + ms + 3000.0))
 
-    def _operator(self, at, courier, path, asked, status, body):
-        self.operators.append((at, courier, path, asked, status, body))
+    def _operator(self, at, courier, path, asked_at, status, body):
+        self.admin_calls.append((at, courier, path, asked_at, status, body))
 
     def _emptied(self, at, courier, held):
         if held:
             self.add(SERVICE, at, courier, f"clients hold {held} connections 4 s after it was to be empty")
 
-    def _fault(self, at, courier, why):
-        self.add(SOUND, at, courier, why)
+    def _fault(self, at, courier, reason):
+        self.add(SOUND, at, courier, reason)
 
-    def _trouble(self, at, kind, whom, ms):
-        if kind in OUT and whom.startswith("destination"):
-            self.spans[int(whom.split()[1])].append((at, at + ms))
+    def _trouble(self, at, kind, target, ms):
+        if kind in OUTAGE_KINDS and target.startswith("destination"):
+            self.outages[int(target.split()[1])].append((at, at + ms))
         if kind == "net-slow":
-            for life in self.lives.values():
-                life.excused.append((at, at + ms + 1000.0))
+            for history in self.histories.values():
+                history.excused.append((at, at + ms + 1000.0))
 
-    def _excuses(self):
+    def _excuse_stopped_couriers(self):
         """A courier that is down owes nothing until it is back; one that never came back owes nothing
         more.
         """
-        for life in self.lives.values():
-            if len(life.ends) >= len(life.starts) and life.ends and life.ends[-1] < self.ended - 1.0:
-                life.excused.append((life.ends[-1], INFINITE))
+        for history in self.histories.values():
+            if (
+                len(history.ends) >= len(history.starts)
+                and history.ends
+                and history.ends[-1] < self.end_time - 1.0
+            ):
+                history.excused.append((history.ends[-1], INFINITE))
 
     # Judging.
 
     def _judge(self):
-        for ident, hand in self.hands.items():
-            self._one(ident, hand)
+        for ident, submission in self.submissions.items():
+            self._judge_text(ident, submission)
         for ident in self.notices:
-            if ident not in self.hands:
+            if ident not in self.submissions:
                 self.add(
                     ANSWER, self.notices[ident][0][0], ident, "a notice for a text that nobody handed in"
                 )
-        way = 50.0 + 4.0 * self.scenario.net.latency_ms[1]  # its end may have been on its way to the client
+        in_transit = (
+            50.0 + 4.0 * self.scenario.net.latency_ms[1]
+        )  # its end may have been on its way to the client
         for at, ident, courier in self.cuts:
-            life = self.lives[courier]
-            if not life.ended_between(self.hands[ident][0] - way, at + 5.0):
+            history = self.histories[courier]
+            if not history.ended_between(self.submissions[ident][0] - in_transit, at + 5.0):
                 self.add(ANSWER, at, ident, f"{courier} ended the client's connection with no answer")
-        self._drains()
-        self._service()
-        self._waits()
-        self._order()
-
-    def _one(self, ident, hand):
-        _, _, courier, _, product, _, _, _, until = hand
-        life, kind, calls = self.lives[courier], self.products[product], self.of.get(ident, ())
+        self._judge_drains()
+        self._judge_admin()
+        self._judge_waits()
+        self._judge_order()
+
+    def _judge_text(self, ident, submission):
+        _, _, courier, _, product, _, _, _, until = submission
+        history, product_spec, calls = (
+            self.histories[courier],
+            self.products[product],
+            self.calls_by_text.get(ident, ()),
+        )
         # a courier cannot know how long a request was on its way, nor, stopped, how long it lay unread
-        until += life.later(hand[0]) - hand[0] + self.scenario.net.latency_ms[1]
+        until += history.resumed_at(submission[0]) - submission[0] + self.scenario.net.latency_ms[1]
         answered, status = self.answers.get(ident, (0.0, 0))
-        done = min((call.over for call in calls if call.delivered(ident)), default=INFINITE)
+        delivered_at = min((call.ended_at for call in calls if call.delivered(ident)), default=INFINITE)
         notices = self.notices.get(ident, ())
-        first = notices[0][0] if notices else INFINITE
-        lost = any(at >= hand[0] for at in life.lost)
-        if status == 202 and not lost:
-            end, due = (
-                min(done, first),
-                life.due(until) + self.scenario.net.latency_ms[1],
+        first_notice_at = notices[0][0] if notices else INFINITE
+        machine_lost = any(at >= submission[0] for at in history.machine_losses)
+        if status == 202 and not machine_lost:
+            final_at, due = (
+                min(delivered_at, first_notice_at),
+                history.answer_due(until) + self.scenario.net.latency_ms[1],
             )  # a notice travels too
-            if end > due and due < self.ended:
-                late = f"its final answer came {end - due:.0f} ms late" if end < INFINITE else "it was lost"
+            if final_at > due and due < self.end_time:
+                late = (
+                    f"its final answer came {final_at - due:.0f} ms late"
+                    if final_at < INFINITE
+                    else "it was lost"
+                )
                 self.add(ANSWER, due, ident, f"taken on by {courier} at {answered:.1f}; {late}")
         if len({notice[2] for notice in notices}) > 1:
             self.add(
-                ANSWER, first, ident, "two different notices: " + ", ".join(notice[2] for notice in notices)
+                ANSWER,
+                first_notice_at,
+                ident,
+                "two different notices: " + ", ".join(notice[2] for notice in notices),
             )
-        heard = min((call.heard for call in calls if call.delivered(ident)), default=INFINITE)
+        delivery_read_at = min(
+            (call.answer_read_at for call in calls if call.delivered(ident)), default=INFINITE
+        )
         # of texts that share a call, the time of one may be up before the answer comes for all
-        alone = any(call.heard == heard and len(call.texts) == 1 for call in calls)
+        alone = any(call.answer_read_at == delivery_read_at and len(call.texts) == 1 for call in calls)
         if (
-            heard < first < INFINITE
-            and (alone or heard < until - GRACE)
-            and not self._slipped(life, heard, first)
+            delivery_read_at < first_notice_at < INFINITE
+            and (alone or delivery_read_at < until - REACTION_MS)
+            and not self._may_be_lost(history, delivery_read_at, first_notice_at)
         ):
-            self.add(ANSWER, first, ident, f"a notice though its delivery was heard at {heard:.1f}")
+            self.add(
+                ANSWER,
+                first_notice_at,
+                ident,
+                f"a notice though its delivery was heard at {delivery_read_at:.1f}",
+            )
         may_run = [call for call in calls if not call.refused(ident)]
         if (
             notices
             and notices[0][2] == "bounced"
             and may_run
-            and may_run[0].at < first
-            and (kind.repeat == "once-only" or kind.repeat == "referenced" and kind.memory_by_zone)
+            and may_run[0].at < first_notice_at
+            and (
+                product_spec.repeat == "once-only"
+                or product_spec.repeat == "referenced"
+                and product_spec.memory_by_zone
+            )
         ):
             self.add(
                 EFFECT,
-                first,
+                first_notice_at,
                 ident,
                 f"its notice says that it did no harm; it may have run at {may_run[0].at:.1f}",
             )
         for earlier, later in pairwise(calls):
-            if later.begun < earlier.over and later.courier == earlier.courier:
+            if later.started_at < earlier.ended_at and later.courier == earlier.courier:
                 self.add(
                     EFFECT,
-                    later.begun,
+                    later.started_at,
                     ident,
-                    f"sent while an earlier call, begun at {earlier.begun:.1f}, is out",
+                    f"sent while an earlier call, begun at {earlier.started_at:.1f}, is out",
                 )
         for call in calls:
-            if call.begun > first + GRACE and not self._slipped(life, first, call.begun):
-                self.add(EFFECT, call.begun, ident, f"sent after its final answer at {first:.1f}")
-            if call.begun > heard + GRACE and not self._slipped(life, heard, call.begun):
-                self.add(EFFECT, call.begun, ident, f"sent after its delivery was heard at {heard:.1f}")
-            if call.begun > until + GRACE and life.later(until) + GRACE < call.begun:
-                self.add(ANSWER, call.begun, ident, f"sent {call.begun - until:.0f} ms after its time was up")
+            if call.started_at > first_notice_at + REACTION_MS and not self._may_be_lost(
+                history, first_notice_at, call.started_at
+            ):
+                self.add(
+                    EFFECT, call.started_at, ident, f"sent after its final answer at {first_notice_at:.1f}"
+                )
+            if call.started_at > delivery_read_at + REACTION_MS and not self._may_be_lost(
+                history, delivery_read_at, call.started_at
+            ):
+                self.add(
+                    EFFECT,
+                    call.started_at,
+                    ident,
+                    f"sent after its delivery was heard at {delivery_read_at:.1f}",
+                )
+            if (
+                call.started_at > until + REACTION_MS
+                and history.resumed_at(until) + REACTION_MS < call.started_at
+            ):
+                self.add(
+                    ANSWER,
+                    call.started_at,
+                    ident,
+                    f"sent {call.started_at - until:.0f} ms after its time was up",
+                )
         if may_run:
-            self._permitted(
-                ident, kind, may_run[0], [call for call in calls if call.begun > may_run[0].begun]
+            self._judge_repeats(
+                ident,
+                product_spec,
+                may_run[0],
+                [call for call in calls if call.started_at > may_run[0].started_at],
             )
 
-    def _permitted(self, ident, kind, ran, later):
-        for call in later:
-            if kind.repeat == "once-only":
+    def _judge_repeats(self, ident, product_spec, first_run, later_calls):
+        for call in later_calls:
+            if product_spec.repeat == "once-only":
                 self.add(
                     EFFECT,
-                    call.begun,
+                    call.started_at,
                     ident,
-                    f"once-only, sent again after a call at {ran.at:.1f} that may have run",
+                    f"once-only, sent again after a call at {first_run.at:.1f} that may have run",
                 )
-            elif kind.repeat == "referenced":
-                if call.begun > ran.at + kind.memory_s * 1000.0:
+            elif product_spec.repeat == "referenced":
+                if call.started_at > first_run.at + product_spec.memory_s * 1000.0:
                     self.add(
                         EFFECT,
-                        call.begun,
+                        call.started_at,
                         ident,
-                        f"sent again {call.begun - ran.at:.0f} ms after it may have run: "
+                        f"sent again {call.started_at - first_run.at:.0f} ms after it may have run: "
                         "the reference is forgotten",
                     )
-                if kind.memory_by_zone and call.zone != ran.zone:
+                if product_spec.memory_by_zone and call.zone != first_run.zone:
                     self.add(
                         EFFECT,
-                        call.begun,
+                        call.started_at,
                         ident,
-                        f"sent again in zone {call.zone}; it may have run in {ran.zone}",
+                        f"sent again in zone {call.zone}; it may have run in {first_run.zone}",
                     )
 
-    def _slipped(self, life, known, later):
+    def _may_be_lost(self, history, known, later):
         """Whether what was heard may be gone: its process ended before it could be kept."""
-        return life.ended_between(known, min(later, life.due(known)))
+        return history.ended_between(known, min(later, history.answer_due(known)))
 
-    def _drains(self):
+    def _judge_drains(self):
         drain = self.scenario.rules.drain_ms
-        off = defaultdict(dict)  # of each courier: endpoint and when it was told
-        events = [(at, 1, courier, full, on, gone) for at, courier, full, on, gone in self.told]
+        leaving_since = defaultdict(dict)  # of each courier: endpoint and when it was told
+        events = [(at, 1, courier, full, on, off) for at, courier, full, on, off in self.list_updates]
         events += [
-            (at, 0, courier, None, None, None) for courier, life in self.lives.items() for at in life.starts
+            (at, 0, courier, None, None, None)
+            for courier, history in self.histories.items()
+            for at in history.starts
         ]
-        events += [(call.begun, 2, call.courier, call, None, None) for call in self.calls.values()]
+        events += [(call.started_at, 2, call.courier, call, None, None) for call in self.calls.values()]
         known = defaultdict(set)
-        for at, what, courier, full, on, gone in sorted(events, key=lambda event: event[:3]):
+        for at, event_kind, courier, full, on, off in sorted(events, key=lambda event: event[:3]):
             if (
-                what == 0 and self.scenario.platform.told == "had"
+                event_kind == 0 and self.scenario.platform.told == "had"
             ):  # its agent had it before: told from the first moment
-                off[courier] = dict.fromkeys(off[courier], at)
-            elif what == 0:
-                off[courier].clear()
-            elif what == 1:
+                leaving_since[courier] = dict.fromkeys(leaving_since[courier], at)
+            elif event_kind == 0:
+                leaving_since[courier].clear()
+            elif event_kind == 1:
                 if full:
-                    gone = [*gone, *known[courier].difference(on)]
+                    off = [*off, *known[courier].difference(on)]
                 known[courier].update(on)
                 for endpoint in on:
-                    off[courier].pop(endpoint, None)
-                for endpoint in gone:
-                    off[courier].setdefault(endpoint, at)
-            elif full.endpoint in off[courier]:
-                told = off[courier][full.endpoint]
-                if at > self.lives[courier].later(told) + drain + GRACE:
+                    leaving_since[courier].pop(endpoint, None)
+                for endpoint in off:
+                    leaving_since[courier].setdefault(endpoint, at)
+            elif full.endpoint in leaving_since[courier]:
+                announced_at = leaving_since[courier][full.endpoint]
+                if at > self.histories[courier].resumed_at(announced_at) + drain + REACTION_MS:
                     self.add(
                         DRAIN,
                         at,
                         courier,
-                        f"a call to {full.endpoint} begun {at - told:.0f} ms after its drain was told",
+                        f"a call to {full.endpoint} begun {at - announced_at:.0f} ms after its drain was told",
                     )
 
-    def _service(self):
+    def _judge_admin(self):
         """Operators' calls, and the figures against what passed between the parties: 1% (2% of messages
         written) or 3 may be off, and half a second late. What ended for a client that had left may stand
         under any count, and a notice travels: it may be owed by the process before.
         """
-        seen = self._counted() if self.operators else {}
-        for at, courier, path, asked, status, body in self.operators:
-            life = self.lives[courier]
+        expected = self._expected_counts() if self.admin_calls else {}
+        for at, courier, path, asked_at, status, body in self.admin_calls:
+            history = self.histories[courier]
             if (
-                life.ended_between(asked - OVERDUE, at)
-                or life.later(asked) != asked
-                or not life.starts
-                or asked < life.starts[0] + READY
+                history.ended_between(asked_at - ANSWER_TOLERANCE_MS, at)
+                or history.resumed_at(asked_at) != asked_at
+                or not history.starts
+                or asked_at < history.starts[0] + RESTART_TOLERANCE_MS
             ):
                 continue
-            if not any(start + READY <= asked for start in life.starts[-1:]) and asked > life.starts[-1]:
+            if (
+                not any(start + RESTART_TOLERANCE_MS <= asked_at for start in history.starts[-1:])
+                and asked_at > history.starts[-1]
+            ):
                 continue  # it is still starting
-            if status != 200 or at - asked > 1000.0:
-                self.add(SERVICE, asked, courier, f"{path} is answered {status} after {at - asked:.0f} ms")
+            if status != 200 or at - asked_at > 1000.0:
+                self.add(
+                    SERVICE, asked_at, courier, f"{path} is answered {status} after {at - asked_at:.0f} ms"
+                )
             elif path == "stats":
-                begun = max(start for start in life.starts if start <= asked)
-                for name, why in self._untrue(json.loads(body), begun, at, seen.get(courier, {})):
-                    self.add(SERVICE, at, courier, f"{name}: {why}")
+                process_start = max(start for start in history.starts if start <= asked_at)
+                for name, reason in self._wrong_figures(
+                    json.loads(body), process_start, at, expected.get(courier, {})
+                ):
+                    self.add(SERVICE, at, courier, f"{name}: {reason}")
 
-    def _counted(self):
+    def _expected_counts(self):
         """By courier and count: (when it happened at the earliest and latest, what), as the parties saw
         it.
         """
-        seen = defaultdict(lambda: defaultdict(list))
+        events = defaultdict(lambda: defaultdict(list))
         for ident, (at, status) in self.answers.items():
             name = "declined" if status in (429, 503) else "aborted" if status == 404 else None
             if name:
-                seen[self.hands[ident][2]][name].append((at, at))
+                events[self.submissions[ident][2]][name].append((at, at))
         for ident, notices in self.notices.items():
             at, courier, verdict, _ = notices[0]
-            if ident in self.hands:
-                seen[courier]["declined" if verdict == "bounced" else "aborted"].append((at - 3000.0, at))
-        for ident, calls in self.of.items():
-            known = min(
-                ((call.heard, call.courier) for call in calls if call.delivered(ident)),
+            if ident in self.submissions:
+                events[courier]["declined" if verdict == "bounced" else "aborted"].append((at - 3000.0, at))
+        for ident, calls in self.calls_by_text.items():
+            first_read = min(
+                ((call.answer_read_at, call.courier) for call in calls if call.delivered(ident)),
                 default=(INFINITE, ""),
             )
-            if known[0] < INFINITE and ident not in self.notices:
-                seen[known[1]]["succeeded"].append((known[0], known[0]))
+            if first_read[0] < INFINITE and ident not in self.notices:
+                events[first_read[1]]["succeeded"].append((first_read[0], first_read[0]))
         for call in self.calls.values():
-            seen[call.courier]["forwards"] += [(call.begun, call.at)] * len(call.texts)
-        for ident in self.silent:
-            if ident in self.hands:
-                seen[self.hands[ident][2]]["any"].append((self.hands[ident][0], INFINITE))
-        return seen
+            events[call.courier]["forwards"] += [(call.started_at, call.at)] * len(call.texts)
+        for ident in self.unanswered:
+            if ident in self.submissions:
+                events[self.submissions[ident][2]]["any"].append((self.submissions[ident][0], INFINITE))
+        return events
 
-    def _untrue(self, told, begun, at, seen):
+    def _wrong_figures(self, figures, process_start, at, events):
         """(count, sentence) for each that cannot be so."""
-        loose = sum(begun - 30000.0 <= early <= at for early, _ in seen.get("any", ()))
+        uncertain = sum(process_start - 30000.0 <= early <= at for early, _ in events.get("any", ()))
         for name in ("succeeded", "declined", "aborted", "forwards"):
-            value = told[name] if name == "forwards" else sum(told[name].values())
-            least = sum(early >= begun and late <= at - 500.0 for early, late in seen.get(name, ()))
-            most = sum(late >= begun and early <= at + 60.0 for early, late in seen.get(name, ()))
+            value = figures[name] if name == "forwards" else sum(figures[name].values())
+            least = sum(early >= process_start and late <= at - 500.0 for early, late in events.get(name, ()))
+            most = sum(late >= process_start and early <= at + 60.0 for early, late in events.get(name, ()))
             # a shared call may be written whole to a partner that is just gone, and is then seen by nobody
             shared = max(partner.bundle for partner in self.scenario.partner) if name == "forwards" else 0
             slack = max(3.0, shared, (0.02 if name == "forwards" else 0.01) * most)
-            if not least - slack - loose <= value <= most + slack + loose:
+            if not least - slack - uncertain <= value <= most + slack + uncertain:
                 yield (
                     name,
-                    f"told {value}, where from {least} to {most} were seen and {loose} clients had left",
+                    f"told {value}, where from {least} to {most} were seen and {uncertain} clients had left",
                 )
 
-    def _waits(self):
-        apart = {number: partner.apart for number, partner, _ in self.scenario.destinations()}
-        sent = defaultdict(list)
+    def _judge_waits(self):
+        limit_per_endpoint = {number: partner.apart for number, partner, _ in self.scenario.destinations()}
+        calls_by_route = defaultdict(list)
         for call in self.calls.values():
-            sent[call.courier, call.dest, call.endpoint if apart[call.dest] else None].append(call)
-        for calls in sent.values():
-            calls.sort(key=lambda call: call.begun)
-            begun = [call.begun for call in calls]
-            for told in calls:
-                if told.wait <= 0.0 or told.heard == INFINITE:
+            calls_by_route[
+                call.courier, call.dest, call.endpoint if limit_per_endpoint[call.dest] else None
+            ].append(call)
+        for calls in calls_by_route.values():
+            calls.sort(key=lambda call: call.started_at)
+            starts = [call.started_at for call in calls]
+            for refusal in calls:
+                if refusal.wait_ms <= 0.0 or refusal.answer_read_at == INFINITE:
                     continue
-                life = self.lives[told.courier]
-                knew, end = life.later(told.heard) + GRACE, told.over + told.wait
-                for call in calls[bisect_right(begun, knew) :]:
-                    if call.begun >= end:
+                history = self.histories[refusal.courier]
+                known_from, wait_end = (
+                    history.resumed_at(refusal.answer_read_at) + REACTION_MS,
+                    refusal.ended_at + refusal.wait_ms,
+                )
+                for call in calls[bisect_right(starts, known_from) :]:
+                    if call.started_at >= wait_end:
                         break
-                    if not life.ended_between(told.heard, call.begun):
+                    if not history.ended_between(refusal.answer_read_at, call.started_at):
                         self.add(
                             WAIT,
-                            call.begun,
+                            call.started_at,
                             call.courier,
                             f"a call to destination {call.dest}, told at "
-                            f"{told.heard:.1f} to wait until {end:.1f}",
+                            f"{refusal.answer_read_at:.1f} to wait until {wait_end:.1f}",
                         )
                         break
 
-    def _order(self):
+    def _judge_order(self):
         settle = self.scenario.couriers.settle_ms
-        lines = defaultdict(list)
-        for ident, hand in self.hands.items():
+        queues = defaultdict(list)
+        for ident, submission in self.submissions.items():
             answered, status = self.answers.get(ident, (0.0, 0))
             if (
-                self.products[hand[4]].in_order
+                self.products[submission[4]].in_order
                 and status == 202
-                and ident not in self.silent
-                and self.of.get(ident)
+                and ident not in self.unanswered
+                and self.calls_by_text.get(ident)
             ):
-                lines[hand[2], hand[5]].append((answered, hand[0], ident))
-        for (courier, key), line in lines.items():
-            line.sort()
+                queues[submission[2], submission[5]].append((answered, submission[0], ident))
+        for (courier, key), queue in queues.items():
+            queue.sort()
             calls = sorted(
-                ((call, ident) for _, _, ident in line for call in self.of[ident]),
-                key=lambda pair: pair[0].begun,
+                ((call, ident) for _, _, ident in queue for call in self.calls_by_text[ident]),
+                key=lambda pair: pair[0].started_at,
             )
-            place = {ident: (answered, handed) for answered, handed, ident in line}
-            last, lost = {}, [at for at in self.lives[courier].lost]
+            accepted_at = {ident: (answered, submitted_at) for answered, submitted_at, ident in queue}
+            latest_calls, machine_losses = {}, [at for at in self.histories[courier].machine_losses]
             for call, ident in calls:
-                for other, before in last.items():
+                for other, previous in latest_calls.items():
                     if (
-                        other == ident or place[ident][0] >= place[other][1]
+                        other == ident or accepted_at[ident][0] >= accepted_at[other][1]
                     ):  # not surely the earlier one of the two
                         continue
-                    if any(before.begun <= at <= call.begun for at in lost):
+                    if any(previous.started_at <= at <= call.started_at for at in machine_losses):
                         continue
                     self.add(
-                        ORDER, call.begun, ident, f"key {key}: sent after {other}, which was handed in later"
+                        ORDER,
+                        call.started_at,
+                        ident,
+                        f"key {key}: sent after {other}, which was handed in later",
                     )
-                for other, before in last.items():
-                    if other != ident and call.begun < before.over:
-                        self.add(ORDER, call.begun, ident, f"key {key}: sent while {other} is out")
+                for other, previous in latest_calls.items():
+                    if other != ident and call.started_at < previous.ended_at:
+                        self.add(ORDER, call.started_at, ident, f"key {key}: sent while {other} is out")
                     elif (
                         other != ident
-                        and before.status <= 0
-                        and before.heard == INFINITE
-                        and (call.begun < before.over + settle - 2.0 * GRACE)
+                        and previous.status <= 0
+                        and previous.answer_read_at == INFINITE
+                        and (call.started_at < previous.ended_at + settle - 2.0 * REACTION_MS)
                     ):
                         self.add(
                             ORDER,
-                            call.begun,
+                            call.started_at,
                             ident,
-                            f"key {key}: sent {call.begun - before.over:.0f} ms after the "
+                            f"key {key}: sent {call.started_at - previous.ended_at:.0f} ms after the "
                             f"call of {other} broke",
                         )
-                last[ident] = call
-                if len(last) > 12:
-                    last.pop(next(iter(last)))
+                latest_calls[ident] = call
+                if len(latest_calls) > 12:
+                    latest_calls.pop(next(iter(latest_calls)))
 
     # What was earned.
 
-    def earned(self, product, late):
+    def revenue_of(self, product, latency_ms):
         """Of one text that was delivered so long after it was due."""
-        kind = self.products[product]
-        sla, validity = kind.sla_s * 1000.0, kind.validity_s * 1000.0
-        if late >= validity:
+        product_spec = self.products[product]
+        sla, validity = product_spec.sla_s * 1000.0, product_spec.validity_s * 1000.0
+        if latency_ms >= validity:
             return 0.0
-        if late <= sla:
-            return kind.revenue
-        return kind.revenue * (1.0 - (1.0 - kind.late_revenue) * (late - sla) / (validity - sla))
+        if latency_ms <= sla:
+            return product_spec.revenue
+        return product_spec.revenue * (
+            1.0 - (1.0 - product_spec.late_revenue) * (latency_ms - sla) / (validity - sla)
+        )
 
-    def best(self):
+    def best_revenue(self):
         """What a sender that sees everything could have had: at each partner's full pace while it is up,
         each turn goes to the text that earns most just then. Greedy: no bound in the strict sense, and not
         far from one.
         """
-        total, lines = 0.0, defaultdict(list)
-        pace = {
+        total, queues = 0.0, defaultdict(list)
+        calls_per_ms = {
             number: partner.bundle
             * min(partner.endpoints * partner.workers * 1000.0 / partner.work_ms, partner.limit or INFINITE)
             / 1000.0
             for number, partner, _ in self.scenario.destinations()
         }
-        works = {
+        work_ms = {
             number: partner.work_ms + partner.first_ms for number, partner, _ in self.scenario.destinations()
         }
         for text in self.simulation.texts:
-            lines[text["dest"]].append(text)
-        for dest, line in lines.items():
-            line, waiting, at, spans = deque(line), [], 0.0, sorted(self.spans.get(dest, ()))
-            while line or waiting:
-                at = max(at, line[0]["due"]) if not waiting else at
-                for begun, until in spans:
-                    at = until if begun <= at < until else at
-                while line and line[0]["due"] <= at:
-                    waiting.append(line.popleft())
-                worth = [self.earned(text["product"], at + works[dest] - text["due"]) for text in waiting]
-                waiting = [text for text, value in zip(waiting, worth, strict=True) if value > 0.0]
+            queues[text["dest"]].append(text)
+        for dest, queue in queues.items():
+            queue, waiting, at, outages = deque(queue), [], 0.0, sorted(self.outages.get(dest, ()))
+            while queue or waiting:
+                at = max(at, queue[0]["due"]) if not waiting else at
+                for begin, until in outages:
+                    at = until if begin <= at < until else at
+                while queue and queue[0]["due"] <= at:
+                    waiting.append(queue.popleft())
+                values = [
+                    self.revenue_of(text["product"], at + work_ms[dest] - text["due"]) for text in waiting
+                ]
+                waiting = [text for text, value in zip(waiting, values, strict=True) if value > 0.0]
                 if waiting:
-                    most = max(worth)
-                    total += most
+                    highest = max(values)
+                    total += highest
                     waiting.remove(
                         next(
                             t
                             for t in waiting
-                            if self.earned(t["product"], at + works[dest] - t["due"]) == most
+                            if self.revenue_of(t["product"], at + work_ms[dest] - t["due"]) == highest
                         )
                     )
-                    at += 1.0 / pace[dest]
+                    at += 1.0 / calls_per_ms[dest]
         return total
 
     def figures(self):
         """Counts and shares of the run."""
-        done, by_dest, seen = (
+        delivered_at, by_dest, texts = (
             {},
             defaultdict(lambda: [0, 0]),
             {text["number"]: text for text in self.simulation.texts},
         )
-        for ident, calls in self.of.items():
-            hand = self.hands.get(ident)
-            at = min((call.over for call in calls if call.delivered(ident)), default=INFINITE)
-            if hand and at < INFINITE:
-                done[hand[1]] = min(at, done.get(hand[1], INFINITE))
+        for ident, calls in self.calls_by_text.items():
+            submission = self.submissions.get(ident)
+            at = min((call.ended_at for call in calls if call.delivered(ident)), default=INFINITE)
+            if submission and at < INFINITE:
+                delivered_at[submission[1]] = min(at, delivered_at.get(submission[1], INFINITE))
         total = earned = in_sla = 0.0
-        lates = []
-        for number, text in seen.items():
-            kind = self.products[text["product"]]
-            total += kind.revenue
+        latencies = []
+        for number, text in texts.items():
+            product_spec = self.products[text["product"]]
+            total += product_spec.revenue
             by_dest[text["dest"]][0] += 1
-            if number in done:
-                late = done[number] - text["due"]
-                lates.append(late)
-                earned += self.earned(text["product"], late)
-                in_sla += late <= kind.sla_s * 1000.0
+            if number in delivered_at:
+                latency_ms = delivered_at[number] - text["due"]
+                latencies.append(latency_ms)
+                earned += self.revenue_of(text["product"], latency_ms)
+                in_sla += latency_ms <= product_spec.sla_s * 1000.0
                 by_dest[text["dest"]][1] += 1
-        lates.sort()
-        count = max(1, len(seen))
-        shares = [got / asked for asked, got in by_dest.values() if asked]
-        best = self.best()
+        latencies.sort()
+        count = max(1, len(texts))
+        shares = [delivered / submitted for submitted, delivered in by_dest.values() if submitted]
+        best = self.best_revenue()
         return dict(
-            texts=len(seen),
-            handed=len(self.hands),
+            texts=len(texts),
+            handed=len(self.submissions),
             taken=sum(status == 202 for _, status in self.answers.values()),
-            delivered=len(done),
+            delivered=len(delivered_at),
             revenue=round(earned / total, 4) if total else 0.0,
             of_best=round(earned / best, 4) if best else 1.0,
             in_sla=round(in_sla / count, 4),
-            p50_ms=round(lates[len(lates) // 2], 1) if lates else 0.0,
-            p99_ms=round(lates[int(len(lates) * 0.99)], 1) if lates else 0.0,
+            p50_ms=round(latencies[len(latencies) // 2], 1) if latencies else 0.0,
+            p99_ms=round(latencies[int(len(latencies) * 0.99)], 1) if latencies else 0.0,
             calls=len(self.calls),
             refused=self.refusals,
-            waste=sum(times - 1 for times in self.ran.values() if times > 1),
+            waste=sum(times - 1 for times in self.run_counts.values() if times > 1),
             fairness=round(sum(shares) ** 2 / (len(shares) * sum(s * s for s in shares)), 4)
             if any(shares)
             else 0.0,
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -12,12 +12,12 @@
 from calicopin.emulator import faults, list_faults  # noqa: F401  the latter adds its faults to the others
 from calicopin.emulator.day import Simulation
 from calicopin.emulator.list_referee import judge
-from calicopin.emulator.nodes import given_up_after
+from calicopin.emulator.nodes import unsubscribe_after
 from calicopin.emulator.referee import Referee
 from calicopin.emulator.scenario import load
 from calicopin.lifecycle.start import serve
 
-CPU_MOST = 300  # seconds of CPU for one run: beyond that a loop that asks for nothing never ends
+MAX_RUN_CPU_S = 300  # seconds of CPU for one run: beyond that a loop that asks for nothing never ends
 
 
 @dataclass(slots=True)
@@ -36,47 +36,47 @@
     starts: int = 0  # of the first courier's processes
 
 
-class Endless(BaseException):
+class CpuLimitExceeded(BaseException):
     """A loop without a single system call."""
 
 
-def guarded(play):
+def with_cpu_limit(play):
     """Calls `play` under a limit of CPU time, where signals can be had."""
 
-    def late(*_):
-        raise Endless
+    def on_alarm(*_):
+        raise CpuLimitExceeded
 
     try:
-        before = signal.signal(signal.SIGVTALRM, late)
+        original = signal.signal(signal.SIGVTALRM, on_alarm)
     except ValueError:  # not in the main thread
         return play()
-    signal.setitimer(signal.ITIMER_VIRTUAL, CPU_MOST)
+    signal.setitimer(signal.ITIMER_VIRTUAL, MAX_RUN_CPU_S)
     try:
         return play()
     finally:
         signal.setitimer(signal.ITIMER_VIRTUAL, 0)
-        signal.signal(signal.SIGVTALRM, before)
+        signal.signal(signal.SIGVTALRM, original)
 
 
 def play(scenario, seed, fault=None, troubles=None, texts=None, kills=()):
     """One run: (the day, its referee, the CPU it took)."""
-    began = time.process_time()
-    with faults.put_in(fault), given_up_after(scenario.nodes.given_up_s):
+    started = time.process_time()
+    with faults.put_in(fault), unsubscribe_after(scenario.nodes.given_up_s):
         simulation = Simulation(scenario, seed, serve, troubles, texts, kills)
         try:
-            guarded(simulation.play)
-        except Endless:
+            with_cpu_limit(simulation.play)
+        except CpuLimitExceeded:
             simulation.world.record(
-                "end", "a courier", "busy", f"{CPU_MOST} s of CPU at one moment, without a system call"
+                "end", "a courier", "busy", f"{MAX_RUN_CPU_S} s of CPU at one moment, without a system call"
             )
-    return simulation, judge(simulation, Referee(simulation)), time.process_time() - began
+    return simulation, judge(simulation, Referee(simulation)), time.process_time() - started
 
 
-def once(job):
+def run_job(job):
     """One run as a process of the pool plays it."""
-    word, seed, fault, kills = job
+    name_or_path, seed, fault, kills = job
     logger.remove()
-    scenario = load(word)
+    scenario = load(name_or_path)
     simulation, referee, cpu = play(scenario, seed, fault, kills=kills)
     return Result(
         scenario.name,
@@ -92,22 +92,22 @@
     )
 
 
-def many(jobs, processes, told=lambda result: None):
+def run_jobs(jobs, processes, on_result=lambda result: None):
     """Results as they come; `jobs` are (scenario, seed, fault, kills)."""
     if processes == 1:
         for job in jobs:
-            told(once(job))
+            on_result(run_job(job))
         return
-    with multiprocessing.get_context("spawn").Pool(processes, _quiet) as pool:
-        for result in pool.imap_unordered(once, jobs):
-            told(result)
+    with multiprocessing.get_context("spawn").Pool(processes, _ignore_interrupt) as pool:
+        for result in pool.imap_unordered(run_job, jobs):
+            on_result(result)
 
 
-def _quiet():
+def _ignore_interrupt():
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
-def shrink(scenario, seed, fault=None, told=lambda line: None, most=200):
+def shrink(scenario, seed, fault=None, on_progress=lambda line: None, max_runs=200):
     """The smallest run found in which the same rule breaks: (troubles, texts, the break).
 
     First troubles are left out, then texts, in ever smaller parts; `most` runs are played."""
@@ -115,40 +115,40 @@
     if not referee.breaks:
         return None
     rule = referee.breaks[0].rule
-    troubles, texts, found, left = (
+    troubles, texts, found, runs_left = (
         list(simulation.troubles),
         list(simulation.texts),
         referee.breaks[0],
-        [most],
+        [max_runs],
     )
 
     def breaks(some_troubles, some_texts):
         nonlocal found
-        if left[0] <= 0:
+        if runs_left[0] <= 0:
             return False
-        left[0] -= 1
+        runs_left[0] -= 1
         _, judged, _ = play(scenario, seed, fault, some_troubles, some_texts)
         same = [one for one in judged.breaks if one.rule == rule]
         if same:
             found = same[0]
         return bool(same)
 
-    def smaller(whole, still):
-        size = max(1, len(whole) // 2)
-        while whole and left[0] > 0:
-            at, any_left_out = 0, False
-            while at < len(whole):
-                rest = whole[:at] + whole[at + size :]
-                if still(rest):
-                    whole, any_left_out = rest, True
+    def reduce(items, still_breaks):
+        size = max(1, len(items) // 2)
+        while items and runs_left[0] > 0:
+            start, any_left_out = 0, False
+            while start < len(items):
+                rest = items[:start] + items[start + size :]
+                if still_breaks(rest):
+                    items, any_left_out = rest, True
                 else:
-                    at += size
-            told(f"{len(whole)} left, parts of {size}, {left[0]} runs to go")
+                    start += size
+            on_progress(f"{len(items)} left, parts of {size}, {runs_left[0]} runs to go")
             if size == 1 and not any_left_out:
                 break
             size = max(1, size // 2)
-        return whole
+        return items
 
-    troubles = smaller(troubles, lambda some: breaks(some, texts))
-    texts = smaller(texts, lambda some: breaks(troubles, some))
+    troubles = reduce(troubles, lambda some: breaks(some, texts))
+    texts = reduce(texts, lambda some: breaks(troubles, some))
     return troubles, texts, found
--- a/calicopin/emulator/scenario.py
+++ b/calicopin/emulator/scenario.py
@@ -12,17 +12,17 @@
 import msgspec
 from msgspec import Meta, Struct
 
-FOLDER = Path(__file__).parent / "scenarios"
-MOST = 1 << 20  # bytes of a file
+SCENARIO_DIRECTORY = Path(__file__).parent / "scenarios"
+MAX_FILE_BYTES = 1 << 20  # bytes of a file
 
 Odds = Annotated[float, Meta(ge=0.0, le=1.0)]
-Whole = Annotated[int, Meta(ge=0)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1, le=10000)]
-Span = Annotated[float, Meta(ge=0.0, le=86400.0)]
+Duration = Annotated[float, Meta(ge=0.0, le=86400.0)]
 Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
-Word = Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,40}$")]
-Time = Annotated[float, Meta(ge=0.0, le=60000.0)]
-Two = tuple[Time, Time]  # the least and the most
+Name = Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,40}$")]
+Milliseconds = Annotated[float, Meta(ge=0.0, le=60000.0)]
+MillisecondRange = tuple[Milliseconds, Milliseconds]  # the least and the most
 
 PARTNER_TROUBLES = (
     "refuse",
@@ -73,7 +73,7 @@
     "courier-herd",
     "answers-lost",
 )  # only where there are discovery nodes
-SHARES = (
+TROUBLES_SIZED_AS_SHARE = (
     "errors",
     "lose",
     "spoil",
@@ -90,11 +90,11 @@
     """A scenario that cannot be used, with one line that names file and place."""
 
 
-class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class Table(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """A table of a scenario's file; a field that it does not know is a fault."""
 
 
-class Couriers(Strict):
+class Couriers(Table):
     """`front` deals clients out to any courier; without it each client sits beside one.
 
     `lists`: whether an agent beside each courier is sent the list of partners, or discovery is asked for it.
@@ -106,38 +106,38 @@
     tries: Annotated[int, Meta(ge=1, le=100)] = 8
     descriptors: Annotated[int, Meta(ge=40, le=100000)] = 400
     disk_mb: Annotated[float, Meta(ge=0.05, le=10000.0)] = 3.0
-    pass_ms: Span = 0.3
+    pass_ms: Duration = 0.3
     short: Odds = 0.0
     front: bool = False
     lists: Literal["pushed", "asked"] = "pushed"
     restart_ms: Positive = 700.0
     connect_ms: Positive = 1500.0
     idle_s: Positive = 10.0
-    advice_s: Span = 2.0
-    settle_ms: Span = 700.0
+    advice_s: Duration = 2.0
+    settle_ms: Duration = 700.0
     store: Literal["file", "segments"] = "file"
-    scrape_s: Span = 0.0  # how often operators read each courier's figures; 0: there is no admin address
-    holders: Whole = 0  # operators' connections with half a call, at any moment
+    scrape_s: Duration = 0.0  # how often operators read each courier's figures; 0: there is no admin address
+    holders: NonNegativeInt = 0  # operators' connections with half a call, at any moment
 
 
-class Rules(Strict):
+class Rules(Table):
     """The rule on returning destinations, and how long after a drain was told a call may still begin."""
 
     cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.2
     cold_s: Positive = 10.0
     multiple: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.5
     span_s: Positive = 3.0
-    drain_ms: Span = 500.0
+    drain_ms: Duration = 500.0
 
 
-class Product(Strict):
+class Product(Table):
     """A kind of text: whether it may be repeated, its times, what it earns and its share of the traffic."""
 
-    name: Word
+    name: Name
     repeat: Literal["resendable", "referenced", "once-only"]
     sla_s: Positive = 2.0
     validity_s: Positive = 20.0
-    memory_s: Span = 0.0
+    memory_s: Duration = 0.0
     memory_by_zone: bool = False
     revenue: Positive = 1.0
     late_revenue: Odds = 0.0
@@ -146,13 +146,13 @@
     share: Positive = 1.0
 
 
-class Partner(Strict):
+class Partner(Table):
     """`destinations` of one make, each with so many endpoints.
 
     `limit` is calls a second of all couriers (0: none).
     """
 
-    name: Word
+    name: Name
     destinations: Count = 1
     endpoints: Annotated[int, Meta(ge=1, le=1250)] = (
         2  # of each destination; bounded by the addresses that a day has for them
@@ -160,14 +160,14 @@
     share: Positive = 1.0
     work_ms: Positive = 200.0
     work_cv: Annotated[float, Meta(ge=0.0, le=5.0)] = 0.5
-    first_ms: Span = 0.0
+    first_ms: Duration = 0.0
     workers: Count = 8
-    queue: Whole = 16
-    limit: Span = 0.0
+    queue: NonNegativeInt = 16
+    limit: Duration = 0.0
     window_ms: Positive = 1000.0
     refused_count: bool = False
     tells_wait: Odds = 0.5
-    wait_ms: Two = (300.0, 900.0)
+    wait_ms: MillisecondRange = (300.0, 900.0)
     report: Literal["none", "fresh", "stale"] = "none"
     bundle: Count = 1
     item_cost: Odds = 0.2
@@ -175,67 +175,67 @@
     error: Odds = 0.0
     lose: Odds = 0.0
     zones: Annotated[int, Meta(ge=1, le=8)] = 1
-    handshake_ms: Span = 20.0
+    handshake_ms: Duration = 20.0
     idle_s: Positive = 10.0
 
 
-class Traffic(Strict):
+class Traffic(Table):
     """Texts a second over all couriers; `tail` is the exponent of the destinations' shares (0: even)."""
 
     texts: Positive = 40.0
     shape: Literal["poisson", "bursts", "ramp"] = "poisson"
     tail: Annotated[float, Meta(ge=0.0, le=3.0)] = 0.8
-    body: tuple[Whole, Whole] = (40, 400)
+    body: tuple[NonNegativeInt, NonNegativeInt] = (40, 400)
     again: Literal["fresh", "same", "never"] = "fresh"
-    agains: Whole = 3
+    agains: NonNegativeInt = 3
     honour: Odds = 0.7
     patience_ms: Positive = 400.0
     rude: Odds = 0.0
 
 
-class Net(Strict):
+class Net(Table):
     """The network: latency among couriers and to partners, bandwidth, odds that data comes in pieces."""
 
-    latency_ms: Two = (0.5, 3.0)
-    partner_ms: Two = (5.0, 25.0)
-    bandwidth_mb_s: Span = 0.0
+    latency_ms: MillisecondRange = (0.5, 3.0)
+    partner_ms: MillisecondRange = (5.0, 25.0)
+    bandwidth_mb_s: Duration = 0.0
     pieces: Odds = 0.0
 
 
-class Platform(Strict):
+class Platform(Table):
     """`late_ms`: how long a change takes to reach a courier; `stale`: odds that a start finds an old list;
     `told`: whether a change counts as told once it is written to the courier, or once its agent has it,
     watch or none, also before a start.
     """
 
-    late_ms: Two = (300.0, 1500.0)
+    late_ms: MillisecondRange = (300.0, 1500.0)
     stale: Odds = 0.0
     told: Literal["written", "had"] = "written"
 
 
-class Nodes(Strict):
+class Nodes(Table):
     """Discovery nodes; with some, couriers subscribe to the destinations that they use. `given_up_s`: how
     long after its last message a destination is given up (0: as the program has it)."""
 
     count: Annotated[int, Meta(ge=0, le=16)] = 0
     lease_s: Annotated[float, Meta(ge=5.0, le=3600.0)] = 30.0
     list_age_s: Positive = 86400.0
-    given_up_s: Span = 0.0
+    given_up_s: Duration = 0.0
 
 
-class Trouble(Strict):
+class Trouble(Table):
     """One fault: when it begins, how long it lasts, whom it meets (`partner:NAME`, `destination:N`,
     `courier:N` or any) and how hard.
     """
 
     kind: Literal[TROUBLES]
-    at_s: Span
-    for_s: Span = 0.0
+    at_s: Duration
+    for_s: Duration = 0.0
     whom: str = "any"
     size: Annotated[float, Meta(ge=-1000.0, le=1000.0)] = 1.0
 
 
-class Mixed(Strict):
+class Mixed(Table):
     """A day that the seed draws: so many troubles of these kinds."""
 
     troubles: Annotated[int, Meta(ge=1, le=100)] = 4
@@ -244,11 +244,11 @@
     )  # these need an admin address, or discovery nodes
 
 
-class Scenario(Strict, kw_only=True):
+class Scenario(Table, kw_only=True):
     """A scenario as its file tells it; the seed draws the rest."""
 
     version: Literal[1]
-    name: Word
+    name: Name
     about: str
     length_s: Annotated[float, Meta(gt=0.0, le=86400.0)] = 40.0
     couriers: Couriers = Couriers()
@@ -280,98 +280,104 @@
     return "node" if kind in NODE_TROUBLES else None
 
 
-def check(scenario, where):
+def check(scenario, source):
     """What the types cannot say; the first fault is raised."""
 
-    def fault(place, why):
-        raise ScenarioError(f"{where}: {place}: {why}")
+    def fail(place, reason):
+        raise ScenarioError(f"{source}: {place}: {reason}")
 
-    for many, what in ((scenario.product, "product"), (scenario.partner, "partner")):
-        names = [one.name for one in many]
-        for name in names:
-            if names.count(name) > 1:
-                fault(f"{what} {name!r}", "the name stands twice")
+    for tables, kind_name in ((scenario.product, "product"), (scenario.partner, "partner")):
+        table_names = [table.name for table in tables]
+        for name in table_names:
+            if table_names.count(name) > 1:
+                fail(f"{kind_name} {name!r}", "the name stands twice")
     for product in scenario.product:
         if product.sla_s > product.validity_s:
-            fault(f"product {product.name!r}: sla_s", "is longer than validity_s")
+            fail(f"product {product.name!r}: sla_s", "is longer than validity_s")
         if product.repeat == "referenced" and not product.memory_s:
-            fault(
+            fail(
                 f"product {product.name!r}: memory_s", "a referenced product needs how long partners remember"
             )
     for partner in scenario.partner:
         if partner.wait_ms[0] > partner.wait_ms[1]:
-            fault(f"partner {partner.name!r}: wait_ms", "the first is over the second")
+            fail(f"partner {partner.name!r}: wait_ms", "the first is over the second")
     if scenario.traffic.body[0] > scenario.traffic.body[1] or scenario.traffic.body[1] > 65536:
-        fault("traffic: body", "two sizes, the smaller one first, at most 65536")
+        fail("traffic: body", "two sizes, the smaller one first, at most 65536")
     count = sum(partner.destinations for partner in scenario.partner)
     for number, trouble in enumerate(scenario.trouble):
         place = f"trouble {number + 1} ({trouble.kind})"
         if trouble.at_s >= scenario.length_s:
-            fault(f"{place}: at_s", f"{trouble.at_s:g} lies behind the end of the run, {scenario.length_s:g}")
+            fail(f"{place}: at_s", f"{trouble.at_s:g} lies behind the end of the run, {scenario.length_s:g}")
         if trouble.size < 0.0 and trouble.kind != "clock":
-            fault(f"{place}: size", f"{trouble.size:g} is negative, which only a clock's step may be")
-        if trouble.kind in SHARES and trouble.size > 1.0:
-            fault(f"{place}: size", f"{trouble.size:g} is a share, so at most 1")
+            fail(f"{place}: size", f"{trouble.size:g} is negative, which only a clock's step may be")
+        if trouble.kind in TROUBLES_SIZED_AS_SHARE and trouble.size > 1.0:
+            fail(f"{place}: size", f"{trouble.size:g} is a share, so at most 1")
         if trouble.kind == "quiesce" and not scenario.couriers.scrape_s:
-            fault(f"{place}: kind", "couriers have an admin address only where couriers.scrape_s is told")
+            fail(f"{place}: kind", "couriers have an admin address only where couriers.scrape_s is told")
         kind, _, name = trouble.whom.partition(":")
         if trouble.kind in SUBSCRIPTION_TROUBLES and not scenario.nodes.count:
-            fault(f"{place}: kind", "there are discovery nodes only where nodes.count is told")
-        wants = party(trouble.kind)
+            fail(f"{place}: kind", "there are discovery nodes only where nodes.count is told")
+        expected = party(trouble.kind)
         if trouble.kind == "publish" and kind != "destination":
-            fault(f"{place}: whom", "a destination that comes is named by its number, destination:N")
+            fail(f"{place}: whom", "a destination that comes is named by its number, destination:N")
         if kind == "any" and not name:
             continue
         if kind == "partner" and name in [partner.name for partner in scenario.partner]:
-            given = "destination"
+            target = "destination"
         elif kind in ("destination", "courier", "node") and name.isdecimal():
-            given = kind
+            target = kind
             if (
                 int(name)
                 >= dict(destination=count, courier=scenario.couriers.count, node=scenario.nodes.count)[kind]
             ):
-                fault(f"{place}: whom", f"there is no {kind} {name}")
+                fail(f"{place}: whom", f"there is no {kind} {name}")
         else:
-            fault(
+            fail(
                 f"{place}: whom",
                 f"{trouble.whom!r} names no party: any, partner:NAME, destination:N, courier:N or node:N",
             )
-        if wants and given != wants:
-            fault(f"{place}: whom", f"{trouble.kind!r} meets a {wants}, not {trouble.whom!r}")
+        if expected and target != expected:
+            fail(f"{place}: whom", f"{trouble.kind!r} meets a {expected}, not {trouble.whom!r}")
     return scenario
 
 
-def parse(data, where):
+def parse(data, source):
     """A scenario from the bytes of its file; ScenarioError with one line otherwise."""
-    if len(data) > MOST:
-        raise ScenarioError(f"{where}: over {MOST} bytes: this is no scenario")
+    if len(data) > MAX_FILE_BYTES:
+        raise ScenarioError(f"{source}: over {MAX_FILE_BYTES} bytes: this is no scenario")
     try:
         text = data.decode("utf-8-sig")
-    except UnicodeDecodeError as fault:
-        raise ScenarioError(f"{where}: byte {fault.start}: not UTF-8") from None
+    except UnicodeDecodeError as error:
+        raise ScenarioError(f"{source}: byte {error.start}: not UTF-8") from None
     try:
-        return check(msgspec.toml.decode(text, type=Scenario), where)
-    except msgspec.ValidationError as fault:
-        why, _, place = str(fault).partition(" - at ")
-        raise ScenarioError(f"{where}: {place.strip('`') or 'the file'}: {why}") from None
-    except msgspec.DecodeError as fault:
-        raise ScenarioError(f"{where}: {fault}") from None
+        return check(msgspec.toml.decode(text, type=Scenario), source)
+    except msgspec.ValidationError as error:
+        reason, _, place = str(error).partition(" - at ")
+        raise ScenarioError(f"{source}: {place.strip('`') or 'the file'}: {reason}") from None
+    except msgspec.DecodeError as error:
+        raise ScenarioError(f"{source}: {error}") from None
 
 
-def names():
+def scenario_names():
     """The scenarios that come with the emulator."""
-    return sorted(path.stem for path in FOLDER.glob("*.toml"))
+    return sorted(path.stem for path in SCENARIO_DIRECTORY.glob("*.toml"))
 
 
-def load(word):
+def load(name_or_path):
     """One by its name, or by its file's."""
-    path = FOLDER / f"{word}.toml" if os.path.sep not in word and not word.endswith(".toml") else Path(word)
+    path = (
+        SCENARIO_DIRECTORY / f"{name_or_path}.toml"
+        if os.path.sep not in name_or_path and not name_or_path.endswith(".toml")
+        else Path(name_or_path)
+    )
     try:
         return parse(path.read_bytes(), path.name)
     except FileNotFoundError:
-        raise ScenarioError(f"{word}: no such scenario; there are {', '.join(names())}") from None
-    except OSError as fault:
-        raise ScenarioError(f"{word}: {fault.strerror}") from None
+        raise ScenarioError(
+            f"{name_or_path}: no such scenario; there are {', '.join(scenario_names())}"
+        ) from None
+    except OSError as error:
+        raise ScenarioError(f"{name_or_path}: {error.strerror}") from None
 
 
 def dump(scenario):
--- a/calicopin/emulator/story.py
+++ b/calicopin/emulator/story.py
@@ -1,6 +1,6 @@
 """A trace in plain words: of the whole run, or of one text."""
 
-WORDS = {
+TEMPLATES = {
     "start": "{0} starts",
     "ready": "{0} is ready",
     "end": "{0} ends: {1}, {2}",
@@ -36,7 +36,7 @@
     "leaves-service": "{0} gets SIGTERM",
     "agents-gone": "the platform's agents are gone for {0:.0f} ms",
 }
-QUIET = (
+OMITTED_KINDS = (
     "refused",
     "asked",
     "told",
@@ -47,22 +47,22 @@
 )  # left out of the story of a whole run
 
 
-def words(entry):
-    at, kind, *told = entry
-    form = WORDS.get(kind, kind + " " + " ".join("{%d}" % i for i in range(len(told))))
-    return f"{at:12.1f} ms  " + form.format(*told)
+def describe_event(entry):
+    at, kind, *details = entry
+    template = TEMPLATES.get(kind, kind + " " + " ".join("{%d}" % i for i in range(len(details))))
+    return f"{at:12.1f} ms  " + template.format(*details)
 
 
-def story(trace, ident=None):
+def describe_trace(trace, ident=None):
     """Lines, for the whole run or for what touches one text."""
     if ident is None:
-        return [words(entry) for entry in trace if entry[1] not in QUIET]
+        return [describe_event(entry) for entry in trace if entry[1] not in OMITTED_KINDS]
     calls = {entry[2] for entry in trace if entry[1] == "call" and any(text[0] == ident for text in entry[7])}
-    about = ("start", "end", "ready", "term", "stands", "disk", "trouble", "lost-machine")
+    lifecycle_kinds = ("start", "end", "ready", "term", "stands", "disk", "trouble", "lost-machine")
     return [
-        words(entry)
+        describe_event(entry)
         for entry in trace
-        if entry[1] in about
+        if entry[1] in lifecycle_kinds
         or ident in entry[2:4]
         or entry[1] in ("call", "ran", "reply", "heard", "hung-up", "lost")
         and entry[2] in calls
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -17,25 +17,25 @@
 from calicopin.emulator.disk import Disk
 from calicopin.emulator.faults import FAULTS, SHOWN_BY
 from calicopin.emulator.net import Listener, Network
-from calicopin.emulator.scenario import ScenarioError, load, names, parse
+from calicopin.emulator.scenario import ScenarioError, load, parse, scenario_names
 from calicopin.emulator.world import World
 
 
 @pytest.fixture(autouse=True)
-def quiet():
+def no_log_output():
     """Couriers' lines go to the run that made them, not to the test's output as well."""
     logger.remove()
     yield
     logger.add(sys.stderr)
 
 
-LEAST = (
+MINIMAL_SCENARIO = (
     b'version = 1\nname = "a"\nabout = ""\nproduct = [{name = "x", repeat = "resendable"}]\n'
     b'partner = [{name = "p"}]\n'
 )
 
 
-@pytest.mark.parametrize("name", names())
+@pytest.mark.parametrize("name", scenario_names())
 def test_every_scenario_is_played_with_all_rules_kept(name):
     simulation, referee, _ = runs.play(load(name), 3)
     assert not referee.breaks, list(map(str, referee.breaks[:5]))
@@ -49,17 +49,26 @@
         (b"\xff\xfe", "byte 0: not UTF-8"),
         (b"version = ", "f.toml"),
         (b"x" * (1 << 21), "no scenario"),
-        (LEAST.replace(b"version = 1", b"version = 2"), "$.version"),
-        (LEAST + b"lenght_s = 3\n", "lenght_s"),
-        (LEAST.replace(b"resendable", b"resendabel"), "$.product[0].repeat"),
-        (LEAST.replace(b"resendable", b"referenced"), "memory_s"),
-        (LEAST + b"[[trouble]]\nkind = 'hang'\nat_s = -1.0\n", "$.trouble[0].at_s"),
-        (LEAST + b"[[trouble]]\nkind = 'hang'\nat_s = 99.0\n", "behind the end"),
-        (LEAST + b"[[trouble]]\nkind = 'hang'\nat_s = 9.0\nwhom = 'partner:q'\n", "names no party"),
-        (LEAST + b"[[trouble]]\nkind = 'kill'\nat_s = 9.0\nwhom = 'courier:2'\n", "there is no courier 2"),
-        (LEAST + b"[[trouble]]\nkind = 'kill'\nat_s = 9.0\nwhom = 'destination:0'\n", "meets a courier"),
-        (LEAST + b"[[trouble]]\nkind = 'lose'\nat_s = 9.0\nsize = 1.5\n", "is a share"),
-        (LEAST + b"[traffic]\nhonour = 1.5\n", "$.traffic.honour"),
+        (MINIMAL_SCENARIO.replace(b"version = 1", b"version = 2"), "$.version"),
+        (MINIMAL_SCENARIO + b"lenght_s = 3\n", "lenght_s"),
+        (MINIMAL_SCENARIO.replace(b"resendable", b"resendabel"), "$.product[0].repeat"),
+        (MINIMAL_SCENARIO.replace(b"resendable", b"referenced"), "memory_s"),
+        (MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'hang'\nat_s = -1.0\n", "$.trouble[0].at_s"),
+        (MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'hang'\nat_s = 99.0\n", "behind the end"),
+        (
+            MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'hang'\nat_s = 9.0\nwhom = 'partner:q'\n",
+            "names no party",
+        ),
+        (
+            MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'kill'\nat_s = 9.0\nwhom = 'courier:2'\n",
+            "there is no courier 2",
+        ),
+        (
+            MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'kill'\nat_s = 9.0\nwhom = 'destination:0'\n",
+            "meets a courier",
+        ),
+        (MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'lose'\nat_s = 9.0\nsize = 1.5\n", "is a share"),
+        (MINIMAL_SCENARIO + b"[traffic]\nhonour = 1.5\n", "$.traffic.honour"),
     ],
 )
 def test_a_scenario_that_cannot_be_used_is_told_by_file_and_place(data, told):
@@ -137,7 +146,7 @@
 
 
 def test_a_failing_run_is_made_smaller():
-    troubles, texts, found = runs.shrink(load("loss"), 1, "once-only-resent", most=60)
+    troubles, texts, found = runs.shrink(load("loss"), 1, "once-only-resent", max_runs=60)
     assert found.rule == "double effect" and len(troubles) == 1 and len(texts) < 100
 
 
@@ -183,14 +192,14 @@
 # The world itself: what the parties rely on.
 
 
-class Heard:
+class Recorder:
     """What one end of a connection has heard, and how it ended."""
 
     def __init__(self, end):
         self.data, self.ends, self.end = b"", [], end
-        end.on_data, end.on_end = self.take, self.ends.append
+        end.on_data, end.on_end = self.on_data, self.ends.append
 
-    def take(self, data, _):
+    def on_data(self, data, _):
         self.data += data
 
 
@@ -204,7 +213,7 @@
     )
     end = net.connect(here, "10.0.0.2", 80, lambda done: None)
     world.run(100.0)
-    return world, net, Heard(end), Heard(met[0])
+    return world, net, Recorder(end), Recorder(met[0])
 
 
 def test_bytes_arrive_whole_and_in_order_however_they_are_cut():
@@ -263,5 +272,5 @@
         scenario = replace(mixed, couriers=replace(mixed.couriers, scrape_s=0.7, holders=3))
         _, referee, _ = runs.play(scenario, seed)
         assert not referee.breaks, (seed, list(map(str, referee.breaks[:5])))
-        asked += sum(status == 200 for *_, status, _ in referee.operators)
+        asked += sum(status == 200 for *_, status, _ in referee.admin_calls)
     assert asked > 300
--- a/tests/test_emulator_subscriptions.py
+++ b/tests/test_emulator_subscriptions.py
@@ -12,17 +12,24 @@
 
 from calicopin.emulator import runs
 from calicopin.emulator.faults import SHOWN_BY
-from calicopin.emulator.list_referee import INFINITE, ListReferee, Party, Reach, Span, Told
+from calicopin.emulator.list_referee import (
+    INFINITE,
+    KnownDestinations,
+    ListReferee,
+    Party,
+    Reachability,
+    Span,
+)
 from calicopin.emulator.nodes import SOURCE, encode
 from calicopin.emulator.referee import Referee
-from calicopin.emulator.scenario import ScenarioError, load, names, parse
+from calicopin.emulator.scenario import ScenarioError, load, parse, scenario_names
 
-SCENARIOS = [name for name in names() if name.startswith("subscriptions")]
+SCENARIOS = [name for name in scenario_names() if name.startswith("subscriptions")]
 FAULTS = [name for name, (scenario, _, _) in SHOWN_BY.items() if scenario in SCENARIOS]
 
 
 @pytest.fixture(autouse=True)
-def quiet():
+def no_log_output():
     """Couriers' lines go to the run that made them, not to the test's output as well."""
     logger.remove()
     yield
@@ -42,22 +49,24 @@
     return simulation, referee
 
 
-def noted(simulation, *kinds):
+def recorded(simulation, *kinds):
     """The entries of these kinds in the trace."""
     return [entry for entry in simulation.world.trace if entry[1] in kinds]
 
 
 def test_fresh_and_given_up_and_unknown_destinations_on_a_calm_day():
     simulation, referee = play("subscriptions", 1)
-    answered, statuses = noted(simulation, "answered"), [status for _, status in referee.answers.values()]
-    assert noted(simulation, "gives-up"), "destinations are given up"
+    answered, statuses = recorded(simulation, "answered"), [status for _, status in referee.answers.values()]
+    assert recorded(simulation, "gives-up"), "destinations are given up"
     assert any(unknown for *_, unknown in answered) and 404 in statuses, "and asked for that do not exist"
     told = {}
     for _, _, courier, _, complete, _ in answered:
         for destination in complete:
             told[courier, destination] = told.get((courier, destination), 0) + 1
     given_up = {
-        (courier, destination) for *_, courier, some in noted(simulation, "gives-up") for destination in some
+        (courier, destination)
+        for *_, courier, some in recorded(simulation, "gives-up")
+        for destination in some
     }
     assert any(told.get(one, 0) > 1 for one in given_up), "and subscribed to anew"
     assert sum(status == 202 for status in statuses) > 400
@@ -65,30 +74,34 @@
 
 def test_couriers_serve_on_by_what_they_know_while_no_node_is_there():
     simulation, referee = play("subscriptions-nodes-killed", 1)
-    down = max(at for at, _, name, *_ in noted(simulation, "end") if name.startswith("node") and at < 20000.0)
-    back = min(at for at, _, name in noted(simulation, "start") if name.startswith("node") and at > down)
-    meanwhile = [call for call in referee.calls.values() if down < call.begun < back]
+    down = max(
+        at for at, _, name, *_ in recorded(simulation, "end") if name.startswith("node") and at < 20000.0
+    )
+    back = min(at for at, _, name in recorded(simulation, "start") if name.startswith("node") and at > down)
+    meanwhile = [call for call in referee.calls.values() if down < call.started_at < back]
     restarted = [
-        at for at, _, name in noted(simulation, "start") if name.startswith("courier") and down < at < back
+        at for at, _, name in recorded(simulation, "start") if name.startswith("courier") and down < at < back
     ]
-    assert not [entry for entry in noted(simulation, "answered") if down + 100.0 < entry[0] < back]
-    assert restarted and any(call.begun > restarted[-1] for call in meanwhile), "by the list in the folder"
+    assert not [entry for entry in recorded(simulation, "answered") if down + 100.0 < entry[0] < back]
+    assert restarted and any(call.started_at > restarted[-1] for call in meanwhile), (
+        "by the list in the folder"
+    )
     assert len(meanwhile) > 30
 
 
 def test_a_courier_cut_off_from_its_node_goes_to_another_within_the_time_for_leaves():
     simulation, referee = play("subscriptions-partition", 1)
-    (at, _, courier, node, _), *_ = noted(simulation, "cut-off")
+    (at, _, courier, node, _), *_ = recorded(simulation, "cut-off")
     served = [
-        entry for entry in noted(simulation, "answered") if entry[2] == courier and entry[0] > at + 100.0
+        entry for entry in recorded(simulation, "answered") if entry[2] == courier and entry[0] > at + 100.0
     ]
     assert served[0][3] != node and served[0][0] < at + 6000.0
-    assert len({entry[3] for entry in noted(simulation, "answered")}) == 3
+    assert len({entry[3] for entry in recorded(simulation, "answered")}) == 3
 
 
 def test_a_herd_of_restarts_calls_nobody_before_its_first_answers():
     simulation, referee = play("subscriptions-herd", 1)
-    starts = [at for at, _, name in noted(simulation, "start") if name.startswith("courier")]
+    starts = [at for at, _, name in recorded(simulation, "start") if name.startswith("courier")]
     together = max(sum(other == at for other in starts) for at in starts)
     assert together >= 4, "half of the couriers at one moment"
 
@@ -101,12 +114,14 @@
 
 def test_a_list_that_is_too_old_is_not_called_by():
     simulation, referee = play("subscriptions-old-list", 1)
-    back = min(at for at, _, name in noted(simulation, "start") if name.startswith("node") and at > 10000.0)
-    late = [(at, name) for at, _, name in noted(simulation, "start") if 12500.0 < at < back]
+    back = min(
+        at for at, _, name in recorded(simulation, "start") if name.startswith("node") and at > 10000.0
+    )
+    late = [(at, name) for at, _, name in recorded(simulation, "start") if 12500.0 < at < back]
     assert late
     for at, name in late:
-        assert not [c for c in referee.calls.values() if c.courier == name and at < c.begun < back]
-        assert [c for c in referee.calls.values() if c.courier == name and c.begun > back]
+        assert not [c for c in referee.calls.values() if c.courier == name and at < c.started_at < back]
+        assert [c for c in referee.calls.values() if c.courier == name and c.started_at > back]
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
@@ -114,8 +129,8 @@
     simulation, _ = play(name, 2)
     judged = ListReferee(simulation, Referee(simulation))
     assert not judged.referee.breaks
-    assert judged.compared > 3 * len(simulation.couriers)
-    assert judged.leaves > 0
+    assert judged.destinations_compared > 3 * len(simulation.couriers)
+    assert judged.leaves_judged > 0
 
 
 @pytest.mark.parametrize("seed", range(4, 9))
@@ -151,23 +166,32 @@
     assert here == there[::-1] and len(set(here)) == len(seeds)
 
 
-LEAST = (
+MINIMAL_SCENARIO = (
     b'version = 1\nname = "a"\nabout = ""\n'
     b'product = [{name = "x", repeat = "resendable"}]\npartner = [{name = "p"}]\n'
 )
-NODES = LEAST + b"[nodes]\ncount = 2\n"
+SCENARIO_WITH_NODES = MINIMAL_SCENARIO + b"[nodes]\ncount = 2\n"
 
 
 @pytest.mark.parametrize(
     "data,told",
     [
-        (LEAST + b"[[trouble]]\nkind = 'node-kill'\nat_s = 9.0\n", "only where nodes.count"),
-        (LEAST + b"[nodes]\ncount = 99\n", "$.nodes.count"),
-        (NODES + b"[[trouble]]\nkind = 'node-kill'\nat_s = 9.0\nwhom = 'node:2'\n", "there is no node 2"),
-        (NODES + b"[[trouble]]\nkind = 'node-kill'\nat_s = 9.0\nwhom = 'courier:0'\n", "meets a node"),
-        (NODES + b"[[trouble]]\nkind = 'withdraw'\nat_s = 9.0\nwhom = 'node:0'\n", "meets a destination"),
-        (NODES + b"[[trouble]]\nkind = 'publish'\nat_s = 9.0\n", "named by its number"),
-        (NODES + b"[[trouble]]\nkind = 'courier-herd'\nat_s = 9.0\nsize = 2.0\n", "is a share"),
+        (MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'node-kill'\nat_s = 9.0\n", "only where nodes.count"),
+        (MINIMAL_SCENARIO + b"[nodes]\ncount = 99\n", "$.nodes.count"),
+        (
+            SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'node-kill'\nat_s = 9.0\nwhom = 'node:2'\n",
+            "there is no node 2",
+        ),
+        (
+            SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'node-kill'\nat_s = 9.0\nwhom = 'courier:0'\n",
+            "meets a node",
+        ),
+        (
+            SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'withdraw'\nat_s = 9.0\nwhom = 'node:0'\n",
+            "meets a destination",
+        ),
+        (SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'publish'\nat_s = 9.0\n", "named by its number"),
+        (SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'courier-herd'\nat_s = 9.0\nsize = 2.0\n", "is a share"),
     ],
 )
 def test_a_scenario_that_cannot_be_used_is_told_by_file_and_place(data, told):
@@ -177,34 +201,34 @@
 
 
 def test_a_leave_is_owed_after_six_seconds_of_one_node():
-    assert Reach([[]]).told_by(100.0) == 6100.0
-    assert Reach([[Span(0.0, 500.0)]]).told_by(100.0) == 6500.0
-    assert Reach([[Span(3000.0, 4000.0)]]).told_by(100.0) == 10000.0
-    assert Reach([[Span(3000.0, 4000.0)], [Span(0.0, 2000.0)]]).told_by(100.0) == 8000.0
-    assert Reach([[Span(50.0, INFINITE)]]).told_by(100.0) == INFINITE
+    assert Reachability([[]]).update_due(100.0) == 6100.0
+    assert Reachability([[Span(0.0, 500.0)]]).update_due(100.0) == 6500.0
+    assert Reachability([[Span(3000.0, 4000.0)]]).update_due(100.0) == 10000.0
+    assert Reachability([[Span(3000.0, 4000.0)], [Span(0.0, 2000.0)]]).update_due(100.0) == 8000.0
+    assert Reachability([[Span(50.0, INFINITE)]]).update_due(100.0) == INFINITE
 
 
 def test_a_party_is_silent_before_its_start_between_its_processes_and_while_it_stands():
     party = Party([10.0, 50.0], [40.0, 90.0], [Span(20.0, 25.0)])
     assert party.silent() == [Span(0.0, 10.0), Span(40.0, 50.0), Span(90.0, INFINITE), Span(20.0, 25.0)]
-    assert party.life(45.0) == 10.0 and party.life(50.0) == 50.0
+    assert party.process_start(45.0) == 10.0 and party.process_start(50.0) == 50.0
 
 
 def test_what_was_given_up_counts_as_not_told():
-    told = Told()
-    assert not told.since_given_up(7, 10.0)
+    told = KnownDestinations()
+    assert not told.is_known(7, 10.0)
     told.destinations[7] += [5.0, 30.0]
     told.given_up[7].append(20.0)
-    assert told.since_given_up(7, 10.0)
-    assert not told.since_given_up(7, 25.0)
-    assert told.since_given_up(7, 31.0)
+    assert told.is_known(7, 10.0)
+    assert not told.is_known(7, 25.0)
+    assert told.is_known(7, 31.0)
 
 
 def test_sources_hold_the_changes_in_their_order_and_a_replaced_one_is_short():
     simulation, _ = play("subscriptions", 1)
     for node in simulation.nodes.processes:
-        serials = [entry[2] for entry in noted(simulation, "source") if entry[3] == node.name]
+        serials = [entry[2] for entry in recorded(simulation, "source") if entry[3] == node.name]
         assert all(one < other for one, other in pairwise(serials))
         lines = bytes(node.disk.files[SOURCE]).splitlines()
         assert lines[0] + b"\n" == encode({"form": 1, "fleet": "emulated"})
-        assert len(lines) < 1 + len(simulation.nodes.first) + len(serials), "written anew since"
+        assert len(lines) < 1 + len(simulation.nodes.initial_entries) + len(serials), "written anew since"
