--- a/calicopin/emulator/__main__.py
+++ b/calicopin/emulator/__main__.py
@@ -17,7 +17,7 @@
 from calicopin.emulator import fleet, runs
 from calicopin.emulator.faults import FAULTS
 from calicopin.emulator.scenario import ScenarioError, dump, load, scenario_names
-from calicopin.emulator.story import describe_trace
+from calicopin.emulator.trace_report import describe_trace
 
 TABLE_FIGURES = ("revenue", "of_best", "in_sla", "p50_ms", "p99_ms", "refused", "waste", "fairness")
 
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from calicopin.emulator.day import CLIENTS_START_MS, arrivals, draw_troubles, settings
 from calicopin.emulator.partners import NEVER, Destination, Endpoint
 from calicopin.emulator.referee import Referee
 from calicopin.emulator.runs import Result
 from calicopin.emulator.scenario import PARTNER_TROUBLES
+from calicopin.emulator.simulation import CLIENTS_START_MS, arrivals, draw_troubles, settings
 from calicopin.emulator.world import World
 from calicopin.facade import Answer, Facade, Far, Place
 from calicopin.state.texts import Text
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -10,11 +10,11 @@
 from loguru import logger
 
 from calicopin.emulator import faults, list_faults  # noqa: F401  the latter adds its faults to the others
-from calicopin.emulator.day import Simulation
 from calicopin.emulator.list_referee import judge
 from calicopin.emulator.nodes import unsubscribe_after
 from calicopin.emulator.referee import Referee
 from calicopin.emulator.scenario import load
+from calicopin.emulator.simulation import Simulation
 from calicopin.lifecycle.start import serve
 
 MAX_RUN_CPU_S = 300  # seconds of CPU for one run: beyond that a loop that asks for nothing never ends
