--- a/calicopin/emulator/__init__.py
+++ b/calicopin/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""The emulator: whole couriers in virtual time, every kind of fault from one seed, and a referee of the
-six rules.
+"""Deterministic simulation of whole couriers in virtual time, with seeded faults and a referee of the
+delivery rules.
 
-An optional extra; nothing that a courier runs imports it.
+An optional extra: no module that a courier runs imports it.
 """
--- a/calicopin/emulator/disk.py
+++ b/calicopin/emulator/disk.py
@@ -1,13 +1,13 @@
-"""A machine's files. What a killed process wrote stays; what a lost machine wrote is gone."""
+"""The files of one machine. They survive a killed process and are lost with the machine."""
 
 import errno
 
 
 class Disk:
-    """Flat paths to contents.
+    """File contents by flat path.
 
-    Troubles: `room` (bytes in all), `broken` (odds that a write fails), `short` (odds that one takes only a
-    part), `slow` (ms a write takes).
+    Faults: `capacity` (bytes in all), `error_odds` (odds that a write fails), `short_write_odds` (odds that a
+    write takes only a part) and `write_delay_ms` (ms a write takes).
     """
 
     def __init__(self, rng, capacity=float("inf")):
@@ -16,21 +16,26 @@
         self.bytes_written = self.peak_size = 0
 
     def size(self):
+        """Bytes in all files."""
         return sum(map(len, self.files.values()))
 
     def read(self, path):
+        """The contents of a file. Raises FileNotFoundError."""
         if path not in self.files:
             raise FileNotFoundError(errno.ENOENT, "no such file", path)
         return bytes(self.files[path])
 
     def create(self, path):
+        """Creates or truncates a file. Raises OSError where writes fail."""
         if self.error_odds and self.rng.random() < self.error_odds:
             raise OSError(errno.EIO, "input/output error", path)
         self.files[path] = file = bytearray()
         return file
 
     def write(self, file, data):
-        """As many bytes as there is room for; OSError where there is none, or by chance."""
+        """Writes as much as fits and returns the bytes written. Raises OSError where nothing fits, or by the
+        odds.
+        """
         if self.error_odds and self.rng.random() < self.error_odds:
             raise OSError(errno.EIO, "input/output error")
         size = (
@@ -46,4 +51,5 @@
         return size
 
     def clear(self):
+        """Removes all files."""
         self.files.clear()
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -1,7 +1,8 @@
-"""The decisions alone through the same scenarios: hundreds of couriers without sockets, processes or disks.
+"""Fleet mode: the decision logic alone through the same scenarios, for hundreds of couriers without sockets,
+processes or disks.
 
-Partners are those of the emulated network, and the referee is the same; troubles of couriers, platform and
-network are passed over, as there is nothing for them to meet.
+Partners and referee are those of the emulated network. Troubles of couriers, platform and network are
+skipped, since there is nothing that they could affect.
 """
 
 import time
@@ -23,7 +24,7 @@
 
 
 class CourierInstance:
-    """One courier's decisions, with the wake-up that is due for them."""
+    """The decision logic of one courier and its next wake-up."""
 
     def __init__(self, fleet, number):
         self.fleet, self.world, self.name = fleet, fleet.world, f"courier{number}"
@@ -36,7 +37,7 @@
         self.world.record("start", self.name)
 
     def process(self):
-        """What came in is decided and carried out."""
+        """Decides on pending input and carries the decisions out."""
         facade, world = self.facade, self.world
         due = facade.tick(world.now)
         while returned := facade.back():
@@ -54,6 +55,7 @@
             world.call_at(max(due, world.now), self.wake, self.wake_serial)
 
     def wake(self, wake_serial):
+        """Processes what is due, unless a later wake-up has been scheduled."""
         if wake_serial == self.wake_serial:
             self.process()
 
@@ -86,12 +88,14 @@
         self.couriers = [CourierInstance(self, number) for number in range(scenario.couriers.count)]
 
     def latency(self):
+        """Draws the latency to a partner in ms."""
         low, high = self.scenario.net.partner_ms
         return low + (high - low) * self.rng.random()
 
     # Clients.
 
     def send_text(self, text, courier):
+        """Submits a text to a courier."""
         now = self.world.now
         if now >= text["until"] - 20.0:
             return
@@ -122,11 +126,13 @@
         courier.process()
 
     def on_notice(self, ident, verdict, wait):
+        """A notice has arrived; a text that had no effect is submitted again."""
         text, courier = self.submissions[ident]
         if verdict == "bounced":
             self.retry(text, courier, wait)
 
     def retry(self, text, courier, wait):
+        """Submits the text again after `wait` ms or more, if the scenario says so."""
         traffic = self.scenario.traffic
         if traffic.again != "never" and self.attempts[text["number"]] <= traffic.agains:
             honours_wait = self.rng.random() < traffic.honour
@@ -140,10 +146,10 @@
     # Calls.
 
     def call(self, courier, call):
-        """On its way; what ends it first is what it ends with."""
+        """Starts a call; it ends with its answer or its time-out, whichever is first."""
         self.call_count += 1
         number, started_at = self.call_count, self.world.now
-        self.open_calls[number] = False  # not there yet
+        self.open_calls[number] = False  # not yet arrived
         for text in call.texts:
             text.went_out(started_at, call.place.zone)
         self.world.call_later(self.latency(), self.arrive, number, courier, call, started_at)
@@ -152,6 +158,7 @@
         )
 
     def arrive(self, number, courier, call, started_at):
+        """The call reaches the destination."""
         if number not in self.open_calls:
             return
         endpoint = self.endpoints[call.place.ident]
@@ -188,6 +195,7 @@
             self.world.call_later(reply.delay_ms, self.reply, number, courier, call, started_at, reply)
 
     def reply(self, number, courier, call, started_at, reply):
+        """The destination answers."""
         if number not in self.open_calls:
             return
         lost = reply.drop_connection or reply.corrupt
@@ -211,6 +219,7 @@
         self.world.call_later(self.latency(), self.end, number, courier, call, started_at, answer, not lost)
 
     def end(self, number, courier, call, started_at, answer, answer_read):
+        """Reports the outcome of a call to the courier, once."""
         arrived = self.open_calls.pop(number, None)
         if arrived is not None:
             if arrived:
@@ -221,6 +230,7 @@
     # The run.
 
     def begin_trouble(self, trouble):
+        """Starts a trouble of partners."""
         if trouble.kind not in PARTNER_TROUBLES or trouble.kind not in (*FLEET_TROUBLES, "limit"):
             return
         kind, _, name = trouble.whom.partition(":")
@@ -244,6 +254,7 @@
                 self.world.call_later(duration, destination.end_trouble, trouble.kind)
 
     def play(self):
+        """Plays the run to its end."""
         for courier in self.couriers:
             courier.process()
         for text in self.texts:
@@ -255,7 +266,7 @@
 
 
 def play(scenario, seed, couriers=None, texts=None):
-    """One run in fleet mode, judged."""
+    """Plays and judges one run in fleet mode."""
     if couriers is not None:
         scenario = msgspec.structs.replace(
             scenario, couriers=msgspec.structs.replace(scenario.couriers, count=couriers)
--- a/calicopin/emulator/net.py
+++ b/calicopin/emulator/net.py
@@ -1,33 +1,37 @@
-"""The network: machines, connections with latency and bandwidth, and everything that may go wrong with them.
+"""The network: machines, connections with latency and bandwidth, partitions and resets.
 
-A connection has two `End`s. What is sent on one travels in pieces, in order, to the other; a piece that meets
-a cut network is tried again as TCP does it, later each time. Stand-ins hear by callbacks at once; a courier's
-end is read through `process.Socket`.
+A connection has two `End`s. Data sent on one is delivered in segments, in order, to the other. A segment that
+meets a partition is retransmitted with a growing delay, as TCP does. Stand-ins are called back as data
+arrives; a courier reads its end through `process.Socket`.
 """
 
 from collections import deque
 
-WINDOW_BYTES = 1 << 18  # bytes under way and unread, at most
-RETRANSMIT_MIN_MS, RETRANSMIT_MAX_MS = 200.0, 2000.0  # of a piece that did not come through
+WINDOW_BYTES = 1 << 18  # bytes in flight and unread, at most
+RETRANSMIT_MIN_MS, RETRANSMIT_MAX_MS = 200.0, 2000.0
 SEGMENT_BYTES = 1460
 
 
 class Machine:
-    """One address. `up` is false while it has vanished: nothing comes in or goes out, nothing is said."""
+    """A host with one address. While `up` is false it neither sends nor receives, and no connection to it is
+    refused.
+    """
 
     def __init__(self, address):
         self.address, self.up, self.boot_count, self.listeners, self.ends = address, True, 0, {}, {}
 
 
 class Listener:
-    """Where connections to one port arrive; `met(end)` takes one, false where there is no room for it."""
+    """Accepts connections to one port. `on_connection(end)` returns whether there was room for it in the
+    backlog; `handshake` is in ms.
+    """
 
     def __init__(self, machine, on_connection, handshake=0.0):
         self.machine, self.on_connection, self.handshake = machine, on_connection, handshake
 
 
 class Pipe:
-    """One direction of a connection: pieces in order, the first of them on its way."""
+    """One direction of a connection: segments in order, the first of them under way."""
 
     __slots__ = ("queue", "last_arrival", "retransmit_ms", "busy")
 
@@ -39,7 +43,7 @@
     """One side of a connection.
 
     Callbacks, where set: `on_data(data, sent_at)`, `on_end(reset)`, `on_change()` (readable, writable or
-    over), `on_peer_closed()` (at once: what only the referee may see).
+    closed), `on_peer_closed()` (called at once, without latency; only for the referee's records).
     """
 
     def __init__(self, net, machine):
@@ -47,33 +51,35 @@
         self.pipe, self.buffer, self.in_flight = Pipe(), bytearray(), 0
         self.fin = self.reset = self.closed = self.sending_ended = False
         self.connected, self.error = True, 0
-        self.bytes_arrived = self.bytes_read = 0  # bytes
-        self.read_callbacks = deque()  # (bytes, what to call once they are read)
+        self.bytes_arrived = self.bytes_read = 0
+        self.read_callbacks = deque()  # (bytes_read to reach, callback)
         self.on_data = self.on_end = self.on_change = self.on_peer_closed = None
         machine.ends[self] = True
 
     def consume(self, size):
-        """So many bytes were read."""
+        """Counts `size` bytes as read and calls the callbacks of messages that are now read whole."""
         self.bytes_read += size
         while self.read_callbacks and self.read_callbacks[0][0] <= self.bytes_read:
             self.read_callbacks.popleft()[1]()
 
     def send_window(self):
+        """How many bytes may be sent now."""
         return WINDOW_BYTES - self.in_flight - len(self.peer.buffer) if self.peer else 0
 
     def send(self, data, on_read=None):
-        """Puts bytes on their way; `heard` is called once the other side has read the last of them."""
+        """Sends bytes; `on_read` is called once the other side has read the last of them."""
         if not (self.sending_ended or self.closed or self.reset):
             self.in_flight += len(data)
             self.net.enqueue(self, bytes(data), on_read)
 
     def end_sending(self):
+        """Ends this direction, as `shutdown(SHUT_WR)` does."""
         if not self.sending_ended and not self.closed:
             self.sending_ended = True
             self.net.enqueue(self, None)
 
     def close(self):
-        """As the kernel closes: unread bytes turn the farewell into a reset."""
+        """Closes as the kernel does: with a reset where bytes are unread."""
         if self.closed:
             return
         has_unread, self.closed = bool(self.buffer), True
@@ -88,7 +94,7 @@
         self.sending_ended = True
 
     def abort(self):
-        """A reset, as when the process died with bytes unread."""
+        """Closes with a reset, as when the process was killed with bytes unread."""
         if not self.closed:
             self.closed = self.sending_ended = True
             self.machine.ends.pop(self, None)
@@ -98,13 +104,17 @@
                 self.net.enqueue(self, ConnectionResetError)
 
     def notify_change(self):
+        """Tells the owner that readiness may have changed."""
         if self.on_change:
             self.on_change()
 
 
 class Network:
-    """`latency(one, other)` draws the time of one piece in ms; `cuts` holds pairs of machines that cannot
-    speak.
+    """All machines and the links between them.
+
+    `latency` is the range of the delay of one segment in ms, `bandwidth` is in bytes a ms (0: unlimited),
+    `split_odds` the odds that data arrives in two segments. `partitions` holds pairs of addresses that cannot
+    reach each other.
     """
 
     def __init__(self, world, latency=(1.0, 3.0), bandwidth=0.0, split_odds=0.0):
@@ -118,12 +128,13 @@
         self.latency_factor, self.far_latency_range, self.far_prefixes = 1.0, latency, ()
 
     def machine(self, address):
+        """The machine of an address, made at its first use."""
         if address not in self.machines:
             self.machines[address] = Machine(address)
         return self.machines[address]
 
     def latency(self, end=None):
-        """Between couriers and the machines of `outer` it is drawn from another span, `far`."""
+        """Draws a delay in ms; connections with machines under `far_prefixes` use `far_latency_range`."""
         low, high = self.latency_range
         if (
             end is not None
@@ -138,6 +149,7 @@
         return self.latency_factor * (low + (high - low) * self.rng.random())
 
     def reachable(self, machine, peer):
+        """Whether segments pass between two machines."""
         return (
             machine.up
             and peer.up
@@ -145,6 +157,7 @@
         )
 
     def set_partition(self, machine, peer, partitioned=True):
+        """Cuts two machines off from each other, or connects them again."""
         for pair in ((machine.address, peer.address), (peer.address, machine.address)):
             if partitioned:
                 self.partitions[pair] = True
@@ -152,7 +165,7 @@
                 self.partitions.pop(pair, None)
 
     def take_down(self, machine):
-        """Nothing is said. What lived on it is gone for good."""
+        """Takes a machine down without a word to its peers; its connections and listeners are lost."""
         machine.up, machine.boot_count = False, machine.boot_count + 1
         ends, machine.ends = list(machine.ends), {}
         for end in ends:
@@ -161,10 +174,12 @@
                 end.peer.on_peer_closed()
         machine.listeners.clear()
 
-    # Opening.
+    # Connecting.
 
     def connect(self, machine, host, port, on_done):
-        """`done(end)` once it is up, or `done(errno)`; neither where nothing is ever heard."""
+        """Connects: `on_done(end)` once it is established, `on_done(errno)` if refused; neither while the
+        host is unreachable.
+        """
         end = End(self, machine)
         end.connected = False
         self.world.call_later(self.latency(), self._try_connect, end, host, port, on_done, RETRANSMIT_MIN_MS)
@@ -185,9 +200,8 @@
             return
         remote_end = End(self, target)
         remote_end.peer, end.peer = end, remote_end
-        if not listener.on_connection(
-            remote_end
-        ):  # no room in the backlog: the first piece is lost and comes again
+        # with a full backlog the SYN is dropped and sent again
+        if not listener.on_connection(remote_end):
             target.ends.pop(remote_end, None)
             end.peer = None
             self.world.call_later(
@@ -208,10 +222,10 @@
             on_done(end)
             end.notify_change()
 
-    # Carrying.
+    # Transmission.
 
     def enqueue(self, end, payload, on_read=None):
-        """`what` is bytes, None for the end of sending, or ConnectionResetError. Pieces are cut by chance."""
+        """Sends `payload`: bytes, None for the end of sending, or ConnectionResetError."""
         pipe, world = end.pipe, self.world
         chunks = [payload]
         if (
@@ -238,7 +252,7 @@
             pipe.queue.clear()
             pipe.busy = False
             return
-        if end.machine.boot_count != end.boot:  # it went with its machine
+        if end.machine.boot_count != end.boot:  # the sending machine was lost, and its segments with it
             pipe.queue.clear()
             return
         if not self.reachable(end.machine, peer.machine):
@@ -256,7 +270,7 @@
     def _deliver(self, end, peer, payload, sent_at, on_read):
         if isinstance(payload, bytes):
             end.in_flight -= len(payload)
-            if peer.closed:  # nobody reads it any more
+            if peer.closed:
                 if not end.closed:
                     self.world.call_later(self.latency(), self._receive_reset, end)
                 return
@@ -281,7 +295,7 @@
             self._receive_reset(peer)
 
     def _receive_reset(self, end):
-        """A reset arrives; by chance it takes with it what was not read yet."""
+        """Handles a reset; by chance unread bytes are discarded with it."""
         if end.closed or end.reset:
             return
         end.reset = True
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -1,10 +1,9 @@
-"""Discovery nodes of a run: the real node as a process on emulated files and sockets, the source of the list,
-their faults.
+"""Discovery nodes of a run: the real node program on emulated files and sockets, the source of the list, and
+their troubles.
 
-Every node reads a source file of its own, to which the changes of the one list are appended; each change
-reaches each node after a time of its own. Notes for the referee: `source` (a change is in a node's file),
-`answered`
-(a courier has read an answer), `cut-off` (a courier and a node cannot speak).
+Each node reads a source file of its own, to which the changes of the one list are appended with a delay of
+their own. Trace entries for the referee: `source` (a change is in a node's file), `answered` (a courier has
+read an answer), `cut-off` (a courier and a node cannot reach each other).
 """
 
 import json
@@ -30,15 +29,15 @@
 FLEET = "emulated"
 PORT = 7400
 SOURCE = "list.log"
-START_WITHIN_MS = 50.0  # ms: all nodes begin in that time
-LEFT_AFTER_MS = 6000.0  # ms from an announced leave to the leave
+START_WITHIN_MS = 50.0
+LEFT_AFTER_MS = 6000.0  # from the announcement of a leave to the leave
 DESCRIPTORS = 1000
 SOURCE_FIELDS = ("form", "fleet", "id", "addr", "cell", "kind", "zone", "state", "weight")
 
 
 @dataclass(frozen=True, slots=True)
 class FileStatus:
-    """What the node reads of an `os.stat_result`."""
+    """The fields of `os.stat_result` that a node reads."""
 
     st_dev: int
     st_ino: int
@@ -47,51 +46,50 @@
 
 
 class SourceHandle(Handle):
-    """A source file held open, whatever its name stands for later."""
+    """An open source file; it stays the same when another file is renamed into its place."""
 
     def __init__(self, data: bytearray, number: int):
         self.data, self.number = data, number
 
     def status(self) -> FileStatus:
-        """As of now."""
+        """Its present status."""
         return FileStatus(1, self.number, len(self.data), 0)
 
 
 class NodeSystemCalls(SystemCalls):
-    """The system calls of a node: those of a courier, files held open for reading, connections that are
-    watched."""
+    """The system calls of a node: those of a courier, files opened for reading, and monitored connections."""
 
     def listen(self, _, port):
-        """A listening socket whose answers are noted once they were read."""
+        """A listening socket whose answers are recorded once they have been read."""
         self.enter("listen")
         return WatchedListeningSocket(self, port)
 
     def open_to_read(self, path):
-        """Its descriptor."""
+        """Opens a file and returns its descriptor. Raises FileNotFoundError."""
         self.enter("open")
-        self.process.disk.read(path)  # FileNotFoundError where there is none
+        self.process.disk.read(path)  # raises FileNotFoundError
         handle = SourceHandle(self.process.disk.files[path], self.process.file_number)
         handle.calls, handle.fd = self, self.take_fd(handle)
         return handle.fd
 
     def status(self, path):
-        """Of the file under that name."""
+        """The status of the file of that name."""
         self.enter("stat")
         self.process.disk.read(path)
         return SourceHandle(self.process.disk.files[path], self.process.file_number).status()
 
     def open_status(self, file):
-        """Of an open file."""
+        """The status of an open file."""
         self.enter("fstat")
         return self.handles[file].status()
 
     def read_at(self, file, size, offset):
-        """Bytes of an open file."""
+        """Reads from an open file at an offset."""
         self.enter("pread")
         return bytes(self.handles[file].data[offset : offset + size])
 
     def token(self, size):
-        """Drawn by the seed."""
+        """A random token of `size` bytes, drawn by the seed."""
         return self.process.rng.randbytes(size).hex()
 
 
@@ -99,7 +97,7 @@
     """A node's listening socket."""
 
     def on_connection(self, end):
-        """Takes a connection, and watches what is answered on it."""
+        """Accepts a connection and monitors the answers on it."""
         accepted = super().on_connection(end)
         if accepted:
             AnswerMonitor(self.calls.process, end)
@@ -107,8 +105,9 @@
 
 
 class AnswerMonitor:
-    """Reads what passes on one connection: what the courier gives up as it asks for that, and an answer once
-    the courier has read the whole of it."""
+    """Parses both directions of one connection: what the courier unsubscribes from with a request, and an
+    answer once the courier has read all of it.
+    """
 
     def __init__(self, node: "NodeProcess", end: End):
         self.node, self.end, self.node_send, self.host = node, end, end.node_send, end.peer.machine.address
@@ -145,7 +144,7 @@
 
 
 class NodeProcess(Process):
-    """A node's machine and the process on it. `file_number` is the inode of its source."""
+    """A node's machine and the process on it; `file_number` is the inode of its source."""
 
     system_calls_type = NodeSystemCalls
     file_number = 1
@@ -156,17 +155,17 @@
         return self.answer_loss_odds > 0.0 and self.rng.random() < self.answer_loss_odds
 
     def write_source(self, data: bytes):
-        """Another file is renamed into the source's place."""
+        """Renames a new file into the place of the source."""
         self.file_number += 1
         self.disk.files[SOURCE] = bytearray(data)
 
     def append_source(self, line: bytes):
-        """One line more."""
+        """Appends a line to the source."""
         self.disk.files[SOURCE].extend(line)
 
 
 class ListSource:
-    """The list as the platform has it, written to each node's source. `entries` by endpoint."""
+    """The list as the platform has it, written to each node's source; `entries` by endpoint."""
 
     def __init__(
         self, world, processes: list[NodeProcess], entries: dict[str, dict], delay_range, rng: random.Random
@@ -180,12 +179,12 @@
             process.write_source(self.encode_all())
 
     def encode_all(self) -> bytes:
-        """A source file that holds the list as it is."""
+        """A source file with the whole list."""
         header = {"form": 1, "fleet": FLEET}
         return b"".join(encode(line) for line in (header, *self.entries.values()))
 
     def change(self, entry: dict):
-        """One endpoint is not as before."""
+        """Publishes a changed entry; it reaches each node after a delay, in order."""
         self.change_count += 1
         if entry["state"] == "left":
             self.entries.pop(entry["id"], None)
@@ -198,7 +197,7 @@
             self.world.call_at(at, self._append, process, self.change_count, dict(entry))
 
     def replace(self):
-        """A short file takes the place of each node's, once all changes until now are in it."""
+        """Replaces each node's source by a file without history, once all changes so far are in it."""
         content = self.encode_all()
         for number, process in enumerate(self.processes):
             self.world.call_at(max(self.last_arrival[number], self.world.now), process.write_source, content)
@@ -211,13 +210,13 @@
 
 
 def encode(line: dict) -> bytes:
-    """One line of a source: what a source may say of it, in order."""
+    """One line of a source, with the fields that a source may have, in their order."""
     fields = {name: line[name] for name in SOURCE_FIELDS if name in line}
     return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
 class Nodes:
-    """The nodes of a day, and every trouble of subscriptions."""
+    """The nodes of a run and the troubles of subscriptions."""
 
     def __init__(self, simulation):
         self.simulation, self.world, self.net, self.settings = (
@@ -230,9 +229,7 @@
         self.processes = [self._process(number) for number in range(self.settings.count)]
         self.by_name = {process.name: process for process in self.processes}
         self.serving_node: dict[str, str] = {}  # the node that answered each courier last
-        self.known_by_courier: dict[str, dict[int, set[str]]] = defaultdict(
-            dict
-        )  # what each courier was told
+        self.known_by_courier: dict[str, dict[int, set[str]]] = defaultdict(dict)
         delay_range = tuple(simulation.scenario.platform.late_ms)
         absent = [int(trouble.whom[12:]) for trouble in simulation.troubles if trouble.kind == "publish"]
         entries = {
@@ -251,32 +248,33 @@
         return process
 
     def _begin(self, environ, signal_reader, system):
-        """The real program, as the command line starts it."""
+        """Runs the real program, as the command line does."""
         process = system.process
         leases = LeaseBounds(lease_ms=self.settings.lease_s * 1000.0)
         settings = NodeSettings(SOURCE, process.host, PORT, FLEET, process.name, leases=leases)
         run(settings, signal_reader, system)
 
     def begin(self):
-        """All nodes start."""
+        """Starts all nodes."""
         for process in self.processes:
             self.world.call_at(self.rng.uniform(0.0, START_WITHIN_MS), process.start)
 
     def end(self):
-        """The run is over."""
+        """Kills all nodes at the end of the run."""
         for process in self.processes:
             process.kill()
 
     def courier_settings(self) -> dict:
-        """What a courier's configuration says of them."""
+        """The part of a courier's configuration that names the nodes."""
         if not self.processes:
             return {}
         addresses = [f"{process.host}:{PORT}" for process in self.processes]
         return {"nodes": addresses, "fleet": FLEET, "list_age": self.settings.list_age_s}
 
     def _on_request(self, host: str, subscription: dict):
-        """A courier asks. A request for a new lease names the whole set: what is not in it was given up
-        before."""
+        """A courier sends a request. One for a new lease lists all destinations: those missing were
+        unsubscribed before.
+        """
         courier = self.simulation.courier_by_host[host]
         given_up = subscription["unsubscribe"]
         if subscription["lease"] is None:
@@ -310,7 +308,7 @@
     # Troubles.
 
     def begin_trouble(self, trouble: Trouble):
-        """One trouble of subscriptions begins."""
+        """Starts a trouble of subscriptions with the handler named after its kind."""
         duration = trouble.for_s * 1000.0
         self.world.record("trouble", trouble.kind, trouble.whom, duration)
         getattr(self, "_" + trouble.kind.replace("-", "_"))(trouble, duration)
@@ -325,7 +323,7 @@
         self.world.call_later(max(duration, 1.0), node.start)
 
     def _node_term(self, trouble, duration):
-        """SIGTERM; it is started again after that time, and killed where it has not ended by then."""
+        """Sends SIGTERM; the node is killed if it has not ended by then, and started again."""
         node = self._target_node(trouble)
         node.signal(signal.SIGTERM)
         self.world.record("leaves-service", node.name)
@@ -339,7 +337,7 @@
         self._target_node(trouble).suspend(duration)
 
     def _node_vanish(self, trouble, duration):
-        """Its machine says nothing more: connections stay half-open at the couriers."""
+        """The machine becomes unreachable: couriers keep half-open connections to it."""
         node = self._target_node(trouble)
         machine = self.net.machine(node.host)
         self.net.take_down(machine)
@@ -352,13 +350,13 @@
         node.start()
 
     def _node_cut(self, trouble, duration):
-        """No courier can speak with that node."""
+        """Cuts the node off from all couriers."""
         node = self._target_node(trouble)
         for courier in self.simulation.couriers:
             self._partition_pair(courier, node, duration)
 
     def _node_partition(self, trouble, duration):
-        """A courier cannot speak with the node that serves it; size 2: with no node."""
+        """Cuts a courier off from the node that serves it; with size 2, from all nodes."""
         for courier in self.simulation.targets(trouble):
             serving = self.by_name.get(self.serving_node.get(courier.name, ""), self.processes[0])
             for node in self.processes if trouble.size >= 2.0 else [serving]:
@@ -371,7 +369,7 @@
         self.world.call_later(duration, self.net.set_partition, here, there, False)
 
     def _answers_lost(self, trouble, duration):
-        """Each answer of any node is lost with these odds, and its connection with it."""
+        """Each answer of any node is lost by these odds, together with its connection."""
         for node in self.processes:
             node.answer_loss_odds = trouble.size
             self.world.call_later(duration, setattr, node, "answer_loss_odds", 0.0)
@@ -380,7 +378,7 @@
         self.source.replace()
 
     def _courier_herd(self, trouble, duration):
-        """That share of the couriers is killed at once, and started again with their folders as they are."""
+        """Kills that share of the couriers at once and starts them again with their files."""
         many = max(1, round(trouble.size * len(self.simulation.couriers)))
         for courier in self.rng.sample(self.simulation.couriers, many):
             courier.kill()
@@ -389,14 +387,15 @@
             )
 
     def _publish(self, trouble, duration):
-        """A destination comes into the list."""
+        """Adds a destination to the list."""
         for destination in self.simulation.targets(trouble):
             for endpoint in destination.endpoints:
                 self.simulation.announce(destination, endpoint, "active")
 
     def _withdraw(self, trouble, duration):
-        """All endpoints of a destination are announced as leaving, and have left later; size 0: they have
-        left at once. It is listed again after that time, where one is told."""
+        """Announces that all endpoints of a destination leave, and removes them later (size 0: at once);
+        after `for_s`, if set, they are listed again.
+        """
         gap = LEFT_AFTER_MS if trouble.size else 0.0
         for destination in self.simulation.targets(trouble):
             for endpoint in destination.endpoints:
@@ -411,8 +410,9 @@
 
 @contextmanager
 def unsubscribe_after(seconds: float) -> Iterator[None]:
-    """Couriers give a destination up that long after its last message, in place of the program's own
-    minutes."""
+    """Within the context couriers unsubscribe from a destination this long after its last message, in place
+    of the program's own time.
+    """
     if not seconds:
         yield
         return
--- a/calicopin/emulator/partners.py
+++ b/calicopin/emulator/partners.py
@@ -1,8 +1,8 @@
-"""What a partner does with a call: limits, workers and queues, outages, the cold time after them and
-falling over.
+"""How a partner handles a call: rate limits, workers and queues, outages, the warm-up after them and
+overload.
 
-One `Destination` for each number; it knows nothing of wires, so that the stand-in on the emulated network and
-the fleet mode share it. Written from the platform's protocol page.
+One `Destination` for each destination number. It is independent of the transport, so that the stand-in on the
+emulated network and fleet mode share it. Written from the platform's protocol page.
 """
 
 import heapq
@@ -15,10 +15,10 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What comes back, and when: `after` ms from the arrival (NEVER: nothing).
+    """What is answered, and when: `delay_ms` after the arrival (NEVER: not at all).
 
-    `ran` are the texts that run and when; `lost` ends the connection in place of the answer, `spoilt` garbles
-    it.
+    `processed` are the texts that are carried out, `processed_after_ms` after the arrival; with
+    `drop_connection` the connection is closed in place of the answer, with `corrupt` the answer is garbled.
     """
 
     delay_ms: float
@@ -34,31 +34,35 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One endpoint: where it is reached and how busy its workers are."""
+    """One endpoint: its address and the load of its workers."""
 
     ident: str
     host: str
     zone: str
     state: str = "active"
-    busy_until: list = field(default_factory=list)  # when each busy worker is done
-    queued_starts: deque = field(default_factory=deque)  # of calls that wait in its queue
-    stalled: bool = False  # hangs by itself
-    connections: list = field(default_factory=list)  # its connections, where there is a network
+    busy_until: list = field(default_factory=list)  # when each busy worker is free again
+    queued_starts: deque = field(default_factory=deque)  # when each queued call starts
+    stalled: bool = False  # answers nothing, while others do
+    connections: list = field(default_factory=list)  # empty in fleet mode
 
 
 class RateLimit:
-    """Calls in a sliding window. Refused ones use it up too where the partner counts them."""
+    """A limit of `rate` calls a second over a sliding window of `window` ms; refused calls count too where
+    the partner does so.
+    """
 
     def __init__(self, rate, window, refused_count):
         self.rate, self.window, self.refused_count, self.counted_at = rate, window, refused_count, deque()
 
     def remaining_share(self, now, factor):
+        """The unused share of the limit, scaled by `factor`."""
         while self.counted_at and self.counted_at[0] <= now - self.window:
             self.counted_at.popleft()
         allowed = max(1.0, self.rate * factor * self.window / 1000.0)
         return (allowed - len(self.counted_at)) / allowed
 
     def try_take(self, now, factor):
+        """Counts a call; whether it is within the limit."""
         allowed = self.remaining_share(now, factor) > 1e-9
         if allowed or self.refused_count:
             self.counted_at.append(now)
@@ -68,7 +72,9 @@
 class Destination:
     """One destination and its endpoints.
 
-    `modes` holds the troubles that are on: a count for each kind. `fell` is when it was pushed over."""
+    `active_troubles` counts the troubles in force by kind; `overloaded` is set once too many calls during
+    warm-up have made it fail for good.
+    """
 
     def __init__(self, world, number, spec, rules, endpoints):
         self.world, self.number, self.spec, self.rules, self.endpoints = world, number, spec, rules, endpoints
@@ -83,23 +89,25 @@
             False,
         )
         self.last_report = (-1e12, None)
-        self.limit_factor = 1.0  # of its limit
+        self.limit_factor = 1.0
 
-    # Outages and the cold time.
+    # Outages and warm-up.
 
     def is_out(self):
+        """Whether it is in an outage."""
         return self.overloaded or any(
             self.active_troubles.get(kind) for kind in ("refuse", "hang", "shut", "vanish")
         )
 
     def begin_trouble(self, kind, size=1.0):
-        """A trouble sets in."""
+        """A trouble begins."""
         before = self.is_out()
         self.active_troubles[kind], self.trouble_sizes[kind] = self.active_troubles.get(kind, 0) + 1, size
         if self.is_out() and not before:
             self.outage_since, self.recovered_at, self.couriers_in_outage = self.world.now, None, set()
 
     def end_trouble(self, kind):
+        """A trouble ends; after a long enough outage the warm-up begins."""
         self.active_troubles[kind] -= 1
         if self.outage_since is not None and not self.is_out():
             lasted, self.outage_since = self.world.now - self.outage_since, None
@@ -109,19 +117,19 @@
                 self.world.record("cold", self.number)
 
     def warm_share(self):
-        """The share of its capacity that it has: all of it but for the cold time after an outage."""
+        """The share of its capacity that is available: below 1 only during warm-up."""
         if self.recovered_at is None:
             return 1.0
         passed = (self.world.now - self.recovered_at) / (self.rules.cold_s * 1000.0)
         return min(1.0, self.rules.cold_from + (1.0 - self.rules.cold_from) * passed)
 
     def capacity(self):
-        """Calls a second that it can do when warm."""
+        """Calls a second when warm."""
         throughput = len(self.endpoints) * self.spec.workers * 1000.0 / self.spec.work_ms
         return min(throughput, self.spec.limit) if self.spec.limit else throughput
 
     def check_overload(self, courier):
-        """Counts a call in the cold time; too many in the rule's span fell it."""
+        """Counts a call during warm-up; too many within the rule's window overload the destination."""
         warm_share = self.warm_share()
         if self.recovered_at is None or warm_share >= 1.0:
             return
@@ -135,10 +143,10 @@
             self.overloaded = True
             self.world.record("fell", self.number, len(self.recent_calls), round(limit, 1), informed)
 
-    # One call.
+    # Handling a call.
 
     def handle_call(self, endpoint, courier, idents):
-        """A whole call has arrived with these texts; how it is answered."""
+        """Decides how a call with these texts is answered."""
         now, spec, rng = self.world.now, self.spec, self.rng
         if self.is_out():
             self.couriers_in_outage.add(courier)
@@ -163,12 +171,14 @@
         return self.process_call(endpoint, idents, report)
 
     def refuse(self, wait, limit=None):
+        """The answer to a call that is refused; `wait` in ms (0: none stated)."""
         self.world.record("refused", self.number)
         return Reply(
             self.rng.uniform(1.0, 5.0), 429 if wait else 503, retry_after_ms=wait, load=self.report(limit)
         )
 
     def report(self, limit):
+        """The load report for an answer: none, fresh, or up to 600 ms old."""
         if self.spec.report == "none" or limit is None:
             return None
         now, (reported_at, report) = self.world.now, self.last_report
@@ -181,6 +191,7 @@
         return report
 
     def process_call(self, endpoint, idents, report):
+        """Assigns a call to a worker, and draws how long it takes and how it ends."""
         now, spec, rng = self.world.now, self.spec, self.rng
         while endpoint.busy_until and endpoint.busy_until[0] <= now:
             heapq.heappop(endpoint.busy_until)
@@ -209,7 +220,7 @@
         )
         loss_odds = spec.lose + (self.trouble_sizes["lose"] if self.active_troubles.get("lose") else 0.0)
         if error_odds and rng.random() < error_odds:
-            if len(idents) > 1 and rng.random() < 0.7:  # one text alone fares badly
+            if len(idents) > 1 and rng.random() < 0.7:  # only one of the texts fails
                 reply.states = {ident: "delivered" for ident in idents}
                 failed_ident = rng.choice(idents)
                 reply.states[failed_ident] = rng.choice(["failed", "refused"])
--- a/calicopin/emulator/process.py
+++ b/calicopin/emulator/process.py
@@ -1,8 +1,8 @@
-"""A process of the real program: its greenlet, its system calls, its signals and its ends.
+"""A process that runs the real program: its greenlet, system calls, signals and exits.
 
-The program runs unchanged on `Calls`, which stands where `calicopin.system.System` does. Each call may be the
-last (a kill between any two of them), may find the process stopped, and is counted, so that a loop that never
-waits is found.
+The program runs unchanged on `SystemCalls`, which replaces `calicopin.system.System`. Every system call may
+be the last one (a kill between two calls), may find the process suspended, and is counted, so that a busy
+loop is detected.
 """
 
 import errno
@@ -18,33 +18,32 @@
 from calicopin.emulator.net import Listener
 from calicopin.emulator.world import MONOTONIC_START_MS, WALL_CLOCK_START_MS
 
-MAX_CALLS_PER_INSTANT = (
-    200_000  # calls at one moment of virtual time, from which on it is a loop that never waits
-)
+MAX_CALLS_PER_INSTANT = 200_000  # system calls at one moment of virtual time; beyond it is a busy loop
 
 
 class Killed(BaseException):
-    """SIGKILL: raised at a call, never caught by the program."""
+    """SIGKILL: raised in a system call and never caught by the program."""
 
 
 class BusyLoop(BaseException):
-    """A loop that never waits."""
+    """The program makes system calls in a loop that never waits."""
 
 
 class Handle:
-    """What a descriptor stands for; `mask` is what the poller watches it for."""
+    """What a descriptor refers to; `mask` holds the events that the poller watches it for."""
 
     calls, fd, mask = None, -1, 0
 
     def fileno(self):
+        """The descriptor."""
         return self.fd
 
     def ready(self):
-        """What it is ready for, as epoll's mask."""
+        """The events that are ready, as an epoll mask."""
         return 0
 
     def notify(self):
-        """Something about it has changed."""
+        """Wakes the poller if a watched event is ready."""
         calls = self.calls
         if (
             calls is not None
@@ -56,7 +55,7 @@
 
 
 class Socket(Handle):
-    """One connection as a courier holds it. It never blocks."""
+    """A courier's end of a connection, as a non-blocking socket."""
 
     def __init__(self, calls, end=None):
         self.calls, self.end, self.fd = calls, end, calls.take_fd(self)
@@ -64,21 +63,26 @@
             end.on_change = self.notify
 
     def setblocking(self, _):
+        """Ignored: the socket never blocks."""
         pass
 
     def setsockopt(self, *_):
+        """Ignored."""
         pass
 
     def getsockopt(self, *_):
+        """SO_ERROR."""
         return self.end.error
 
     def connect(self, address):
+        """Starts to connect; raises BlockingIOError."""
         self.calls.enter("connect")
         self.end = self.calls.net.connect(self.calls.machine, *address, lambda result: None)
         self.end.on_change = self.notify
-        raise BlockingIOError(errno.EINPROGRESS, "in progress")
+        raise BlockingIOError(errno.EINPROGRESS, "operation now in progress")
 
     def ready(self):
+        """The events that are ready, as an epoll mask."""
         end = self.end
         if end is None:
             return 0
@@ -94,6 +98,7 @@
         return mask | (select.EPOLLOUT if end.send_window() > 0 or end.reset else 0)
 
     def recv(self, size, flags=0):
+        """Reads up to `size` bytes; b"" at the end. Raises BlockingIOError or ConnectionResetError."""
         self.calls.enter("recv")
         end = self.end
         if end.buffer:
@@ -106,12 +111,15 @@
             end.peer.notify_change()
             return data
         if end.reset:
-            raise ConnectionResetError(errno.ECONNRESET, "reset by the other side")
+            raise ConnectionResetError(errno.ECONNRESET, "connection reset by peer")
         if end.fin:
             return b""
-        raise BlockingIOError(errno.EAGAIN, "nothing yet")
+        raise BlockingIOError(errno.EAGAIN, "no data available")
 
     def send(self, data):
+        """Sends what there is room for and returns the bytes taken. Raises BlockingIOError or
+        BrokenPipeError.
+        """
         calls = self.calls
         end = self.end
         calls.enter("send", (end, data))
@@ -119,19 +127,21 @@
             raise BrokenPipeError(errno.EPIPE, "broken pipe")
         size = min(len(data), end.send_window())
         if size <= 0:
-            raise BlockingIOError(errno.EAGAIN, "no room")
-        if size > 512:  # a system takes less only where its buffer is nearly full
+            raise BlockingIOError(errno.EAGAIN, "send buffer full")
+        if size > 512:  # a kernel takes less only where its buffer is nearly full
             size = calls.maybe_shortened(size)
         end.send(data[:size])
         return size
 
     def shutdown(self, _):
+        """Ends sending. Raises OSError if not connected."""
         self.calls.enter("shutdown")
         if self.end is None or self.end.reset or not self.end.connected:
             raise OSError(errno.ENOTCONN, "not connected")
         self.end.end_sending()
 
     def close(self):
+        """Closes the descriptor and the connection."""
         if self.fd >= 0:
             self.calls.drop_fd(self)
             if self.end is not None:
@@ -147,10 +157,11 @@
         Listener.__init__(self, calls.machine, self.on_connection)
         self.calls, self.port, self.queue, self.fd = calls, port, deque(), calls.take_fd(self)
         if port in calls.machine.listeners:
-            raise OSError(errno.EADDRINUSE, "address in use")
+            raise OSError(errno.EADDRINUSE, "address already in use")
         calls.machine.listeners[port] = self
 
     def on_connection(self, end):
+        """Queues a connection; false where the backlog is full."""
         if len(self.queue) >= self.BACKLOG:
             return False
         self.queue.append(end)
@@ -158,17 +169,20 @@
         return True
 
     def ready(self):
+        """The events that are ready, as an epoll mask."""
         return select.EPOLLIN if self.queue else 0
 
     def accept(self):
+        """The next connection. Raises BlockingIOError where there is none."""
         self.calls.enter("accept")
         if not self.queue:
-            raise BlockingIOError(errno.EAGAIN, "nobody")
-        sock = Socket(self.calls, self.queue[0])  # without a descriptor it stays in the queue
+            raise BlockingIOError(errno.EAGAIN, "no pending connection")
+        sock = Socket(self.calls, self.queue[0])  # stays in the queue if no descriptor is free
         self.queue.popleft()
         return sock, None
 
     def close(self):
+        """Stops listening and resets connections that were not accepted."""
         if self.fd >= 0:
             self.calls.drop_fd(self)
             self.machine.listeners.pop(self.port, None)
@@ -177,51 +191,57 @@
 
 
 class Poller:
-    """epoll with EPOLLONESHOT, as the loop uses it."""
+    """epoll with EPOLLONESHOT, as the event loop uses it."""
 
     def __init__(self, calls):
         self.calls, self.changed = calls, {}
         calls.active_poller = self
 
     def register(self, fd, mask):
+        """Watches a descriptor."""
         handle = self.calls.handles.get(fd)
         if handle is None:
-            raise OSError(errno.EBADF, "no such descriptor")
+            raise OSError(errno.EBADF, "bad file descriptor")
         handle.mask = mask
         self.changed[handle] = True
 
     def modify(self, fd, mask):
+        """Watches a registered descriptor again."""
         handle = self.calls.handles.get(fd)
         if handle is None:
-            raise OSError(errno.EBADF, "no such descriptor")
+            raise OSError(errno.EBADF, "bad file descriptor")
         if not handle.mask:
-            raise FileNotFoundError(errno.ENOENT, "never registered")
+            raise FileNotFoundError(errno.ENOENT, "descriptor was never registered")
         handle.mask = mask
         self.changed[handle] = True
 
     def unregister(self, fd):
+        """Stops watching a descriptor."""
         handle = self.calls.handles.get(fd)
         if handle is not None:
             handle.mask = 0
 
     def mark_changed(self, handle):
+        """Checks a handle at the next poll and wakes the process."""
         self.changed[handle] = True
         self.calls.process.wake()
 
     def collect_ready(self):
-        """What is ready, in the order in which it came to be; each is reported once for each watch."""
+        """Ready descriptors in the order of their changes; each is reported once until it is watched again."""
         events = []
         if self.changed:
             changed, self.changed = self.changed, {}
             for handle in changed:
                 watched = handle.mask & ~select.EPOLLONESHOT
-                ready_mask = handle.ready() & (watched | select.EPOLLERR) if watched and handle.fd >= 0 else 0
-                if ready_mask:
-                    handle.mask = select.EPOLLONESHOT  # registered, and silent until it is watched again
-                    events.append((handle.fd, ready_mask))
+                ready = handle.ready() & (watched | select.EPOLLERR) if watched and handle.fd >= 0 else 0
+                if ready:
+                    # still registered, but not reported until it is watched again
+                    handle.mask = select.EPOLLONESHOT
+                    events.append((handle.fd, ready))
         return events
 
     def poll(self, timeout):
+        """(descriptor, events) of those that are ready, after up to `timeout` s."""
         calls = self.calls
         calls.enter("poll")
         events = self.collect_ready()
@@ -234,7 +254,7 @@
 
 
 class SignalReader(Handle):
-    """Signals, as `lifecycle/signals.py` hears them."""
+    """Pending signals, with the interface of `lifecycle/signals.py`."""
 
     STOPS = (signal.SIGTERM, signal.SIGINT)
 
@@ -242,19 +262,22 @@
         self.calls, self.signs, self.fd = calls, set(), calls.take_fd(self)
 
     def ready(self):
+        """The events that are ready, as an epoll mask."""
         return select.EPOLLIN if self.signs else 0
 
     def deliver(self, number):
+        """Adds a pending signal."""
         self.signs.add(number)
         self.notify()
 
     def heard(self):
+        """The signals since the last call, each once."""
         signs, self.signs = self.signs, set()
         return signs
 
 
 class SystemCalls:
-    """The system calls of one process; OSError as the system raises it."""
+    """The system calls of one process; errors are raised as OSError, as by the system."""
 
     def __init__(self, process, descriptors):
         self.process, self.net, self.machine = process, process.net, process.net.machine(process.host)
@@ -269,7 +292,7 @@
         self.short_odds = process.short_odds
 
     def enter(self, call, data=None):
-        """Every call passes here."""
+        """Accounts for a system call: kills, suspensions and busy loops take effect here."""
         process, world = self.process, self.process.world
         if process.ended:
             raise Killed
@@ -283,14 +306,16 @@
             self.calls_at_instant, self.instant = 0, world.now
         self.calls_at_instant += 1
         if self.calls_at_instant > MAX_CALLS_PER_INSTANT:
-            raise BusyLoop(f"{MAX_CALLS_PER_INSTANT} calls at one moment, the last {call}")
+            raise BusyLoop(f"{MAX_CALLS_PER_INSTANT} system calls without waiting, the last {call}")
 
     def maybe_shortened(self, size):
+        """By the odds, a smaller size: a short read or write."""
         if self.short_odds and size > 1 and self.process.rng.random() < self.short_odds:
             return self.process.rng.randrange(1, size)
         return size
 
     def take_fd(self, handle):
+        """Allocates a descriptor. Raises OSError where too many are open."""
         if len(self.handles) + 3 >= self.max_descriptors:
             raise OSError(errno.EMFILE, "too many open files")
         fd = self.free_fds.pop() if self.free_fds else self.next_fd
@@ -299,88 +324,108 @@
         return fd
 
     def drop_fd(self, handle):
+        """Frees a descriptor."""
         self.handles.pop(handle.fd, None)
         self.free_fds.append(handle.fd)
         handle.fd, handle.mask = -1, 0
 
-    # As calicopin.system.System has them.
+    # The interface of calicopin.system.System.
 
     def now(self):
+        """The monotonic clock in ms."""
         return MONOTONIC_START_MS + self.process.world.now
 
     def wall(self):
+        """The wall clock in ms."""
         return WALL_CLOCK_START_MS + self.process.world.now + self.process.world.wall_clock_offset
 
     def boot(self):
+        """An id of the machine's boot."""
         return f"{self.machine.address}/{self.machine.boot_count}"
 
     def pause(self, span):
+        """Sleeps for `span` ms."""
         self.enter("pause")
         self.process.sleep(span, False)
 
     def poller(self):
+        """A new poller."""
         return Poller(self)
 
     def listen(self, _, port):
+        """A listening socket."""
         self.enter("listen")
         return ListeningSocket(self, port)
 
     def stream(self):
+        """A new socket."""
         self.enter("socket")
         return Socket(self)
 
     def settle(self):
+        """The program has been loaded; nothing to do here."""
         pass
 
     def read(self, path):
+        """The contents of a file."""
         self.enter("read")
         return self.process.disk.read(path)
 
     def create(self, path):
+        """Creates or truncates a file and returns its descriptor."""
         self.enter("create")
         file = self.process.disk.create(path)
         fd = self.take_fd(file)
         return fd
 
     def write(self, file, data):
+        """Writes to a file and returns the bytes written."""
         self.enter("write", (file, data))
         if self.process.disk.write_delay_ms:
             self.process.sleep(self.process.disk.write_delay_ms, False)
         return self.process.disk.write(self.handles[file], bytes(data))
 
     def cut(self, file, size):
+        """Truncates a file to `size` bytes."""
         self.enter("cut")
         del self.handles[file][size:]
 
     def replace(self, old, new):
+        """Renames a file over another."""
         self.enter("replace")
         files = self.process.disk.files
         files[new] = files.pop(old)
 
     def names(self, folder):
+        """The names in a directory."""
         self.enter("names")
         return [path[len(folder) + 1 :] for path in self.process.disk.files if path.startswith(f"{folder}/")]
 
     def remove(self, path):
+        """Deletes a file."""
         self.enter("remove")
         del self.process.disk.files[path]
 
     def sync(self, file):
+        """fsync of a file; raises OSError by the odds."""
         self.enter("sync")
         if self.process.disk.error_odds and self.process.rng.random() < self.process.disk.error_odds:
             raise OSError(errno.EIO, "input/output error")
 
     def sync_folder(self, path):
+        """fsync of a directory."""
         self.sync(path)
 
     def close(self, file):
+        """Closes a file."""
         if self.handles.pop(file, None) is not None:
             self.free_fds.append(file)
 
 
 class Process:
-    """A courier's machine and the process that runs on it; `begin(environ, signal_reader, system)` is the
-    real program.
+    """A machine and the process that runs on it; `begin(environ, signal_reader, system)` is the program.
+
+    `pass_ms` is the longest time that one pass of the event loop takes.
     """
 
     system_calls_type = SystemCalls
@@ -405,13 +450,12 @@
             False,
         )
         self.suspended_until = 0.0
-        self.start_count = 0  # of starts
-        self.planned_kills, self.on_killed_in_call = (
-            deque(),
-            None,
-        )  # calls at which its next processes are killed; what starts the one after
+        self.start_count = 0
+        # call counts at which the next processes are killed; callback after such a kill
+        self.planned_kills, self.on_killed_in_call = deque(), None
 
     def start(self):
+        """Starts the program unless it runs."""
         if not self.ended:
             return
         self.ended, self.suspended_until, self.start_count = False, 0.0, self.start_count + 1
@@ -432,7 +476,7 @@
         except BusyLoop as error:
             self._end("busy", str(error))
         except Exception as error:
-            logger.opt(exception=True).debug("the program ended by a fault")
+            logger.opt(exception=True).debug("the program ended with an uncaught exception")
             self._end("crash", f"{type(error).__name__}: {error}")
 
     def _resume(self, serial):
@@ -447,7 +491,7 @@
                 current.process = previous
 
     def sleep(self, ms, wakeable):
-        """Gives the world back its turn."""
+        """Suspends the greenlet for `ms` of virtual time; `wakeable` sleeps end early by `wake`."""
         self.wakeable = wakeable
         self.world.call_later(ms, self._resume, self.resume_serial)
         greenlet.getcurrent().parent.switch()
@@ -457,29 +501,31 @@
             self.sleep(self.suspended_until - self.world.now, False)
 
     def wake(self):
+        """Ends a wakeable sleep."""
         if self.wakeable:
             self.wakeable = False
             self.world.call_later(0.0, self._resume, self.resume_serial)
 
-    # Signals and ends.
+    # Signals and exits.
 
     def signal(self, number):
+        """Sends a signal to the program."""
         if not self.ended and self.signal_reader is not None:
             self.signal_reader.deliver(number)
 
     def suspend(self, ms):
-        """SIGSTOP for so long."""
+        """SIGSTOP for `ms`."""
         if not self.ended:
             self.suspended_until = self.world.now + ms
             self.world.record("stands", self.name, ms)
 
     def kill_after_calls(self, count):
-        """SIGKILL at the call that lies so many ahead."""
+        """SIGKILL in the system call that is `count` calls ahead."""
         if not self.ended:
             self.calls.kill_at = self.calls.call_count + max(1, count)
 
     def killed_in_call(self, call, data):
-        """Killed in a call: of what it was writing a part may be in the file or on its way."""
+        """Ends the process inside a system call; a write or send may have taken effect in part."""
         if call == "write":
             file, data = data
             written = self.rng.randrange(len(data) + 1)
@@ -491,7 +537,7 @@
             self.on_killed_in_call(self)
 
     def kill(self):
-        """SIGKILL where it waits."""
+        """SIGKILL while it waits."""
         if not self.ended:
             self._end("killed", "where it waits")
             self.resume_serial += 1
@@ -500,7 +546,7 @@
                 target.throw(Killed)
 
     def _end(self, how, detail=""):
-        """The kernel closes what was open."""
+        """Records the end; the kernel closes what was open."""
         self.ended = True
         self.world.record("end", self.name, how, detail)
         self.calls.kill_at = -1
@@ -513,7 +559,7 @@
 
 
 class Current:
-    """Which process runs now: whose lines the log gets."""
+    """The process that runs now; log lines are attributed to it."""
 
     process = None
 
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -1,6 +1,4 @@
-"""Many runs: seeds spread over processes, and one that fails made smaller for as long as the same rule
-breaks.
-"""
+"""Many runs: seeds spread over processes, and a failing run reduced as long as the same rule is broken."""
 
 import multiprocessing
 import signal
@@ -9,7 +7,7 @@
 
 from loguru import logger
 
-from calicopin.emulator import faults, list_faults  # noqa: F401  the latter adds its faults to the others
+from calicopin.emulator import faults, list_faults  # noqa: F401  list_faults registers its faults
 from calicopin.emulator.list_referee import judge
 from calicopin.emulator.nodes import unsubscribe_after
 from calicopin.emulator.referee import Referee
@@ -17,12 +15,12 @@
 from calicopin.emulator.simulation import Simulation
 from calicopin.lifecycle.start import serve
 
-MAX_RUN_CPU_S = 300  # seconds of CPU for one run: beyond that a loop that asks for nothing never ends
+MAX_RUN_CPU_S = 300  # beyond it the program is taken to loop without system calls
 
 
 @dataclass(slots=True)
 class Result:
-    """What one run came to. `cpu` is in seconds."""
+    """The result of one run; `cpu` is in seconds."""
 
     scenario: str
     seed: int
@@ -33,15 +31,15 @@
     figures: dict = field(default_factory=dict)
     events: int = 0
     kills: tuple = ()
-    starts: int = 0  # of the first courier's processes
+    starts: int = 0  # processes of the first courier
 
 
 class CpuLimitExceeded(BaseException):
-    """A loop without a single system call."""
+    """The program loops without a system call."""
 
 
 def with_cpu_limit(play):
-    """Calls `play` under a limit of CPU time, where signals can be had."""
+    """Calls `play` under a limit of CPU time, where signals are available."""
 
     def on_alarm(*_):
         raise CpuLimitExceeded
@@ -59,7 +57,7 @@
 
 
 def play(scenario, seed, fault=None, troubles=None, texts=None, kills=()):
-    """One run: (the day, its referee, the CPU it took)."""
+    """Plays one run: (simulation, referee, CPU seconds)."""
     started = time.process_time()
     with faults.put_in(fault), unsubscribe_after(scenario.nodes.given_up_s):
         simulation = Simulation(scenario, seed, serve, troubles, texts, kills)
@@ -67,13 +65,13 @@
             with_cpu_limit(simulation.play)
         except CpuLimitExceeded:
             simulation.world.record(
-                "end", "a courier", "busy", f"{MAX_RUN_CPU_S} s of CPU at one moment, without a system call"
+                "end", "a courier", "busy", f"{MAX_RUN_CPU_S} s of CPU without a system call"
             )
     return simulation, judge(simulation, Referee(simulation)), time.process_time() - started
 
 
 def run_job(job):
-    """One run as a process of the pool plays it."""
+    """Plays one job in a process of the pool."""
     name_or_path, seed, fault, kills = job
     logger.remove()
     scenario = load(name_or_path)
@@ -93,7 +91,7 @@
 
 
 def run_jobs(jobs, processes, on_result=lambda result: None):
-    """Results as they come; `jobs` are (scenario, seed, fault, kills)."""
+    """Plays jobs of (scenario, seed, fault, kills) and passes each result to `on_result` as it comes."""
     if processes == 1:
         for job in jobs:
             on_result(run_job(job))
@@ -108,9 +106,11 @@
 
 
 def shrink(scenario, seed, fault=None, on_progress=lambda line: None, max_runs=200):
-    """The smallest run found in which the same rule breaks: (troubles, texts, the break).
+    """The smallest run found that breaks the same rule: (troubles, texts, violation); None if no rule is
+    broken.
 
-    First troubles are left out, then texts, in ever smaller parts; `most` runs are played."""
+    First troubles, then texts are left out, in ever smaller parts; at most `max_runs` runs are played.
+    """
     simulation, referee, _ = play(scenario, seed, fault)
     if not referee.breaks:
         return None
@@ -143,7 +143,7 @@
                     items, any_left_out = rest, True
                 else:
                     start += size
-            on_progress(f"{len(items)} left, parts of {size}, {runs_left[0]} runs to go")
+            on_progress(f"{len(items)} left, in parts of {size}, {runs_left[0]} runs remaining")
             if size == 1 and not any_left_out:
                 break
             size = max(1, size // 2)
--- a/calicopin/emulator/scenario.py
+++ b/calicopin/emulator/scenario.py
@@ -1,8 +1,7 @@
-"""Scenario files: the parties, their traffic and their troubles, read from TOML and checked before
-anything begins.
+"""Scenario files: the parties, their traffic and their troubles, read from TOML and validated before a run.
 
-A file that cannot be read is one line that names the file and the place, as `ScenarioError`. Times in it are
-seconds or milliseconds, as each key says (`_s`, `_ms`); shares and odds lie between 0 and 1.
+A file that cannot be used raises `ScenarioError` with one line that names the file and the place. Times are
+seconds or milliseconds by the suffix of the key (`_s`, `_ms`); shares and odds lie between 0 and 1.
 """
 
 import os
@@ -13,7 +12,7 @@
 from msgspec import Meta, Struct
 
 SCENARIO_DIRECTORY = Path(__file__).parent / "scenarios"
-MAX_FILE_BYTES = 1 << 20  # bytes of a file
+MAX_FILE_BYTES = 1 << 20
 
 Odds = Annotated[float, Meta(ge=0.0, le=1.0)]
 NonNegativeInt = Annotated[int, Meta(ge=0)]
@@ -22,7 +21,7 @@
 Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
 Name = Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,40}$")]
 Milliseconds = Annotated[float, Meta(ge=0.0, le=60000.0)]
-MillisecondRange = tuple[Milliseconds, Milliseconds]  # the least and the most
+MillisecondRange = tuple[Milliseconds, Milliseconds]  # lowest and highest
 
 PARTNER_TROUBLES = (
     "refuse",
@@ -63,7 +62,7 @@
     "clock",
     "roll",
 )
-DESTINATION_TROUBLES = ("publish", "withdraw")  # of the list that discovery nodes read
+DESTINATION_TROUBLES = ("publish", "withdraw")  # changes of the list that discovery nodes read
 NODE_TROUBLES = ("node-kill", "node-term", "node-stand", "node-vanish", "node-cut")
 SUBSCRIPTION_TROUBLES = (
     *DESTINATION_TROUBLES,
@@ -72,7 +71,7 @@
     "source-replaced",
     "courier-herd",
     "answers-lost",
-)  # only where there are discovery nodes
+)  # need discovery nodes
 TROUBLES_SIZED_AS_SHARE = (
     "errors",
     "lose",
@@ -82,22 +81,25 @@
     "disk-short",
     "courier-herd",
     "answers-lost",
-)  # whose size is one
+)  # their `size` is a share
 TROUBLES = PARTNER_TROUBLES + COURIER_TROUBLES + WORLD_TROUBLES + SUBSCRIPTION_TROUBLES
 
 
 class ScenarioError(Exception):
-    """A scenario that cannot be used, with one line that names file and place."""
+    """A scenario that cannot be used; the message is one line with the file and the place."""
 
 
 class Table(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table of a scenario's file; a field that it does not know is a fault."""
+    """A table of a scenario file; unknown fields are an error."""
 
 
 class Couriers(Table):
-    """`front` deals clients out to any courier; without it each client sits beside one.
+    """The couriers and their limits.
 
-    `lists`: whether an agent beside each courier is sent the list of partners, or discovery is asked for it.
+    With `front` each submission goes to any courier; without it each client stays with one. `lists` says
+    whether couriers are sent the list of partners by an agent or ask discovery for it. `held` is the most
+    texts that a courier holds, `pass_ms` the longest pass of its event loop, `short` the odds of a short read
+    or write.
     """
 
     count: Count = 2
@@ -116,12 +118,14 @@
     advice_s: Duration = 2.0
     settle_ms: Duration = 700.0
     store: Literal["file", "segments"] = "file"
-    scrape_s: Duration = 0.0  # how often operators read each courier's figures; 0: there is no admin address
-    holders: NonNegativeInt = 0  # operators' connections with half a call, at any moment
+    scrape_s: Duration = 0.0  # interval at which operators read the statistics; 0: no admin address
+    holders: NonNegativeInt = 0  # connections that operators hold open with an incomplete request
 
 
 class Rules(Table):
-    """The rule on returning destinations, and how long after a drain was told a call may still begin."""
+    """The rule on calls to destinations after an outage, and how long after a drain was announced a call may
+    still begin.
+    """
 
     cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.2
     cold_s: Positive = 10.0
@@ -131,7 +135,9 @@
 
 
 class Product(Table):
-    """A kind of text: whether it may be repeated, its times, what it earns and its share of the traffic."""
+    """A class of texts: whether they may be repeated, their times, their revenue and their share of the
+    traffic.
+    """
 
     name: Name
     repeat: Literal["resendable", "referenced", "once-only"]
@@ -147,16 +153,14 @@
 
 
 class Partner(Table):
-    """`destinations` of one make, each with so many endpoints.
+    """Destinations of the same make, each with `endpoints` endpoints.
 
-    `limit` is calls a second of all couriers (0: none).
+    `limit` is in calls a second by all couriers (0: none).
     """
 
     name: Name
     destinations: Count = 1
-    endpoints: Annotated[int, Meta(ge=1, le=1250)] = (
-        2  # of each destination; bounded by the addresses that a day has for them
-    )
+    endpoints: Annotated[int, Meta(ge=1, le=1250)] = 2  # the most for which there are addresses
     share: Positive = 1.0
     work_ms: Positive = 200.0
     work_cv: Annotated[float, Meta(ge=0.0, le=5.0)] = 0.5
@@ -180,7 +184,7 @@
 
 
 class Traffic(Table):
-    """Texts a second over all couriers; `tail` is the exponent of the destinations' shares (0: even)."""
+    """Texts a second over all couriers; `tail` is the exponent of the destinations' shares (0: equal)."""
 
     texts: Positive = 40.0
     shape: Literal["poisson", "bursts", "ramp"] = "poisson"
@@ -194,7 +198,9 @@
 
 
 class Net(Table):
-    """The network: latency among couriers and to partners, bandwidth, odds that data comes in pieces."""
+    """The network: latency among couriers and to partners, bandwidth, and the odds that data arrives in
+    pieces.
+    """
 
     latency_ms: MillisecondRange = (0.5, 3.0)
     partner_ms: MillisecondRange = (5.0, 25.0)
@@ -203,9 +209,9 @@
 
 
 class Platform(Table):
-    """`late_ms`: how long a change takes to reach a courier; `stale`: odds that a start finds an old list;
-    `told`: whether a change counts as told once it is written to the courier, or once its agent has it,
-    watch or none, also before a start.
+    """`late_ms`: how long a change takes to reach an agent; `stale`: the odds that a courier starts with an
+    old list; `told`: whether a change counts as known once it was read by the courier (`written`) or once
+    its agent has it (`had`), with or without a watch, also before a start.
     """
 
     late_ms: MillisecondRange = (300.0, 1500.0)
@@ -214,8 +220,10 @@
 
 
 class Nodes(Table):
-    """Discovery nodes; with some, couriers subscribe to the destinations that they use. `given_up_s`: how
-    long after its last message a destination is given up (0: as the program has it)."""
+    """Discovery nodes; with any, couriers subscribe to the destinations that they use.
+
+    `given_up_s`: how long after its last message a destination is unsubscribed (0: the program's own time).
+    """
 
     count: Annotated[int, Meta(ge=0, le=16)] = 0
     lease_s: Annotated[float, Meta(ge=5.0, le=3600.0)] = 30.0
@@ -224,8 +232,8 @@
 
 
 class Trouble(Table):
-    """One fault: when it begins, how long it lasts, whom it meets (`partner:NAME`, `destination:N`,
-    `courier:N` or any) and how hard.
+    """One fault: when it begins, how long it lasts, whom it affects (`partner:NAME`, `destination:N`,
+    `courier:N`, `node:N` or any) and its size.
     """
 
     kind: Literal[TROUBLES]
@@ -236,16 +244,16 @@
 
 
 class Mixed(Table):
-    """A day that the seed draws: so many troubles of these kinds."""
+    """Troubles drawn by the seed: how many, and of which kinds."""
 
     troubles: Annotated[int, Meta(ge=1, le=100)] = 4
     kinds: tuple[Literal[TROUBLES], ...] = tuple(
         kind for kind in TROUBLES if kind != "quiesce" and kind not in SUBSCRIPTION_TROUBLES
-    )  # these need an admin address, or discovery nodes
+    )  # the excluded kinds need an admin address or discovery nodes
 
 
 class Scenario(Table, kw_only=True):
-    """A scenario as its file tells it; the seed draws the rest."""
+    """A scenario as its file states it."""
 
     version: Literal[1]
     name: Name
@@ -263,7 +271,7 @@
     mixed: Mixed | None = None
 
     def destinations(self):
-        """(number, partner, rank in its make) of each destination."""
+        """(number, partner, rank among the partner's destinations) of each destination."""
         number = 0
         for partner in self.partner:
             for rank in range(partner.destinations):
@@ -272,7 +280,7 @@
 
 
 def party(kind):
-    """Whom a kind of trouble meets; None where it is nobody of one kind."""
+    """The kind of party that a trouble affects; None if it is not one kind."""
     if kind in COURIER_TROUBLES or kind == "node-partition":
         return "courier"
     if kind in PARTNER_TROUBLES or kind in DESTINATION_TROUBLES:
@@ -281,7 +289,7 @@
 
 
 def check(scenario, source):
-    """What the types cannot say; the first fault is raised."""
+    """Validates what the types cannot express; raises ScenarioError for the first error."""
 
     def fail(place, reason):
         raise ScenarioError(f"{source}: {place}: {reason}")
@@ -290,36 +298,39 @@
         table_names = [table.name for table in tables]
         for name in table_names:
             if table_names.count(name) > 1:
-                fail(f"{kind_name} {name!r}", "the name stands twice")
+                fail(f"{kind_name} {name!r}", "the name is used twice")
     for product in scenario.product:
         if product.sla_s > product.validity_s:
             fail(f"product {product.name!r}: sla_s", "is longer than validity_s")
         if product.repeat == "referenced" and not product.memory_s:
             fail(
-                f"product {product.name!r}: memory_s", "a referenced product needs how long partners remember"
+                f"product {product.name!r}: memory_s",
+                "a referenced product needs the time for which partners remember a reference",
             )
     for partner in scenario.partner:
         if partner.wait_ms[0] > partner.wait_ms[1]:
-            fail(f"partner {partner.name!r}: wait_ms", "the first is over the second")
+            fail(f"partner {partner.name!r}: wait_ms", "the first value is greater than the second")
     if scenario.traffic.body[0] > scenario.traffic.body[1] or scenario.traffic.body[1] > 65536:
         fail("traffic: body", "two sizes, the smaller one first, at most 65536")
     count = sum(partner.destinations for partner in scenario.partner)
     for number, trouble in enumerate(scenario.trouble):
         place = f"trouble {number + 1} ({trouble.kind})"
         if trouble.at_s >= scenario.length_s:
-            fail(f"{place}: at_s", f"{trouble.at_s:g} lies behind the end of the run, {scenario.length_s:g}")
+            fail(
+                f"{place}: at_s", f"{trouble.at_s:g} lies behind the end of the run at {scenario.length_s:g}"
+            )
         if trouble.size < 0.0 and trouble.kind != "clock":
-            fail(f"{place}: size", f"{trouble.size:g} is negative, which only a clock's step may be")
+            fail(f"{place}: size", f"{trouble.size:g} is negative, which only a clock step may be")
         if trouble.kind in TROUBLES_SIZED_AS_SHARE and trouble.size > 1.0:
             fail(f"{place}: size", f"{trouble.size:g} is a share, so at most 1")
         if trouble.kind == "quiesce" and not scenario.couriers.scrape_s:
-            fail(f"{place}: kind", "couriers have an admin address only where couriers.scrape_s is told")
+            fail(f"{place}: kind", "couriers have an admin address only where couriers.scrape_s is set")
         kind, _, name = trouble.whom.partition(":")
         if trouble.kind in SUBSCRIPTION_TROUBLES and not scenario.nodes.count:
-            fail(f"{place}: kind", "there are discovery nodes only where nodes.count is told")
+            fail(f"{place}: kind", "there are discovery nodes only where nodes.count is set")
         expected = party(trouble.kind)
         if trouble.kind == "publish" and kind != "destination":
-            fail(f"{place}: whom", "a destination that comes is named by its number, destination:N")
+            fail(f"{place}: whom", "a published destination is named by its number, destination:N")
         if kind == "any" and not name:
             continue
         if kind == "partner" and name in [partner.name for partner in scenario.partner]:
@@ -342,9 +353,9 @@
 
 
 def parse(data, source):
-    """A scenario from the bytes of its file; ScenarioError with one line otherwise."""
+    """The scenario in the bytes of a file. Raises ScenarioError."""
     if len(data) > MAX_FILE_BYTES:
-        raise ScenarioError(f"{source}: over {MAX_FILE_BYTES} bytes: this is no scenario")
+        raise ScenarioError(f"{source}: over {MAX_FILE_BYTES} bytes: this is no scenario file")
     try:
         text = data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
@@ -364,7 +375,7 @@
 
 
 def load(name_or_path):
-    """One by its name, or by its file's."""
+    """A scenario by its name or by the path of its file. Raises ScenarioError."""
     path = (
         SCENARIO_DIRECTORY / f"{name_or_path}.toml"
         if os.path.sep not in name_or_path and not name_or_path.endswith(".toml")
@@ -381,5 +392,5 @@
 
 
 def dump(scenario):
-    """A scenario as TOML, without what stands at its default."""
+    """A scenario as TOML, without fields at their defaults."""
     return msgspec.toml.encode(scenario).decode()
--- a/calicopin/emulator/simulation.py
+++ b/calicopin/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""One run: the parties of a scenario put into a world, its traffic and its troubles, played to the end."""
+"""One run: the parties of a scenario in one world, with their traffic and troubles, played to the end."""
 
 import gc
 import json
@@ -21,8 +21,8 @@
 from calicopin.emulator.standins import Clients, DiscoveryService, Operator, Partners, PlatformAgent
 from calicopin.emulator.world import World
 
-CLIENTS_START_MS = 1000.0  # couriers start, clients come after it
-RUN_OUT_MS = 1500.0  # beyond the last validity period
+CLIENTS_START_MS = 1000.0  # time for the couriers to start
+RUN_OUT_MS = 1500.0  # after the end of the last validity period
 IDEMPOTENCY_OF_REPEAT = {
     "resendable": "read_like",
     "referenced": "idempotency_key",
@@ -31,7 +31,7 @@
 
 
 def settings(scenario, number):
-    """The settings of one courier, as the platform tells them."""
+    """The settings of one courier, in the form in which the platform gives them."""
     couriers, rules = scenario.couriers, scenario.rules
     grades = [
         dict(
@@ -93,7 +93,7 @@
 
 
 def arrivals(scenario, world):
-    """The texts of a run, in the order in which they are due: the same whatever the couriers do."""
+    """The texts of a run in the order in which they are due; they don't depend on what the couriers do."""
     traffic, rng = scenario.traffic, world.random_stream("traffic")
     weights, now, number, texts = traffic_shares(scenario), 0.0, 0, []
     products, mix = scenario.product, [product.share for product in scenario.product]
@@ -139,7 +139,7 @@
 
 
 def draw_troubles(scenario, world):
-    """The troubles of a run: those that are written down, and those that the seed draws."""
+    """The troubles of a run: those of the scenario and those drawn by the seed."""
     troubles = list(scenario.trouble)
     if scenario.mixed:
         rng = world.random_stream("troubles")
@@ -171,10 +171,10 @@
 
 
 class Simulation:
-    """A scenario and a seed, played by `play`; the trace lies in `world.trace`.
+    """A scenario and a seed, run by `play`; the trace is in `world.trace`.
 
-    `begin` is the program under test. `kills` are the numbers of system calls at which the first courier's
-    processes end, one after the other.
+    `begin` is the program under test. `kills` are the system calls, by number, in which successive processes
+    of the first courier are killed.
     """
 
     def __init__(self, scenario, seed, begin, troubles=None, texts=None, kills=()):
@@ -299,6 +299,7 @@
         process.initial_list = platform.snapshot()
 
     def config(self, process, platform, **other):
+        """The configuration file of a courier."""
         couriers, seed = (
             self.scenario.couriers,
             zlib.crc32(f"{self.seed}/{process.name}/{process.start_count}".encode()),
@@ -316,6 +317,7 @@
         return json.dumps(config | self.nodes.courier_settings() | other).encode()
 
     def start(self, process):
+        """Writes the configuration and starts a courier that has ended."""
         if process.ended:
             platform = self.platforms[process.name]
             stale = self.scenario.platform.stale and self.rng.random() < self.scenario.platform.stale
@@ -327,7 +329,7 @@
             self.world.call_later(1.0, self.check_ready, process, process.start_count)
 
     def check_ready(self, process, number):
-        """The platform sees that it listens."""
+        """Records when the courier listens, as the platform's readiness check would see it."""
         if process.start_count == number and not process.ended:
             if 5000 in self.net.machine(process.host).listeners:
                 self.world.record("ready", process.name)
@@ -337,7 +339,7 @@
     # Troubles.
 
     def targets(self, trouble):
-        """The destinations or couriers that a trouble meets."""
+        """The destinations or couriers that a trouble affects."""
         kind, _, name = trouble.whom.partition(":")
         if trouble.kind in PARTNER_TROUBLES or trouble.kind in ("publish", "withdraw"):
             if kind == "partner":
@@ -354,7 +356,8 @@
         return [self.rng.choice(self.couriers)]
 
     def begin_trouble(self, trouble):
-        if trouble.kind in ("burst", "clump"):  # in the traffic
+        """Starts a trouble with the handler named after its kind."""
+        if trouble.kind in ("burst", "clump"):  # already part of the traffic
             return
         if trouble.kind in SUBSCRIPTION_TROUBLES:
             self.nodes.begin_trouble(trouble)
@@ -402,7 +405,7 @@
         self.world.call_later(duration, setattr, endpoint, "stalled", False)
 
     def _drain(self, destination, trouble, duration):
-        """An endpoint leaves, and another may come in its place at once."""
+        """Announces that an endpoint leaves; it has left 6 s after the trouble's time."""
         endpoint = self.rng.choice(destination.endpoints)
         if endpoint.state != "active" or sum(e.state == "active" for e in destination.endpoints) < 2:
             return
@@ -427,12 +430,13 @@
         self._drain(destination, trouble, duration)
 
     def announce(self, destination, endpoint, state):
+        """Publishes a change of the list to all agents and nodes."""
         for platform in self.platforms.values():
             platform.publish_change(self._entry(endpoint, destination, state))
         self.nodes.source.change(self._entry(endpoint, destination, state))
 
     def _kill(self, courier, trouble, duration):
-        """At a call of its own choosing within the next few."""
+        """Kills the courier in one of its next 400 system calls."""
         courier.kill_after_calls(self.rng.randrange(1, 400))
         self.world.call_later(
             max(duration, self.scenario.couriers.restart_ms), self._restart_killed, courier, trouble
@@ -441,10 +445,10 @@
     def _restart_killed(self, courier, trouble):
         if courier.ended:
             self.start(courier)
-            if trouble.size >= 2.0 and trouble.kind == "kill":  # and again while it recovers
+            if trouble.size >= 2.0 and trouble.kind == "kill":  # killed again during recovery
                 courier.kill_after_calls(self.rng.randrange(1, 40))
                 self.world.call_later(self.scenario.couriers.restart_ms, self.start, courier)
-        elif trouble.kind in ("kill", "lose-machine"):  # it had little to do: killed where it waits
+        elif trouble.kind in ("kill", "lose-machine"):  # too few system calls: killed while waiting
             courier.kill()
             self.world.call_later(self.scenario.couriers.restart_ms, self.start, courier)
 
@@ -459,9 +463,7 @@
         self.world.call_later(self.scenario.couriers.restart_ms, self.start, courier)
 
     def _roll(self, trouble, duration):
-        """All couriers are restarted, one after the other over that time: one is told to end, the next one
-        killed outright.
-        """
+        """Restarts all couriers one after the other: every second one is killed, the others get SIGTERM."""
         for place, courier in enumerate(self.couriers):
             self.world.call_later(
                 duration * place / len(self.couriers), self._restart, courier, place % 2 == 1
@@ -482,14 +484,12 @@
         self.world.call_later(duration, self.operator.call, courier, "resume", "POST")
 
     def _record_idle_connections(self, courier, number, duration):
-        """What clients still hold there 4 s after the call."""
+        """Records how many connections clients hold to the courier 4 s after it was told to drain."""
         if courier.start_count == number and not courier.ended and duration > 4000.0:
             self.world.record("emptied", courier.name, len(self.clients.idle[courier.name]))
 
     def scrape(self, courier):
-        """An operator's round, for as long as the run lasts; the holders' connections end and begin with
-        it.
-        """
+        """An operator's round, repeated until the end: reads the statistics and renews the held connections."""
         if not courier.ended:
             self.operator.call(courier, "stats")
             for _ in range(self.scenario.couriers.holders):
@@ -509,7 +509,7 @@
         courier.suspend(min(duration, 4000.0) * trouble.size)
 
     def _lose_machine(self, courier, trouble, duration):
-        """Process, machine and folder are gone; it comes back empty."""
+        """The machine is lost with its process and files, and comes back empty."""
         courier.kill()
         self.net.take_down(self.net.machine(courier.host))
         courier.disk.clear()
@@ -540,7 +540,7 @@
         self._disk(courier, duration, write_delay_ms=trouble.size)
 
     def _partition(self, trouble, duration):
-        """A courier and one destination's machines cannot speak."""
+        """Cuts a courier off from all endpoints of one destination."""
         courier = self.rng.choice(self.couriers)
         destination = self.rng.choice(list(self.destinations.values()))
         here = self.net.machine(courier.host)
@@ -554,7 +554,7 @@
         self.world.call_later(duration, setattr, self.net, "latency_factor", 1.0)
 
     def _resets(self, trouble, duration):
-        """Connections to partners are reset one after the other."""
+        """Resets connections to partners, one after the other."""
         until = self.world.now + duration
 
         def reset_next():
@@ -586,7 +586,7 @@
         self.world.call_later(duration, setattr, self.discovery, "work_ms", 0.0)
 
     def _platform_cut(self, trouble, duration):
-        """Agents are gone: not even notices are heard."""
+        """The agents stop listening: no list and no notices get through."""
         for platform in self.platforms.values():
             platform.machine.listeners.clear()
             for end in list(platform.machine.ends):
@@ -604,6 +604,7 @@
     # The run.
 
     def length_ms(self):
+        """How long the run lasts, in ms."""
         return (
             CLIENTS_START_MS
             + self.scenario.length_s * 1000.0
@@ -612,8 +613,8 @@
         )
 
     def play(self):
-        """To its end; returns the world."""
-        # what another program in this process left behind would else end, and log, in the middle of the run
+        """Plays the run to its end and returns the world."""
+        # collects objects of earlier runs now: their finalizers would log during this one
         gc.collect()
         collecting = gc.isenabled()
         gc.disable()
@@ -640,11 +641,10 @@
         return self.world
 
     def log(self, message):
-        """A courier's line; one with a fault behind it is noted for the referee."""
+        """Keeps a courier's log line; one with an exception, unless an OSError, is recorded for the referee."""
         record, process = message.record, current.process
-        if (
-            process is None or process not in self.couriers + self.nodes.processes
-        ):  # none of this run's: another program in this process
+        # lines of anything else in this interpreter are not part of the run
+        if process is None or process not in self.couriers + self.nodes.processes:
             return
         name = process.name
         self.log_lines.append((self.world.now, name, record["level"].name, record["message"]))
--- a/calicopin/emulator/standins/__init__.py
+++ b/calicopin/emulator/standins/__init__.py
@@ -1,7 +1,8 @@
-"""The other parties on the emulated network: partners' endpoints, the platform's agent, and clients.
+"""The other parties on the emulated network: partners' endpoints, the platform's agents, clients and
+operators.
 
-They speak HTTP/1.1 by httptools, another reading of it than the courier's h11, and note down for the referee
-what passed: nothing in those notes comes from inside a courier.
+They parse HTTP/1.1 with httptools, an implementation independent of the courier's h11, and record for the
+referee what they observe; nothing in those records comes from inside a courier.
 """
 
 from calicopin.emulator.standins.clients import Clients
--- a/calicopin/emulator/standins/clients.py
+++ b/calicopin/emulator/standins/clients.py
@@ -1,4 +1,4 @@
-"""Clients that hand texts in to couriers, and connections that misbehave."""
+"""Clients that submit texts to couriers, and connections that misbehave."""
 
 import zlib
 from collections import deque
@@ -18,6 +18,7 @@
         self.end.on_data, self.end.on_end = self.parser.feed, self.on_closed
 
     def on_connected(self, result):
+        """The connection is established, or `result` is the errno."""
         if isinstance(result, int):
             self.on_closed(True)
         else:
@@ -26,6 +27,7 @@
                 self.clients.send(self)
 
     def on_response(self, message, body, started_at):
+        """Reports an answer and returns the connection to the idle ones."""
         request, self.request = self.request, None
         keep = message.headers.get(b"connection", b"").lower() != b"close"
         if request is not None:
@@ -36,6 +38,7 @@
             self.end.close()
 
     def on_closed(self, reset):
+        """The connection has ended; an unanswered request is reported."""
         idle = self.clients.idle[self.courier.name]
         if self in idle:
             idle.remove(self)
@@ -46,9 +49,7 @@
 
 
 class MisbehavingConnection:
-    """A connection that misbehaves: each way once in a while, and hung up after a while if the courier
-    does not.
-    """
+    """A connection that sends one of `PAYLOADS` and is closed after 6 s if the courier does not close it."""
 
     PAYLOADS = (
         b"GET /",
@@ -70,15 +71,17 @@
         clients.world.call_later(6000.0, self.end.close)
 
     def on_connected(self, result):
+        """Sends the payload."""
         if not isinstance(result, int) and self.payload:
             self.end.send(self.payload)
 
     def on_data(self, data, _):
+        """Counts the bytes of the answer."""
         self.bytes_received += len(data)
 
 
 class Request:
-    """One handing-in of a text."""
+    """One submission of a text."""
 
     __slots__ = (
         "ident",
@@ -95,14 +98,14 @@
     def __init__(self, ident, text, courier, until):
         self.ident, self.text, self.courier, self.until = ident, text, courier, until
         self.sent, self.connection, self.retried, self.finished = False, None, False, False
-        self.fully_read = False  # the courier has read all of it
+        self.fully_read = False  # by the courier
 
 
 class Clients:
-    """Hands texts in on their schedule, again where that is harmless, and leaves after its patience.
+    """Submit texts on schedule, retry where a retry is harmless, and give up after `patience_ms`.
 
-    A text is (number, destination, product, key, body, due, until); each handing-in has an id of its own
-    unless the scenario says `same`.
+    A text is a dict of number, destination, product, key, body, due time and deadline; each submission has an
+    id of its own unless the scenario says `same`.
     """
 
     def __init__(self, world, net, traffic, products, couriers):
@@ -117,6 +120,7 @@
         self.rng, self.attempts, self.requests, self.unanswered = world.random_stream("clients"), {}, {}, {}
 
     def send_text(self, text, courier, ident=None):
+        """Submits a text, under a new id if none is given."""
         if self.traffic.rude and self.rng.random() < self.traffic.rude:
             MisbehavingConnection(self, courier, self.rng.choice(MisbehavingConnection.PAYLOADS))
         if self.world.now >= text["until"] - 20.0:
@@ -129,6 +133,7 @@
         self.world.call_later(self.traffic.patience_ms, self.on_timeout, request)
 
     def assign_connection(self, request, new=False):
+        """Sends a request on an idle connection, or on a new one."""
         idle = self.idle[request.courier.name]
         connection = idle.pop() if idle and not new else ClientConnection(self, request.courier)
         connection.request = request
@@ -137,6 +142,7 @@
             self.send(connection)
 
     def send(self, connection):
+        """Sends the request of a connection."""
         request, now = connection.request, self.world.now
         text, product = request.text, self.products[request.text["product"]]
         path = product.name + (f"/{text['key']}" if text["key"] else "")
@@ -164,6 +170,7 @@
         connection.end.send(head.encode() + text["body"], lambda: setattr(request, "fully_read", True))
 
     def on_answer(self, request, status, headers):
+        """An answer has arrived; refused texts are submitted again."""
         if request.finished:
             return
         request.finished = True
@@ -181,7 +188,7 @@
     def on_connection_lost(self, request):
         """The connection ended before the answer.
 
-        One that crossed the courier's closing goes once more on a new one.
+        A request that the courier has not read whole is sent once more on a new connection.
         """
         if request.finished:
             return
@@ -195,6 +202,7 @@
         self.retry(request, self.rng.uniform(100.0, 500.0), request.sent)
 
     def on_timeout(self, request):
+        """Closes the connection of a request that was not answered in time."""
         if not request.finished:
             request.finished = True
             self.world.record("left", request.ident)
@@ -205,14 +213,16 @@
             self.retry(request, self.rng.uniform(0.0, 100.0), request.sent)
 
     def on_notice(self, ident, verdict, wait):
+        """A notice has arrived; a text that had no effect is submitted again."""
         request = self.requests.get(ident)
         if request is not None and verdict == "bounced":
             honours_wait = self.rng.random() < self.traffic.honour
             self.retry(request, max(wait if honours_wait else 0.0, self.rng.uniform(200.0, 800.0)))
 
     def retry(self, request, wait, unanswered=False):
-        """The text is handed in once more; where its first answer was not heard, perhaps under the same
-        id.
+        """Submits the text again after `wait` ms.
+
+        If an earlier submission is unanswered, the scenario may ask for the same id and courier.
         """
         traffic, number = self.traffic, request.text["number"]
         if traffic.again == "never" or self.attempts[number] > traffic.agains:
--- a/calicopin/emulator/standins/operators.py
+++ b/calicopin/emulator/standins/operators.py
@@ -6,8 +6,8 @@
 
 
 class Operator:
-    """Calls couriers at their admin addresses, one call to a connection, and holds connections with half a
-    call.
+    """Calls couriers at their admin addresses, one call a connection, and holds connections open with an
+    incomplete request.
     """
 
     PORT, CALL_TIMEOUT_MS, HOLD_MS = 9800, 3000.0, 4000.0
@@ -16,7 +16,7 @@
         self.world, self.net, self.machine = world, net, net.machine("10.9.0.2")
 
     def call(self, courier, path, method="GET"):
-        """Its outcome is noted: when it was asked, the status (0: none came) and the body."""
+        """Makes one call and records when it was made, its status (0: no answer) and body."""
         asked_at, outcome = self.world.now, []
 
         def on_response(message, body, started_at):
@@ -40,6 +40,8 @@
         self.world.call_later(self.CALL_TIMEOUT_MS, finish, 0)
 
     def hold_connection(self, courier):
+        """Sends half a request and closes after `HOLD_MS` if the courier does not."""
+
         def on_connected(result):
             if not isinstance(result, int):
                 end.send(b"GET /admin/st")
--- a/calicopin/emulator/standins/partners.py
+++ b/calicopin/emulator/standins/partners.py
@@ -1,4 +1,4 @@
-"""Partners' endpoints: what a destination decides, on the emulated network."""
+"""Partners' endpoints on the emulated network."""
 
 import base64
 import json
@@ -13,13 +13,16 @@
 
 
 class Partners:
-    """The endpoints of every destination on the network."""
+    """The endpoints of every destination; `courier_of(end)` names the courier at the other side of a
+    connection.
+    """
 
     def __init__(self, world, net, courier_of):
         self.world, self.net, self.courier_of, self.call_count = world, net, courier_of, 0
         self.rng = world.random_stream("partners")
 
     def listen(self, destination, endpoint):
+        """Starts to listen at an endpoint."""
         machine = self.net.machine(endpoint.host)
         connections = endpoint.connections = []
 
@@ -38,11 +41,12 @@
         machine.listeners[80] = Listener(machine, on_connection, destination.spec.handshake_ms)
 
     def refuse_connection(self, destination, end):
+        """Resets a new connection."""
         destination.couriers_in_outage.add(self.courier_of(end))
         end.abort()
 
     def close_idle(self, server, idle, connections):
-        """Closes one that has stood idle for the time in the settings."""
+        """Closes a connection that was idle for `idle` ms, else checks again later."""
         if not server.open:
             if server in connections:
                 connections.remove(server)
@@ -59,11 +63,13 @@
             )
 
     def on_closed(self, server):
+        """Records that a connection ended during a call."""
         call, server.call_number = server.call_number, None
         if call is not None:
             self.world.record("hung-up", call)
 
     def handle_request(self, destination, endpoint, server, target, headers, body, started_at):
+        """Parses and records a call and schedules its reply."""
         courier = self.courier_of(server.end)
         if server.call_number is not None:
             self.world.record("fault", courier, "a second request on a connection before the answer")
@@ -112,9 +118,11 @@
             self.world.call_later(reply.delay_ms, self.write_reply, server, number, reply, len(idents) > 1)
 
     def record_ran(self, number, idents):
+        """Records which texts were carried out."""
         self.world.record("ran", number, idents)
 
     def write_reply(self, server, number, reply, bulk):
+        """Sends the reply to a call, garbled or not at all where the reply says so."""
         if server.call_number != number:
             return
         server.call_number = None
@@ -141,9 +149,8 @@
                 + data[position:][: self.rng.randrange(1, 20)]
             )
             is_success = re.match(rb"HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n", data) and not bulk
-            status = (
-                200 if is_success else -abs(status)
-            )  # alone in its call, a 200 counts from its first line on
+            # a 200 to a single text counts once its status line has arrived
+            status = 200 if is_success else -abs(status)
         self.world.record(
             "reply",
             number,
@@ -156,7 +163,7 @@
             server.close()
 
     def reset_connections(self, endpoint):
-        """All connections are reset, as when its process died."""
+        """Resets all connections, as when the process was killed."""
         for server in list(endpoint.connections):
             server.mark_closed()
             server.end.abort()
--- a/calicopin/emulator/standins/platform.py
+++ b/calicopin/emulator/standins/platform.py
@@ -1,4 +1,6 @@
-"""The platform: an agent beside each courier with the list and the notices, and discovery behind them."""
+"""The platform: an agent beside each courier that serves the list and takes notices, and the discovery
+service behind all agents.
+"""
 
 import json
 
@@ -7,10 +9,10 @@
 
 
 class DiscoveryService:
-    """What stands behind all agents.
+    """Admission of watches by the service behind all agents.
 
-    While `work` is above 0 it is overbooked: it works off one new watch after the other, `work` ms each, also
-    those whose courier it has told no meanwhile; a watch that goes on costs it nothing.
+    While `work_ms` is above 0 it is overloaded: it works off new watches one after the other, `work_ms` each,
+    including those that have timed out meanwhile. A watch that continues an earlier one costs nothing.
     """
 
     ANSWER_TIMEOUT_MS, QUEUE_LIMIT, CONTINUED_WITHIN_MS, REJECT_AFTER_MS = 2000.0, 24, 200.0, 60.0
@@ -19,7 +21,7 @@
         self.work_ms = self.free_at = 0.0
 
     def admit(self, now):
-        """(after how many ms it answers, whether it serves)."""
+        """(ms until the answer, whether the watch is served)."""
         delay = max(0.0, self.free_at - now)
         if delay > self.QUEUE_LIMIT * self.work_ms:
             return self.REJECT_AFTER_MS, False
@@ -34,7 +36,7 @@
 class PlatformAgent:
     """The agent beside one courier: the list, watches on it and notices.
 
-    `entries` are the list as it is told.
+    `entries` is the list as the agent has it; `delay_range` is the range of ms that a change takes to arrive.
     """
 
     def __init__(self, world, net, courier, host, entries, delay_range, rng, discovery):
@@ -46,13 +48,16 @@
         self.listen()
 
     def listen(self):
+        """Starts to listen."""
         self.machine.listeners[8500] = Listener(self.machine, self.on_connection)
 
     def on_connection(self, end):
+        """Accepts a connection."""
         ServerConnection(end, self.handle_request)
         return True
 
     def snapshot(self):
+        """The whole list, as an answer."""
         return {
             "version": self.version,
             "full": True,
@@ -60,15 +65,16 @@
         }
 
     def publish_change(self, *entries):
-        """News, on their way to this agent."""
+        """Sends changed entries to this agent; changes arrive in order."""
         low, high = self.delay_range
         self.last_change_at = max(
             self.last_change_at, self.world.now + low + (high - low) * self.rng.random()
-        )  # in their order
+        )
         self.world.call_at(self.last_change_at, self.apply_change, entries)
 
     def apply_change(self, entries):
-        if self.silence_count:  # what it has to tell is told once discovery is back
+        """Applies changed entries and answers the watches; kept for later while the agent is silent."""
+        if self.silence_count:
             self.pending_changes.append(entries)
             return
         self.version += 1
@@ -88,7 +94,7 @@
             self.send_list(server, index)
 
     def end_silence(self):
-        """No longer silent."""
+        """Ends one silence; after the last one the changes kept meanwhile are applied."""
         self.silence_count -= 1
         if not self.silence_count:
             pending_changes, self.pending_changes = self.pending_changes, []
@@ -96,6 +102,7 @@
                 self.apply_change(entries)
 
     def send_list(self, server, index):
+        """Answers with the changes since `index`, or with the whole list."""
         if not server.open:
             return
         self.last_answer_at = self.world.now
@@ -117,6 +124,7 @@
         )
 
     def handle_request(self, server, target, headers, body, started_at):
+        """Handles notices and requests for the list."""
         if target == b"/v1/outcomes":
             try:
                 lines = [json.loads(line) for line in body.splitlines()]
@@ -159,10 +167,12 @@
             )
 
     def reject(self, server, index, wait):
+        """Answers 503."""
         if server.open:
             server.reply(response(503))
 
     def watch(self, server, index, wait):
+        """Answers at once if the list has changed, else within `wait` ms."""
         if index is None or index != self.version:
             self.send_list(server, index)
         elif server.open:
@@ -170,10 +180,11 @@
             self.world.call_later(wait, self.watch_expired, server, index)
 
     def watch_expired(self, server, index):
+        """Answers a watch that timed out."""
         if (server, index) in self.watchers:
             self.watchers.remove((server, index))
             if not self.silence_count:
                 self.send_list(server, index)
 
     def on_notice(self, ident, verdict, wait):
-        """Set by the run: the client hears of it."""
+        """Replaced by the simulation, which passes the notice to the client."""
