--- a/calicopin/emulator/__main__.py
+++ b/calicopin/emulator/__main__.py
@@ -1,5 +1,5 @@
-"""`python -m calicopin.emulator`: runs of scenarios, judged; one that broke played again, in words, or
-made smaller.
+"""`python -m calicopin.emulator`: runs scenarios and judges them; replays a failing run in words, or
+reduces it.
 """
 
 import json
@@ -28,19 +28,21 @@
     name = "seeds"
 
     def convert(self, value, param, ctx):
+        """The numbers that the text names."""
         out = []
         try:
             for part in str(value).split(","):
                 first, dots, last = part.partition("..")
                 out += range(int(first), int(last if dots else first) + 1)
         except ValueError:
-            self.fail(f"{value!r} is neither a seed nor a span such as 1..200", param, ctx)
+            self.fail(f"{value!r} is neither a seed nor a range such as 1..200", param, ctx)
         if not out or len(out) > 1_000_000:
-            self.fail(f"{value!r} names no seed, or over a million", param, ctx)
+            self.fail(f"{value!r} names no seed, or more than a million", param, ctx)
         return out
 
 
 def read(name_or_path):
+    """Loads a scenario; exits with code 2 if it cannot be used."""
     try:
         return load(name_or_path)
     except ScenarioError as error:
@@ -49,13 +51,13 @@
 
 
 def make_console():
-    """A console that folds no table where nobody looks at it."""
+    """A console that doesn't wrap tables when the output is no terminal."""
     return Console() if sys.stdout.isatty() else Console(width=200)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main():
-    """Whole couriers in virtual time, every kind of fault from one seed, and a referee of the six rules.
+    """Simulates whole couriers in virtual time with seeded faults, and judges the runs by the delivery rules.
 
     \b
     python -m calicopin.emulator list
@@ -63,7 +65,7 @@
     python -m calicopin.emulator play kills --seed 7 --text 2a.1
     python -m calicopin.emulator shrink mixed --seed 1234
 
-    Exit codes: 0 all rules kept, 1 a rule broken, 2 something that cannot be read.
+    Exit codes: 0 all rules kept, 1 a rule broken, 2 invalid arguments or scenario.
     """
     logger.remove()
 
@@ -80,14 +82,17 @@
 @main.command()
 @click.argument("scenarios", nargs=-1, required=True)
 @click.option(
-    "--seeds", type=Seeds(), default="1..10", show_default=True, help="One, a span or a list of them."
+    "--seeds", type=Seeds(), default="1..10", show_default=True, help="A seed, a range or a list of them."
 )
 @click.option("--jobs", type=click.IntRange(1, 64), default=min(8, os.cpu_count() or 1), show_default=True)
 @click.option(
-    "--fault", type=click.Choice(sorted(FAULTS)), help="Put one of the known faults into the program."
+    "--fault", type=click.Choice(sorted(FAULTS)), help="Inject one of the known faults into the program."
 )
 @click.option(
-    "--json", "path", type=click.Path(dir_okay=False, writable=True), help="Keep each run's figures here."
+    "--json",
+    "path",
+    type=click.Path(dir_okay=False, writable=True),
+    help="Write the figures of each run to this file.",
 )
 def run(scenarios, seeds, jobs, fault, path):
     """Plays SCENARIOS (names or files; `all` for all that come with it) and judges them."""
@@ -112,7 +117,7 @@
                 word = next(word for word, scenario in loaded.items() if scenario.name == result.scenario)
                 extra = f" --fault {fault}" if fault else ""
                 console.print(
-                    f"[bold]{result.breaks[0]}[/bold] (+{len(result.breaks) - 1} more)\n  again: "
+                    f"[bold]{result.breaks[0]}[/bold] (+{len(result.breaks) - 1} more)\n  replay: "
                     f"python -m calicopin.emulator play {word} --seed {result.seed}{extra}",
                     highlight=False,
                     soft_wrap=True,
@@ -143,7 +148,7 @@
 
 
 def summary(console, results, elapsed_s):
-    """A line a scenario: means over its runs, and how many broke which rule."""
+    """Prints a row for each scenario: means over its runs, and how many broke which rule."""
     table = Table("scenario", "runs", "broken", "rules", "texts", *TABLE_FIGURES, "times real", box=None)
     for name in sorted({result.scenario for result in results}):
         of_scenario = [result for result in results if result.scenario == name]
@@ -163,8 +168,8 @@
         )
     console.print(table)
     console.print(
-        f"{len(results)} runs, {sum(r.simulated_s for r in results):.0f} simulated seconds in {elapsed_s:.0f} s; "
-        "what was searched is no proof"
+        f"{len(results)} runs, {sum(r.simulated_s for r in results):.0f} simulated seconds in "
+        f"{elapsed_s:.0f} s; a search without a violation is no proof"
     )
 
 
@@ -172,12 +177,12 @@
 @click.argument("scenario")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--calls", type=Seeds(), default="1..400", show_default=True, help="System calls at which it is killed."
+    "--calls", type=Seeds(), default="1..400", show_default=True, help="System calls in which it is killed."
 )
-@click.option("--again", type=Seeds(), help="Calls of the next process at which that one is killed too.")
+@click.option("--again", type=Seeds(), help="Calls of the next process in which that one is killed too.")
 @click.option("--jobs", type=click.IntRange(1, 64), default=min(8, os.cpu_count() or 1), show_default=True)
 def sweep(scenario, seed, calls, again, jobs):
-    """Plays one run again and again, its first courier killed at each of the system calls in turn."""
+    """Repeats one run, with its first courier killed in each of the system calls in turn."""
     read(scenario)
     jobs_to_run = [
         (scenario, seed, None, (call, *next_kills))
@@ -203,12 +208,15 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--fault", type=click.Choice(sorted(FAULTS)))
 @click.option(
-    "--kills", type=Seeds(), default=None, help="System calls at which the first courier's processes end."
+    "--kills",
+    type=Seeds(),
+    default=None,
+    help="System calls in which the first courier's processes are killed.",
 )
-@click.option("--text", "ident", help="Only what touches this text.")
-@click.option("--log/--no-log", default=False, help="The couriers' own lines too.")
+@click.option("--text", "ident", help="Only what concerns this text.")
+@click.option("--log/--no-log", default=False, help="The couriers' log lines too.")
 def play(scenario, seed, fault, kills, ident, log):
-    """One run, told in plain words, with the referee's reasons at its end."""
+    """Plays one run and prints its events in words, then the referee's reasons."""
     simulation, referee, cpu = runs.play(read(scenario), seed, fault, kills=tuple(kills or ()))
     lines = describe_trace(simulation.world.trace, ident)
     if log:
@@ -227,12 +235,14 @@
 @click.argument("scenario")
 @click.option("--seed", type=int, required=True)
 @click.option("--fault", type=click.Choice(sorted(FAULTS)))
-@click.option("--most", type=click.IntRange(1, 10000), default=200, show_default=True, help="Runs to spend.")
+@click.option(
+    "--most", type=click.IntRange(1, 10000), default=200, show_default=True, help="Most runs to play."
+)
 def shrink(scenario, seed, fault, most):
-    """Makes a failing run smaller: fewer troubles and texts, as long as the same rule breaks."""
+    """Reduces a failing run: fewer troubles and texts, as long as the same rule is broken."""
     result = runs.shrink(read(scenario), seed, fault, lambda line: click.echo(line, err=True), most)
     if result is None:
-        click.echo("no rule breaks in that run")
+        click.echo("no rule is broken in that run")
         sys.exit(0)
     troubles, texts, violation = result
     click.echo(
@@ -250,10 +260,12 @@
 @main.command("fleet")
 @click.argument("scenario")
 @click.option("--seeds", type=Seeds(), default="1", show_default=True)
-@click.option("--couriers", type=click.IntRange(1, 10000), help="In place of the scenario's number.")
+@click.option(
+    "--couriers", type=click.IntRange(1, 10000), help="Number of couriers, in place of the scenario's."
+)
 @click.option("--texts", type=click.FloatRange(min=0.01), help="Texts a second, in place of the scenario's.")
 def fleet_(scenario, seeds, couriers, texts):
-    """The decisions alone, without sockets, for hundreds of couriers."""
+    """The decision logic alone, without sockets, for hundreds of couriers."""
     broken = False
     for seed in seeds:
         result = fleet.play(read(scenario), seed, couriers, texts)
@@ -276,7 +288,7 @@
 @main.command()
 @click.argument("scenario")
 def show(scenario):
-    """The scenario as it was read, with every default."""
+    """Prints the scenario with every default."""
     click.echo(dump(read(scenario)))
 
 
--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Small faults that can be put into the program one at a time, to show that the referee sees them."""
+"""Small faults that can be injected into the program one at a time, to show that the referee detects them."""
 
 import itertools
 from contextlib import contextmanager
@@ -10,7 +10,7 @@
 from calicopin.emulator.referee import ANSWER, DRAIN, EFFECT, ORDER, PUSH, SERVICE, SOUND, WAIT
 from calicopin.facade import Facade
 from calicopin.interface import How, Repeat
-from calicopin.lifecycle import runtime as shift_module
+from calicopin.lifecycle import runtime as runtime_module
 from calicopin.lifecycle import start as start_module
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.send_guard import SendGuard
@@ -27,7 +27,7 @@
 
 @contextmanager
 def put_in(name):
-    """The program has this fault while it lasts; None for the program as it is."""
+    """The program has this fault within the context; with None it is unchanged."""
     if name is None:
         yield
         return
@@ -49,7 +49,7 @@
 
 
 def fault(name, scenario, rule, seeds=8):
-    """Registers one: the scenario that shows it, the rule that it breaks, and within how many seeds."""
+    """Registers a fault: the scenario that shows it, the rule that it breaks, and within how many seeds."""
 
     def register(make):
         FAULTS[name] = make
@@ -61,12 +61,12 @@
 
 @fault("ack-before-journal", "kills", ANSWER, 60)
 def _(change):
-    def kept(runtime, text):
+    def already_kept(runtime, text):
         event = Kept(runtime.loop, text)
         event.set()
         return event
 
-    change(Runtime, "kept", kept)
+    change(Runtime, "kept", already_kept)
 
 
 @fault("taken-not-journalled", "kills", ANSWER)
@@ -99,17 +99,17 @@
 def _(change):
     flush = Journal.flush
 
-    def careless(journal):
+    def flush_dropping_errors(journal):
         try:
             flush(journal)
         except OSError:
             journal.buffer.clear()
 
-    change(Journal, "flush", careless)
+    change(Journal, "flush", flush_dropping_errors)
 
 
 def submit_to_the_end(change, repeat):
-    """Texts of that kind are submitted until their validity ends, whatever may have run."""
+    """Texts of that kind are submitted until the end of their validity, even if they may have run."""
     last = decisions.Text.last_submit
     change(
         decisions.Text,
@@ -148,12 +148,12 @@
 def _(change):
     read = endpoints.answer
 
-    def answer(head):
+    def answer_in_seconds(head):
         told = read(head)
         told.wait /= 1000.0
         return told
 
-    change(endpoints, "answer", answer)
+    change(endpoints, "answer", answer_in_seconds)
 
 
 @fault("wait-ends-early", "shut", WAIT)
@@ -166,12 +166,12 @@
 def _(change):
     listed = decisions.Courier.on_listed
 
-    def deaf(courier, event):
+    def ignore_leaves(courier, event):
         for entry in event.entries:
             entry.ready = True
         listed(courier, event)
 
-    change(decisions.Courier, "on_listed", deaf)
+    change(decisions.Courier, "on_listed", ignore_leaves)
 
 
 @fault("no-fail-back", "return", PUSH, 4)
@@ -181,7 +181,7 @@
 
 @fault("restart-forgets-outage", "restart-in-outage", PUSH, 4)
 def _(change):
-    change(Facade, "restore_route", lambda house, *state: None)
+    change(Facade, "restore_route", lambda instance, *state: None)
     change(SendGuard, "may_call", lambda guard, *what: True)
 
 
@@ -222,32 +222,32 @@
 def _(change):
     told = Runtime.told
 
-    def again(runtime, text):
+    def told_twice(runtime, text):
         told(runtime, text)
         if not text.key:
             text.key, text.verdict = "told", {"dead": "bounced", "bounced": "dead"}[text.verdict]
             runtime.notices.owe(text)
 
-    change(Runtime, "told", again)
+    change(Runtime, "told", told_twice)
 
 
 @fault("notice-after-delivery", "calm", ANSWER, 1)
 def _(change):
     ended = Facade.ended
 
-    def spoken(facade):
+    def ended_with_notice(facade):
         end = ended(facade)
         if end is not None and end.verdict is None and end.text.ident.endswith("7.1"):
             end.verdict = "dead"
         return end
 
-    change(Facade, "ended", spoken)
+    change(Facade, "ended", ended_with_notice)
 
 
 @fault("failed-is-delivered", "loss", ANSWER)
 def _(change):
     change(facade, "ANSWERS", facade.ANSWERS | {500: How.DELIVERED})
-    change(facade, "how", _how_of(facade.how, lambda answer: answer.status == 500))
+    change(facade, "how", _how_with(facade.how, lambda answer: answer.status == 500))
 
 
 @fault("bulk-answer-misread", "loss", ANSWER)
@@ -260,7 +260,7 @@
 def _(change):
     encode = endpoints.encode
 
-    def short(call, timeout):
+    def encode_shortened(call, timeout):
         if len(call.texts) == 1 and call.texts[0].ident.endswith("9.1"):
             head, body = encode(call, timeout)
             return h11.Request(
@@ -272,18 +272,18 @@
             ), body[:-1]
         return encode(call, timeout)
 
-    change(endpoints, "encode", short)
+    change(endpoints, "encode", encode_shortened)
 
 
 @fault("reference-lost-on-retry", "loss", EFFECT)
 def _(change):
-    back = Text.came_back
+    came_back = Text.came_back
 
-    def forget(text, ran):
-        back(text, ran)
+    def came_back_forgetting_reference(text, ran):
+        came_back(text, ran)
         text.reference = None
 
-    change(Text, "came_back", forget)
+    change(Text, "came_back", came_back_forgetting_reference)
 
 
 @fault("second-copy-after-restart", "second-copy", EFFECT)
@@ -295,21 +295,21 @@
 def _(change):
     hand_over, tick, due = Facade._submit, Facade.tick, []
 
-    def hasty(house, now, action, shared):
-        hand_over(house, now, action, shared)
+    def submit_and_note(instance, now, action, shared):
+        hand_over(instance, now, action, shared)
         call = shared.get(action.endpoint)
         if call is not None and call.texts:
-            due.append((now + action.timeout * 0.5, house, call, call.texts[-1]))
+            due.append((now + action.timeout * 0.5, instance, call, call.texts[-1]))
 
-    def hastily(house, now):
-        for one in [one for one in due if one[0] <= now and one[1] is house]:
+    def tick_with_early_timeouts(instance, now):
+        for one in [one for one in due if one[0] <= now and one[1] is instance]:
             due.remove(one)
             if one[3].number in one[2].open:
-                house._outcome(one[2], one[3], How.TIMEOUT, now - one[3].out_at, False)
-        return min([tick(house, now), *(at for at, whose, *_ in due if whose is house)])
+                instance._outcome(one[2], one[3], How.TIMEOUT, now - one[3].out_at, False)
+        return min([tick(instance, now), *(at for at, whose, *_ in due if whose is instance)])
 
-    change(Facade, "_submit", hasty)
-    change(Facade, "tick", hastily)
+    change(Facade, "_submit", submit_and_note)
+    change(Facade, "tick", tick_with_early_timeouts)
 
 
 @fault("first-list-late", "roll-large", DRAIN, 2)
@@ -321,30 +321,30 @@
 def _(change):
     reply, count = Clients.reply, itertools.count()
 
-    def rude(clients, line, *told, **more):
+    def reply_or_close(clients, line, *told, **more):
         if next(count) % 50 == 49:
             return False
             yield
         return (yield from reply(clients, line, *told, **more))
 
-    change(Clients, "reply", rude)
+    change(Clients, "reply", reply_or_close)
 
 
 @fault("validity-misread", "outage", ANSWER, 12)
 def _(change):
     read = clients.read_text
 
-    def long(head, body, products, now):
+    def read_with_longer_validity(head, body, products, now):
         text = read(head, body, products, now)
         text.until += 2000.0
         return text
 
-    change(clients, "read_text", long)
+    change(clients, "read_text", read_with_longer_validity)
 
 
 @fault("busy-loop", "calm", SOUND, 1)
 def _(change):
-    change(shift_module, "SWEEP", 0.0)
+    change(runtime_module, "SWEEP", 0.0)
 
 
 @fault("fault-in-a-notice", "outage", SOUND)
@@ -361,13 +361,13 @@
 def _(change):
     ended = Ledger.ended
 
-    def rosy(ledger, end):
+    def ended_as_delivered(ledger, end):
         end.verdict, kept = None, end.verdict
         end.delivered = True
         ended(ledger, end)
         end.verdict = kept
 
-    change(Ledger, "ended", rosy)
+    change(Ledger, "ended", ended_as_delivered)
 
 
 @fault("drain-keeps-connections", "quiesce", SERVICE, 1)
@@ -375,5 +375,5 @@
     change(Clients, "close_between_requests", lambda clients: None)
 
 
-def _how_of(how, wrong):
-    return lambda answer, ident: (How.DELIVERED, True) if wrong(answer) else how(answer, ident)
+def _how_with(how, is_wrong):
+    return lambda answer, ident: (How.DELIVERED, True) if is_wrong(answer) else how(answer, ident)
--- a/calicopin/emulator/list_faults.py
+++ b/calicopin/emulator/list_faults.py
@@ -1,5 +1,6 @@
-"""Small faults of couriers that subscribe and of discovery nodes, put in one at a time: the referees see
-each."""
+"""Small faults of couriers that subscribe and of discovery nodes, injected one at a time: the referees
+detect each.
+"""
 
 from calicopin.discovery_node.server import NodeServer
 from calicopin.discovery_node.source import Source
@@ -19,10 +20,10 @@
 def _(change):
     heard = Subscribed.heard
 
-    def deaf(subscribed, places, whole):
+    def heard_without_leaves(subscribed, places, whole):
         heard(subscribed, places if whole else [place for place in places if place.ready], whole)
 
-    change(Subscribed, "heard", deaf)
+    change(Subscribed, "heard", heard_without_leaves)
 
 
 @fault("called-before-the-first-answer", "subscriptions-herd", KNOWN)
@@ -33,19 +34,19 @@
 
 @fault("one-lost-node-ends-the-wait", "subscriptions-node-down", DRAIN)
 def _(change):
-    """A courier that has started goes by its folder's list once its first request has failed."""
+    """A restarted courier uses the list in its folder once its first request has failed."""
     fail = Subscriber._fail
 
-    def hasty(subscriber, end):
+    def fail_and_answer(subscriber, end):
         subscriber._answered = True
         fail(subscriber, end)
 
-    change(Subscriber, "_fail", hasty)
+    change(Subscriber, "_fail", fail_and_answer)
 
 
 @fault("given-up-and-still-called", "subscriptions", KNOWN)
 def _(change):
-    """What was given up is not forgotten, and a message for it is taken on at once."""
+    """An unsubscribed destination is not forgotten, and messages for it are accepted at once."""
     change(Runtime, "released", lambda runtime, destination: None)
     change(Subscribed, "first_answer", lambda subscribed, destination: None)
     change(subscribed_module, "REFUSALS", subscribed_module.REFUSALS | {Standing.WAITING: None})
@@ -61,48 +62,48 @@
 def _(change):
     read = KnownList.read
 
-    def trusting(known_list):
+    def read_any_age(known_list):
         known_list.max_age = float("inf")
         return read(known_list)
 
-    change(KnownList, "read", trusting)
+    change(KnownList, "read", read_any_age)
 
 
 @fault("node-loses-a-change", "subscriptions", DRAIN)
 def _(change):
-    """Of every second destination its subscribers aren't told."""
+    """Subscribers of every second destination are not notified."""
     told = NodeServer.change
 
-    def lossy(server, destinations):
+    def change_every_second(server, destinations):
         told(server, {destination for destination in destinations if destination % 2})
 
-    change(NodeServer, "change", lossy)
+    change(NodeServer, "change", change_every_second)
 
 
 @fault("node-reads-its-source-once", "subscriptions", DRAIN)
 def _(change):
-    def blind(source, size):
+    def take_nothing(source, size):
         return
         yield
 
-    change(Source, "_take_appended", blind)
+    change(Source, "_take_appended", take_nothing)
 
 
 @fault("answer-lost-is-not-told-again", "subscriptions-partition", KNOWN, 8)
 def _(change):
-    """What went out under a version counts as known, though the courier comes with the version before it."""
+    """A version that was sent counts as known, although the courier returns with the version before it."""
     acknowledge = Lease.acknowledge
 
-    def careless(lease, index):
+    def acknowledge_anything(lease, index):
         lease.in_flight = NOTHING
         return acknowledge(lease, index)
 
-    change(Lease, "acknowledge", careless)
+    change(Lease, "acknowledge", acknowledge_anything)
 
 
 @fault("lost-node-is-kept-to", "subscriptions-partition", DRAIN)
 def _(change):
-    def patient(choice, now):
+    def stay_with_node(choice, now):
         choice._at = now + 500.0
 
-    change(NodeChoice, "failed", patient)
+    change(NodeChoice, "failed", stay_with_node)
--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -1,12 +1,11 @@
-"""Judges what couriers that subscribe to parts of the list owe, beside the six rules, from the trace alone.
+"""Judges the further rules on couriers that subscribe to parts of the list, from the trace alone.
 
-- An announced leave is told within 6 s of when a node could be reached: from then on it counts as told.
-- No destination is called, and no message for one taken on, before a node has told of it; given up and
-  subscribed to anew it counts as not told; a restarted courier calls nobody before its first answer while
-  every node can be
-  reached and no answer is lost.
+- An announced leave is known within 6 s of reach to a node; from then on it counts as known.
+- No destination is called, and no message for it accepted, before a node has answered about it. After it was
+  unsubscribed it counts as unknown until the next answer. A restarted courier calls nobody before its first
+  answer as long as every node can be reached and no answer is lost.
 - A list from the folder may be as old as the configuration says.
-- At the quiet end each courier's own file holds exactly what the source has of its destinations.
+- At the end of a quiet run each courier's own file holds exactly what the source says of its destinations.
 """
 
 from bisect import bisect_right
@@ -16,18 +15,16 @@
 from calicopin.emulator.referee import DRAIN, INFINITE, KNOWN, REACTION_MS, Referee
 from calicopin.state.known_list import DamagedError, decode
 
-UPDATE_WITHIN_MS = 6000.0  # ms of reach to a node
-STORED_WITHIN_MS = 8000.0  # ms without a change, after which each courier's file is up to date
-ANSWER_WITHIN_MS = (
-    6000.0  # ms before the end in which each courier has heard a node, where one can be reached
-)
-LOSS_TOLERANCE_MS = 500.0  # ms: a connection may be reset that long after the time of such a trouble
+UPDATE_WITHIN_MS = 6000.0  # of reach to a node
+STORED_WITHIN_MS = 8000.0  # without a change, after which each courier's file is up to date
+ANSWER_WITHIN_MS = 6000.0  # before the end, if a node can be reached
+LOSS_TOLERANCE_MS = 500.0  # a connection may be reset this long after the trouble
 KNOWN_LIST_PATH = "state/known-list"
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """From one moment to another, ms."""
+    """A time span in ms."""
 
     begin: float
     end: float
@@ -35,8 +32,9 @@
 
 @dataclass(slots=True)
 class Listing:
-    """One time in the list of one endpoint: when all nodes had it, the first one had its leave, all had that,
-    and the first one had it listed again."""
+    """One period of an endpoint in the list: when all nodes had it, when the first and when all nodes had
+    its leave, and when the first one had it listed again.
+    """
 
     destination: int
     begin: float
@@ -47,7 +45,7 @@
 
 @dataclass(slots=True)
 class Change:
-    """A change of the source on its way to the nodes, and what it is a change of."""
+    """A change of the source on its way to the nodes, and the listing that it affects."""
 
     listing: Listing | None
     nodes: int = 0  # that have it
@@ -55,14 +53,14 @@
 
 @dataclass(slots=True)
 class Party:
-    """A courier or a node: when it ran and when it stood still."""
+    """A courier or a node: when its processes ran and when it was suspended."""
 
     starts: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
     suspensions: list[Span] = field(default_factory=list)
 
     def silent(self) -> list[Span]:
-        """When it did nothing."""
+        """The spans in which it did nothing."""
         first = self.starts[0] if self.starts else INFINITE
         down = [Span(0.0, first)]
         for end in self.ends:
@@ -87,14 +85,15 @@
 
 
 class Reachability:
-    """When a courier could speak with each node."""
+    """When a courier could not reach each node."""
 
     def __init__(self, unreachable: list[list[Span]]):
         self.unreachable = [sorted(spans, key=lambda span: span.begin) for spans in unreachable]
 
     def update_due(self, at: float) -> float:
-        """By when what every node had at that time is told: after 6 s in which one node could be reached all
-        the time."""
+        """When a courier must know what every node had at `at`: after 6 s without interruption in which
+        one node could be reached.
+        """
         return min((self._update_due_from(spans, at) for spans in self.unreachable), default=INFINITE)
 
     def _update_due_from(self, spans: list[Span], at: float) -> float:
@@ -118,19 +117,18 @@
 
 
 class KnownDestinations:
-    """What one courier was told, and what it gave up."""
+    """What one courier has learnt from nodes, and what it has unsubscribed from."""
 
     def __init__(self):
         self.answers: list[float] = []
-        self.endpoints: dict[str, float] = {}  # when it was told of first
-        self.destinations: dict[int, list[float]] = defaultdict(list)  # answers that held it, in order
-        self.answered: dict[int, list[float]] = defaultdict(
-            list
-        )  # the same, and those that told it as unknown
+        self.endpoints: dict[str, float] = {}  # when each was first known
+        self.destinations: dict[int, list[float]] = defaultdict(list)  # times of answers with it, in order
+        # the same, and times of answers that call it unknown
+        self.answered: dict[int, list[float]] = defaultdict(list)
         self.given_up: dict[int, list[float]] = defaultdict(list)
 
     def is_known(self, destination: int, at: float) -> bool:
-        """Whether an answer has told of the destination since it was given up last."""
+        """Whether an answer has told of the destination since it was last unsubscribed."""
         known = self.destinations.get(destination, ())
         given_up = self.given_up.get(destination, ())
         last_told = bisect_right(known, at)
@@ -139,19 +137,19 @@
             return False
         return not last_up or known[last_told - 1] > given_up[last_up - 1]
 
-    def was_subscribed(self, destination: int, life: float, begin: float, end: float) -> bool:
-        """Whether it was subscribed to all that time, and told of to the process that began at `life`."""
+    def was_subscribed(self, destination: int, process_start: float, begin: float, end: float) -> bool:
+        """Whether it was subscribed all that time, and known to the process that began at `process_start`."""
         given_up = any(begin < at <= end for at in self.given_up.get(destination, ()))
-        known = self.is_known(destination, begin) and self.was_answered(destination, life, begin)
+        known = self.is_known(destination, begin) and self.was_answered(destination, process_start, begin)
         return known and not given_up
 
     def was_answered(self, destination: int, begin: float, end: float) -> bool:
-        """Whether an answer of that time told of it."""
+        """Whether an answer in that time told of it."""
         return any(begin <= at <= end for at in self.answered.get(destination, ()))
 
 
 class ListReferee:
-    """Adds its breaks to those of the referee of the six rules."""
+    """Adds its violations to those of the referee of the six rules."""
 
     def __init__(self, simulation, referee: Referee):
         self.simulation, self.referee, self.settings = simulation, referee, simulation.scenario.nodes
@@ -161,9 +159,9 @@
         self.changes: dict[int, Change] = {}
         self.listings: dict[str, list[Listing]] = defaultdict(list)
         self.changed_at = 0.0
-        self.leaves_judged = 0  # announced to couriers that held the destination, and judged
-        self.destinations_compared = 0  # destinations held by couriers' files at the end
-        self.loss_spans: list[Span] = []  # when answers were lost with their connections
+        self.leaves_judged = 0  # leaves announced to couriers that held the destination
+        self.destinations_compared = 0  # in couriers' files at the end
+        self.loss_spans: list[Span] = []  # when answers may be lost with their connections
         for ident, entry in simulation.nodes.initial_entries.items():
             self.listings[ident].append(Listing(entry["cell"], 0.0))
         for at, kind, *known in simulation.world.trace:
@@ -195,7 +193,7 @@
         self.parties[name].suspensions.append(Span(at, at + ms))
 
     def _leaves_service(self, at, name):
-        """Told to end, a node may answer no more."""
+        """After SIGTERM a node may stop answering."""
         self.parties[name].suspensions.append(Span(at, at + 1000.0))
 
     def _trouble(self, at, kind, whom, ms):
@@ -226,8 +224,9 @@
             self.known[courier].given_up[destination].append(at)
 
     def _source(self, at, serial, node, endpoint, destination, state, nodes):
-        """A change is in a node's source; the first sights of changes are in their order, as each node has
-        them."""
+        """A change is in a node's source; each node gets the changes in order, and so their first sight is
+        in order too.
+        """
         change = self.changes.get(serial) or self._first_sight(at, serial, endpoint, destination, state)
         change.nodes += 1
         self.changed_at = at
@@ -238,7 +237,7 @@
                 change.listing.leave = min(at, change.listing.leave)
 
     def _first_sight(self, at, serial, endpoint, destination, state) -> Change:
-        """A change is in the first source: from now on couriers may hear of it."""
+        """A change is in the first source: from now on couriers may learn of it."""
         listings = self.listings[endpoint]
         if state == "active":
             if listings:
@@ -274,7 +273,7 @@
                 KNOWN,
                 at,
                 call.courier,
-                f"a call to destination {call.dest}, which it gave up: no answer since then",
+                f"a call to destination {call.dest}, which it unsubscribed from: no answer since then",
             )
         answer_count = bisect_right(known.answers, at)
         if not answer_count or known.answers[answer_count - 1] < process_start:
@@ -290,12 +289,11 @@
                         at,
                         call.courier,
                         f"a call to {call.endpoint} begun {at - listing.leave:.0f} ms after each node had "
-                        f"its leave, which was to be told by {due:.1f}",
+                        f"its leave, which was due by {due:.1f}",
                     )
 
     def _judge_leaves(self, courier: str):
-        """Each leave of a destination that the courier holds is told in time, whether a call would follow or
-        not."""
+        """A courier that holds a destination must learn of each leave in time, whether it calls it or not."""
         known, party = self.known[courier], self.parties[courier]
         for endpoint, listings in self.listings.items():
             for listing in listings:
@@ -312,11 +310,11 @@
                             KNOWN,
                             due,
                             courier,
-                            f"the leave of {endpoint}, at every node by {listing.leave:.1f}, was not told",
+                            f"the leave of {endpoint}, at all nodes by {listing.leave:.1f}, was not reported",
                         )
 
     def _judge_call_before_answer(self, call, process_start: float, previous_answer: float):
-        """A call by what the folder held."""
+        """A call by the list in the folder."""
         answer_lost = any(
             span.begin < call.started_at and span.end > process_start for span in self.loss_spans
         )
@@ -325,7 +323,7 @@
                 KNOWN,
                 call.started_at,
                 call.courier,
-                "a call before its first answer, though every node could be reached and none was lost",
+                "a call before its first answer, though every node could be reached and no answer was lost",
             )
         for listing in self.listings[call.endpoint]:
             announced = listing.leave < process_start and call.started_at < listing.end
@@ -338,7 +336,7 @@
                     DRAIN,
                     call.started_at,
                     call.courier,
-                    f"a call to {call.endpoint}, announced as leaving before its start, no node asked: "
+                    f"a call to {call.endpoint}, announced as leaving before its start, without an answer: "
                     "a node could be reached",
                 )
         if process_start - previous_answer > self.settings.list_age_s * 1000.0:
@@ -346,7 +344,8 @@
                 KNOWN,
                 call.started_at,
                 call.courier,
-                f"a call by a list that was {(process_start - previous_answer) / 1000.0:.1f} s old at the start, over list_age",
+                f"a call by a list that was {(process_start - previous_answer) / 1000.0:.1f} s old at the "
+                "start, over list_age",
             )
 
     def _judge_answer(self, ident: str, at: float, status: int):
@@ -356,7 +355,7 @@
                 KNOWN,
                 at,
                 courier,
-                f"{ident} taken on for destination {destination}, of which no node has told",
+                f"{ident} accepted for destination {destination}, of which no node has told",
             )
         if status == 404 and self._was_listed(courier, destination, at):
             self.referee.add(
@@ -372,7 +371,7 @@
         )
 
     def _judge_end_state(self, courier):
-        """What the courier's file holds against the source, and that it still hears a node."""
+        """Compares the courier's file with the source, and checks that it still gets answers."""
         end, name = self._end_at(), courier.name
         known, process_start = self.known[name], self.parties[name].process_start(end)
         can_be_updated = self.reach[name].update_due(process_start) < end
@@ -383,7 +382,7 @@
         if can_be_updated and self.reach[name].update_due(end - ANSWER_WITHIN_MS) <= end:
             if not known.answers or known.answers[-1] < end - ANSWER_WITHIN_MS:
                 self.referee.add(
-                    KNOWN, end, name, "it has heard no node for 6 s, though one could be reached"
+                    KNOWN, end, name, "no answer from a node for 6 s, though one could be reached"
                 )
         if quiet:
             self._compare_stored_list(courier, process_start)
@@ -406,14 +405,15 @@
                     KNOWN,
                     end,
                     name,
-                    f"destination {destination}: it holds {sorted(stored_entries)}, not {sorted(listed[destination])}",
+                    f"destination {destination}: it holds {sorted(stored_entries)}, "
+                    f"not {sorted(listed[destination])}",
                 )
         for destination in self._used_destinations(name, process_start):
             if listed[destination] and destination not in stored:
-                self.referee.add(KNOWN, end, name, f"destination {destination} is used and not held")
+                self.referee.add(KNOWN, end, name, f"destination {destination} is used but not in its list")
 
     def _used_destinations(self, courier: str, process_start: float) -> list[int]:
-        """Destinations of messages that its last process took on, none of which may be given up yet."""
+        """Destinations of messages that the last process accepted and cannot have unsubscribed from yet."""
         since = max(process_start, self._end_at() - (self.settings.given_up_s or 600.0) * 1000.0)
         submissions = self.referee.submissions
         return sorted(
@@ -428,7 +428,7 @@
 
 
 def resume_time(party: Party, at: float) -> float:
-    """When a party that stood still at that time goes on."""
+    """When a party that was suspended at that time resumes."""
     for span in party.suspensions:
         if span.begin <= at <= span.end:
             at = span.end
@@ -436,7 +436,7 @@
 
 
 def judge(simulation, referee: Referee) -> Referee:
-    """The referee with these breaks too, where there are nodes."""
+    """The referee with these violations added, if there are nodes."""
     if simulation.nodes.processes:
         ListReferee(simulation, referee)
     return referee
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -172,9 +172,8 @@
     ):
         self.world, self.processes, self.entries = world, processes, entries
         self.delay_range, self.rng, self.change_count = delay_range, rng, 0
-        self.last_arrival = [0.0] * len(
-            processes
-        )  # of the last change at each node: they come in their order
+        # when the last change reaches each node, which gets the changes in order
+        self.last_arrival = [0.0] * len(processes)
         for process in processes:
             process.write_source(self.encode_all())
 
--- a/calicopin/emulator/process.py
+++ b/calicopin/emulator/process.py
@@ -227,7 +227,7 @@
         self.calls.process.wake()
 
     def collect_ready(self):
-        """Ready descriptors in the order of their changes; each is reported once until it is watched again."""
+        """Ready descriptors in the order of their changes, each once until it is watched again."""
         events = []
         if self.changed:
             changed, self.changed = self.changed, {}
--- a/calicopin/emulator/referee.py
+++ b/calicopin/emulator/referee.py
@@ -1,9 +1,7 @@
-"""Judges the six rules from what passed between the parties, and counts what was earned.
+"""Judges the six delivery rules from the trace alone, and counts the revenue.
 
-It knows no courier's insides.
-
-A break is (rule, time, who, plain sentence). What a courier could not know or help is excused in the open:
-`Excuses`.
+A violation is (rule, time, party, reason). What a courier could not know or prevent is excused explicitly, in
+`CourierHistory.excused`.
 """
 
 import json
@@ -20,22 +18,21 @@
     "order",
     "wait",
 )
-SOUND = "soundness"  # not one of the six: a fault, a crash or a loop that never waits
-# nor this: an operator's call that is late or wrong, figures that are untrue, a drained courier that holds
-# clients
+SOUND = "soundness"  # beside the six rules: an uncaught exception, a crash or a busy loop
+# beside the six rules: a late or failed admin call, wrong statistics, connections kept after a drain
 SERVICE = "service"
-KNOWN = "known list"  # of couriers that subscribe to parts of the list: judged in list_referee.py
+KNOWN = "known list"  # rules on couriers that subscribe, judged in list_referee.py
 RULES = (ANSWER, EFFECT, DRAIN, PUSH, ORDER, WAIT, SOUND, SERVICE, KNOWN)
-ANSWER_TOLERANCE_MS = 350.0  # after its time is up
-RESTART_TOLERANCE_MS = 1500.0  # after a courier is ready again no notice is overdue
-REACTION_MS = 60.0  # for a pass of the courier's loop after it could read something
+ANSWER_TOLERANCE_MS = 350.0  # allowed after the end of the validity period
+RESTART_TOLERANCE_MS = 1500.0  # allowed after a courier is ready again
+REACTION_MS = 60.0  # for one pass of the courier's event loop
 OUTAGE_KINDS = ("refuse", "hang", "shut", "vanish")
 INFINITE = float("inf")
 
 
 @dataclass(slots=True)
 class Violation:
-    """One break of a rule: which, when in ms, who, and why in a plain sentence."""
+    """A violation of a rule: which, when in ms, by whom, and the reason in a sentence."""
 
     rule: str
     at: float
@@ -58,40 +55,41 @@
     dest: int
     texts: tuple
     started_at: float
-    ended_at: float = INFINITE  # when it was no longer out: answered or hung up
+    ended_at: float = INFINITE  # when it was answered or its connection closed
     status: int = 0
     wait_ms: float = 0.0
     states: dict = field(default_factory=dict)
     answer_read_at: float = INFINITE
 
     def refused(self, ident):
-        """Whether the partner said that it never ran."""
+        """Whether the partner stated that the text was not carried out."""
         return self.status in (429, 503) or self.states.get(ident) == "refused"
 
     def delivered(self, ident):
+        """Whether the partner confirmed the text."""
         return self.status == 200 and self.states.get(ident, "delivered") == "delivered"
 
 
 class CourierHistory:
-    """When one courier ran, stood still, was without disk or platform."""
+    """When one courier ran or was suspended, and when its disk or platform failed."""
 
     def __init__(self):
         self.starts, self.ends, self.excused, self.machine_losses, self.suspensions = [], [], [], [], []
 
     def ended_between(self, low, high):
-        """Whether a process of it ended in that time."""
+        """Whether one of its processes ended in that time."""
         at = bisect_right(self.ends, low - 1e-9)
         return at < len(self.ends) and self.ends[at] <= high
 
     def resumed_at(self, at):
-        """A time from which it could act on what it was told at `at`."""
+        """When it could first react to what reached it at `at`."""
         for begun, until in self.suspensions:
             if begun <= at <= until:
                 at = until
         return at
 
     def answer_due(self, until):
-        """The last moment for a final answer."""
+        """The latest time for a final answer to a text that is valid until `until`."""
         due = until + ANSWER_TOLERANCE_MS
         for begun, end in sorted(self.excused):
             if begun <= due and end >= until - REACTION_MS:
@@ -100,7 +98,7 @@
 
 
 class Referee:
-    """Reads one trace; `breaks` and `figures()` are its word."""
+    """Judges one trace; `breaks` and `figures()` hold the result."""
 
     def __init__(self, simulation):
         self.scenario, self.products, self.simulation = (
@@ -129,6 +127,7 @@
         self.breaks.sort(key=lambda one: (one.at, one.rule))
 
     def add(self, rule, at, party, reason):
+        """Adds a violation."""
         self.breaks.append(Violation(rule, at, party, reason))
 
     # Reading the trace.
@@ -156,13 +155,13 @@
             self.calls_by_text[ident].append(call)
             submission = self.submissions.get(ident)
             if submission is None:
-                self.add(EFFECT, at, ident, "called, though no client handed it in")
+                self.add(EFFECT, at, ident, "called, though no client submitted it")
             elif (submission[3], submission[6], submission[7]) != (dest, reference, crc):
                 self.add(
                     EFFECT,
                     at,
                     ident,
-                    "called with another destination, reference or body than it was handed in",
+                    "called with a destination, reference or body other than submitted",
                 )
 
     def _ran(self, _, number, idents):
@@ -197,8 +196,8 @@
                 PUSH,
                 at,
                 f"destination {dest}",
-                f"{count} calls in the span where {limit} was the most, {informed} of "
-                "them by couriers that had met the outage",
+                f"{count} calls in the window where {limit} is the limit, {informed} of "
+                "them by couriers that had seen the outage",
             )
 
     def _start(self, at, courier):
@@ -236,7 +235,7 @@
 
     def _emptied(self, at, courier, held):
         if held:
-            self.add(SERVICE, at, courier, f"clients hold {held} connections 4 s after it was to be empty")
+            self.add(SERVICE, at, courier, f"clients hold {held} connections 4 s after the call to drain")
 
     def _fault(self, at, courier, reason):
         self.add(SOUND, at, courier, reason)
@@ -249,9 +248,7 @@
                 history.excused.append((at, at + ms + 1000.0))
 
     def _excuse_stopped_couriers(self):
-        """A courier that is down owes nothing until it is back; one that never came back owes nothing
-        more.
-        """
+        """A courier that never came back is excused from its last end on."""
         for history in self.histories.values():
             if (
                 len(history.ends) >= len(history.starts)
@@ -268,15 +265,14 @@
         for ident in self.notices:
             if ident not in self.submissions:
                 self.add(
-                    ANSWER, self.notices[ident][0][0], ident, "a notice for a text that nobody handed in"
+                    ANSWER, self.notices[ident][0][0], ident, "a notice for a text that no client submitted"
                 )
-        in_transit = (
-            50.0 + 4.0 * self.scenario.net.latency_ms[1]
-        )  # its end may have been on its way to the client
+        # ms for the end of the connection to reach the client
+        in_transit = 50.0 + 4.0 * self.scenario.net.latency_ms[1]
         for at, ident, courier in self.cuts:
             history = self.histories[courier]
             if not history.ended_between(self.submissions[ident][0] - in_transit, at + 5.0):
-                self.add(ANSWER, at, ident, f"{courier} ended the client's connection with no answer")
+                self.add(ANSWER, at, ident, f"{courier} closed the client's connection without an answer")
         self._judge_drains()
         self._judge_admin()
         self._judge_waits()
@@ -289,7 +285,7 @@
             self.products[product],
             self.calls_by_text.get(ident, ()),
         )
-        # a courier cannot know how long a request was on its way, nor, stopped, how long it lay unread
+        # a courier can't know how long a request was in transit, or unread while the courier was suspended
         until += history.resumed_at(submission[0]) - submission[0] + self.scenario.net.latency_ms[1]
         answered, status = self.answers.get(ident, (0.0, 0))
         delivered_at = min((call.ended_at for call in calls if call.delivered(ident)), default=INFINITE)
@@ -297,10 +293,11 @@
         first_notice_at = notices[0][0] if notices else INFINITE
         machine_lost = any(at >= submission[0] for at in history.machine_losses)
         if status == 202 and not machine_lost:
+            # the transit of a notice is added
             final_at, due = (
                 min(delivered_at, first_notice_at),
                 history.answer_due(until) + self.scenario.net.latency_ms[1],
-            )  # a notice travels too
+            )
             if final_at > due and due < self.end_time:
                 late = (
                     f"its final answer came {final_at - due:.0f} ms late"
@@ -318,7 +315,7 @@
         delivery_read_at = min(
             (call.answer_read_at for call in calls if call.delivered(ident)), default=INFINITE
         )
-        # of texts that share a call, the time of one may be up before the answer comes for all
+        # of texts that share a call, one may expire before the answer to all arrives
         alone = any(call.answer_read_at == delivery_read_at and len(call.texts) == 1 for call in calls)
         if (
             delivery_read_at < first_notice_at < INFINITE
@@ -329,7 +326,7 @@
                 ANSWER,
                 first_notice_at,
                 ident,
-                f"a notice though its delivery was heard at {delivery_read_at:.1f}",
+                f"a notice although the delivery was confirmed at {delivery_read_at:.1f}",
             )
         may_run = [call for call in calls if not call.refused(ident)]
         if (
@@ -347,7 +344,7 @@
                 EFFECT,
                 first_notice_at,
                 ident,
-                f"its notice says that it did no harm; it may have run at {may_run[0].at:.1f}",
+                f"its notice says that it had no effect, but it may have run at {may_run[0].at:.1f}",
             )
         for earlier, later in pairwise(calls):
             if later.started_at < earlier.ended_at and later.courier == earlier.courier:
@@ -355,7 +352,7 @@
                     EFFECT,
                     later.started_at,
                     ident,
-                    f"sent while an earlier call, begun at {earlier.started_at:.1f}, is out",
+                    f"sent while an earlier call, begun at {earlier.started_at:.1f}, is unanswered",
                 )
         for call in calls:
             if call.started_at > first_notice_at + REACTION_MS and not self._may_be_lost(
@@ -371,7 +368,7 @@
                     EFFECT,
                     call.started_at,
                     ident,
-                    f"sent after its delivery was heard at {delivery_read_at:.1f}",
+                    f"sent after its delivery was confirmed at {delivery_read_at:.1f}",
                 )
             if (
                 call.started_at > until + REACTION_MS
@@ -381,7 +378,7 @@
                     ANSWER,
                     call.started_at,
                     ident,
-                    f"sent {call.started_at - until:.0f} ms after its time was up",
+                    f"sent {call.started_at - until:.0f} ms after the end of its validity",
                 )
         if may_run:
             self._judge_repeats(
@@ -407,7 +404,7 @@
                         call.started_at,
                         ident,
                         f"sent again {call.started_at - first_run.at:.0f} ms after it may have run: "
-                        "the reference is forgotten",
+                        "the partner no longer remembers the reference",
                     )
                 if product_spec.memory_by_zone and call.zone != first_run.zone:
                     self.add(
@@ -418,12 +415,12 @@
                     )
 
     def _may_be_lost(self, history, known, later):
-        """Whether what was heard may be gone: its process ended before it could be kept."""
+        """Whether the process ended before it could persist what it learnt at `known`."""
         return history.ended_between(known, min(later, history.answer_due(known)))
 
     def _judge_drains(self):
         drain = self.scenario.rules.drain_ms
-        leaving_since = defaultdict(dict)  # of each courier: endpoint and when it was told
+        leaving_since = defaultdict(dict)  # by courier: endpoint and when its leave was announced
         events = [(at, 1, courier, full, on, off) for at, courier, full, on, off in self.list_updates]
         events += [
             (at, 0, courier, None, None, None)
@@ -433,9 +430,8 @@
         events += [(call.started_at, 2, call.courier, call, None, None) for call in self.calls.values()]
         known = defaultdict(set)
         for at, event_kind, courier, full, on, off in sorted(events, key=lambda event: event[:3]):
-            if (
-                event_kind == 0 and self.scenario.platform.told == "had"
-            ):  # its agent had it before: told from the first moment
+            # after a restart what the agent already had counts as known from the start
+            if event_kind == 0 and self.scenario.platform.told == "had":
                 leaving_since[courier] = dict.fromkeys(leaving_since[courier], at)
             elif event_kind == 0:
                 leaving_since[courier].clear()
@@ -454,13 +450,15 @@
                         DRAIN,
                         at,
                         courier,
-                        f"a call to {full.endpoint} begun {at - announced_at:.0f} ms after its drain was told",
+                        f"a call to {full.endpoint} begun {at - announced_at:.0f} ms after its drain was "
+                        "announced",
                     )
 
     def _judge_admin(self):
-        """Operators' calls, and the figures against what passed between the parties: 1% (2% of messages
-        written) or 3 may be off, and half a second late. What ended for a client that had left may stand
-        under any count, and a notice travels: it may be owed by the process before.
+        """Judges admin calls, and the statistics against what the parties observed.
+
+        Statistics may differ by 1% (2% of the messages sent) or by 3, and lag half a second. Texts whose
+        client has disconnected may be under any count; a notice may belong to the previous process.
         """
         expected = self._expected_counts() if self.admin_calls else {}
         for at, courier, path, asked_at, status, body in self.admin_calls:
@@ -476,10 +474,10 @@
                 not any(start + RESTART_TOLERANCE_MS <= asked_at for start in history.starts[-1:])
                 and asked_at > history.starts[-1]
             ):
-                continue  # it is still starting
+                continue  # still starting
             if status != 200 or at - asked_at > 1000.0:
                 self.add(
-                    SERVICE, asked_at, courier, f"{path} is answered {status} after {at - asked_at:.0f} ms"
+                    SERVICE, asked_at, courier, f"{path} was answered {status} after {at - asked_at:.0f} ms"
                 )
             elif path == "stats":
                 process_start = max(start for start in history.starts if start <= asked_at)
@@ -489,9 +487,7 @@
                     self.add(SERVICE, at, courier, f"{name}: {reason}")
 
     def _expected_counts(self):
-        """By courier and count: (when it happened at the earliest and latest, what), as the parties saw
-        it.
-        """
+        """By courier and counter: the earliest and latest time of each event, as the parties saw it."""
         events = defaultdict(lambda: defaultdict(list))
         for ident, (at, status) in self.answers.items():
             name = "declined" if status in (429, 503) else "aborted" if status == 404 else None
@@ -516,19 +512,20 @@
         return events
 
     def _wrong_figures(self, figures, process_start, at, events):
-        """(count, sentence) for each that cannot be so."""
+        """(counter, reason) for each value outside of its bounds."""
         uncertain = sum(process_start - 30000.0 <= early <= at for early, _ in events.get("any", ()))
         for name in ("succeeded", "declined", "aborted", "forwards"):
             value = figures[name] if name == "forwards" else sum(figures[name].values())
             least = sum(early >= process_start and late <= at - 500.0 for early, late in events.get(name, ()))
             most = sum(late >= process_start and early <= at + 60.0 for early, late in events.get(name, ()))
-            # a shared call may be written whole to a partner that is just gone, and is then seen by nobody
+            # a shared call may be written to a partner that has just gone down, which no party sees
             shared = max(partner.bundle for partner in self.scenario.partner) if name == "forwards" else 0
             slack = max(3.0, shared, (0.02 if name == "forwards" else 0.01) * most)
             if not least - slack - uncertain <= value <= most + slack + uncertain:
                 yield (
                     name,
-                    f"told {value}, where from {least} to {most} were seen and {uncertain} clients had left",
+                    f"reported {value}, but {least} to {most} were observed, "
+                    f"with {uncertain} clients disconnected",
                 )
 
     def _judge_waits(self):
@@ -557,7 +554,7 @@
                             WAIT,
                             call.started_at,
                             call.courier,
-                            f"a call to destination {call.dest}, told at "
+                            f"a call to destination {call.dest}, asked at "
                             f"{refusal.answer_read_at:.1f} to wait until {wait_end:.1f}",
                         )
                         break
@@ -584,9 +581,8 @@
             latest_calls, machine_losses = {}, [at for at in self.histories[courier].machine_losses]
             for call, ident in calls:
                 for other, previous in latest_calls.items():
-                    if (
-                        other == ident or accepted_at[ident][0] >= accepted_at[other][1]
-                    ):  # not surely the earlier one of the two
+                    # skipped unless `ident` was certainly accepted before `other` was submitted
+                    if other == ident or accepted_at[ident][0] >= accepted_at[other][1]:
                         continue
                     if any(previous.started_at <= at <= call.started_at for at in machine_losses):
                         continue
@@ -594,11 +590,13 @@
                         ORDER,
                         call.started_at,
                         ident,
-                        f"key {key}: sent after {other}, which was handed in later",
+                        f"key {key}: sent after {other}, which was submitted later",
                     )
                 for other, previous in latest_calls.items():
                     if other != ident and call.started_at < previous.ended_at:
-                        self.add(ORDER, call.started_at, ident, f"key {key}: sent while {other} is out")
+                        self.add(
+                            ORDER, call.started_at, ident, f"key {key}: sent while {other} is unanswered"
+                        )
                     elif (
                         other != ident
                         and previous.status <= 0
@@ -610,16 +608,16 @@
                             call.started_at,
                             ident,
                             f"key {key}: sent {call.started_at - previous.ended_at:.0f} ms after the "
-                            f"call of {other} broke",
+                            f"connection of {other} broke",
                         )
                 latest_calls[ident] = call
                 if len(latest_calls) > 12:
                     latest_calls.pop(next(iter(latest_calls)))
 
-    # What was earned.
+    # Revenue and figures.
 
     def revenue_of(self, product, latency_ms):
-        """Of one text that was delivered so long after it was due."""
+        """The revenue of a text delivered `latency_ms` after it was due."""
         product_spec = self.products[product]
         sla, validity = product_spec.sla_s * 1000.0, product_spec.validity_s * 1000.0
         if latency_ms >= validity:
@@ -631,9 +629,8 @@
         )
 
     def best_revenue(self):
-        """What a sender that sees everything could have had: at each partner's full pace while it is up,
-        each turn goes to the text that earns most just then. Greedy: no bound in the strict sense, and not
-        far from one.
+        """The revenue of a sender with full knowledge: at each partner's full rate while it is up, the
+        next text is the one that earns most at that time. Greedy, so an estimate and no strict bound.
         """
         total, queues = 0.0, defaultdict(list)
         calls_per_ms = {
--- a/calicopin/emulator/simulation.py
+++ b/calicopin/emulator/simulation.py
@@ -489,7 +489,7 @@
             self.world.record("emptied", courier.name, len(self.clients.idle[courier.name]))
 
     def scrape(self, courier):
-        """An operator's round, repeated until the end: reads the statistics and renews the held connections."""
+        """An operator's round, repeated until the end: reads the statistics, renews the held connections."""
         if not courier.ended:
             self.operator.call(courier, "stats")
             for _ in range(self.scenario.couriers.holders):
@@ -641,7 +641,7 @@
         return self.world
 
     def log(self, message):
-        """Keeps a courier's log line; one with an exception, unless an OSError, is recorded for the referee."""
+        """Keeps a courier's log line; exceptions other than OSError are recorded for the referee."""
         record, process = message.record, current.process
         # lines of anything else in this interpreter are not part of the run
         if process is None or process not in self.couriers + self.nodes.processes:
--- a/calicopin/emulator/trace_report.py
+++ b/calicopin/emulator/trace_report.py
@@ -9,7 +9,7 @@
     "disk": "{0}'s disk is faulty for {1:.0f} ms",
     "trouble": "trouble: {0} at {1} for {2:.0f} ms",
     "cold": "destination {0} is back and warms up",
-    "fell": "destination {0} is overloaded: {1} calls in the window, limit {2}, {3} by couriers that saw the outage",
+    "fell": "destination {0} is overloaded: {1} calls in the window, limit {2}, {3} of couriers that met it",
     "hand-in": "a client submits {0} (text {1}) to {2} for destination {3}, key {5}, valid until {8:.1f}",
     "answer": "the client gets {1} for {0}",
     "left": "the client of {0} times out and disconnects",
