--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -178,7 +178,7 @@
         parties = self.parties[courier].silent() + self.parties[node].silent()
         return parties + self.cuts[courier, node]
 
-    # Reading the trace.
+    # Reading the trace: each handler is named after the kind of its entries.
 
     def _ignore(self, *_):
         pass
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -304,7 +304,7 @@
             "answered", courier, node, tuple(subscription["complete"]), tuple(subscription["unknown"])
         )
 
-    # Troubles.
+    # Troubles: each handler is named after its kind.
 
     def begin_trouble(self, trouble: Trouble):
         """Starts a trouble of subscriptions with the handler named after its kind."""
--- a/calicopin/emulator/referee.py
+++ b/calicopin/emulator/referee.py
@@ -130,7 +130,7 @@
         """Adds a violation."""
         self.breaks.append(Violation(rule, at, party, reason))
 
-    # Reading the trace.
+    # Reading the trace: each handler is named after the kind of its entries.
 
     def _ignore(self, *_):
         pass
@@ -304,7 +304,7 @@
                     if final_at < INFINITE
                     else "it was lost"
                 )
-                self.add(ANSWER, due, ident, f"taken on by {courier} at {answered:.1f}; {late}")
+                self.add(ANSWER, due, ident, f"accepted by {courier} at {answered:.1f}; {late}")
         if len({notice[2] for notice in notices}) > 1:
             self.add(
                 ANSWER,
--- a/calicopin/emulator/scenario.py
+++ b/calicopin/emulator/scenario.py
@@ -348,7 +348,7 @@
                 f"{trouble.whom!r} names no party: any, partner:NAME, destination:N, courier:N or node:N",
             )
         if expected and target != expected:
-            fail(f"{place}: whom", f"{trouble.kind!r} meets a {expected}, not {trouble.whom!r}")
+            fail(f"{place}: whom", f"{trouble.kind!r} affects a {expected}, not {trouble.whom!r}")
     return scenario
 
 
--- a/calicopin/emulator/simulation.py
+++ b/calicopin/emulator/simulation.py
@@ -336,7 +336,7 @@
             else:
                 self.world.call_later(5.0, self.check_ready, process, number)
 
-    # Troubles.
+    # Troubles: each handler is named after its kind.
 
     def targets(self, trouble):
         """The destinations or couriers that a trouble affects."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,6 +1,4 @@
-"""The emulator: same seed, same run; scenarios that are checked; a referee that sees what the courier does
-wrong.
-"""
+"""The emulator: reproducible runs, validated scenarios, and a referee that detects faults of the courier."""
 
 import errno
 import json
@@ -23,7 +21,7 @@
 
 @pytest.fixture(autouse=True)
 def no_log_output():
-    """Couriers' lines go to the run that made them, not to the test's output as well."""
+    """Couriers' log lines go to their run only, not to the output of the tests."""
     logger.remove()
     yield
     logger.add(sys.stderr)
@@ -36,14 +34,14 @@
 
 
 @pytest.mark.parametrize("name", scenario_names())
-def test_every_scenario_is_played_with_all_rules_kept(name):
+def test_every_scenario_runs_without_a_violation(name):
     simulation, referee, _ = runs.play(load(name), 3)
     assert not referee.breaks, list(map(str, referee.breaks[:5]))
     assert len(referee.calls) > 100
 
 
 @pytest.mark.parametrize(
-    "data,told",
+    "data,message",
     [
         (b"", "the file"),
         (b"\xff\xfe", "byte 0: not UTF-8"),
@@ -65,53 +63,57 @@
         ),
         (
             MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'kill'\nat_s = 9.0\nwhom = 'destination:0'\n",
-            "meets a courier",
+            "affects a courier",
         ),
         (MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'lose'\nat_s = 9.0\nsize = 1.5\n", "is a share"),
         (MINIMAL_SCENARIO + b"[traffic]\nhonour = 1.5\n", "$.traffic.honour"),
     ],
 )
-def test_a_scenario_that_cannot_be_used_is_told_by_file_and_place(data, told):
-    with pytest.raises(ScenarioError) as fault:
+def test_an_invalid_scenario_is_reported_with_file_and_place(data, message):
+    with pytest.raises(ScenarioError) as error:
         parse(data, "f.toml")
     assert (
-        str(fault.value).startswith("f.toml: ") and told in str(fault.value) and "\n" not in str(fault.value)
+        str(error.value).startswith("f.toml: ")
+        and message in str(error.value)
+        and "\n" not in str(error.value)
     )
 
 
-def test_forty_couriers_killed_at_once_all_hold_a_watch_again_at_a_discovery_that_serves_few():
-    """With the calls for the list as they were, up to three still had none ten seconds on and most calls
-    were turned away.
+def test_forty_couriers_killed_at_once_all_watch_again_at_an_overloaded_discovery():
+    """Guards against calls for the list that are repeated too soon: up to three couriers still had no
+    watch after 10 s, and most calls were rejected.
     """
     simulation, referee, _ = runs.play(load("herd-large"), 1)
-    back = {}
-    for at, kind, *told in simulation.world.trace:
+    first_answers = {}
+    for at, kind, *details in simulation.world.trace:
         if kind == "told" and at > 12700.0:
-            back.setdefault(told[0], at)
-    asked = [told[1] for at, kind, *told in simulation.world.trace if kind == "asked" and at > 12000.0]
-    assert not referee.breaks and len(back) == 40 and max(back.values()) < 20000.0
-    assert asked.count(False) <= 3 and asked.count(True) < 2 * 28, (
-        "at most one call more for each that was killed"
+            first_answers.setdefault(details[0], at)
+    watches_served = [
+        details[1] for at, kind, *details in simulation.world.trace if kind == "asked" and at > 12000.0
+    ]
+    assert not referee.breaks and len(first_answers) == 40 and max(first_answers.values()) < 20000.0
+    assert watches_served.count(False) <= 3 and watches_served.count(True) < 2 * 28, (
+        "at most one more call for each courier that was killed"
     )
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_day_that_the_seed_draws_keeps_all_rules(seed):
+def test_random_troubles_cause_no_violation(seed):
     _, referee, _ = runs.play(load("mixed"), seed)
     assert not referee.breaks, list(map(str, referee.breaks[:5]))
 
 
 @pytest.mark.parametrize("seed", [1287, 1354, 1432, 1897, 1923, 1983, 2158, 2190, 2252])
-def test_what_the_search_found_stays_mended(seed):
+def test_seeds_that_once_failed_cause_no_violation(seed):
     """Calls held up by a full disk (1287, 1432); a text sent in a shared call after its final answer
-    (1923); keys out of turn behind a text whose time was up in one (2158, 2190, 2252); and four that the
-    referee had misjudged.
+    (1923); keys out of order behind a text that had expired in one (2158, 2190, 2252); and four that
+    the referee had judged wrongly.
     """
     _, referee, _ = runs.play(load("mixed"), seed)
     assert not referee.breaks, list(map(str, referee.breaks[:5]))
 
 
-def test_one_seed_is_one_run_in_any_process_and_order():
+def test_the_same_seed_gives_the_same_run_in_any_process_and_order():
     seeds = list(range(20, 24))
     script = (
         "import sys; from loguru import logger; logger.remove(); from calicopin.emulator import runs;"
@@ -119,39 +121,39 @@
         "print(*[runs.play(load('mixed'), int(seed))[0].world.digest() for seed in sys.argv[1:]])"
     )
     here = [runs.play(load("mixed"), seed)[0].world.digest() for seed in seeds]
-    there = subprocess.run(
+    other_digests = subprocess.run(
         [sys.executable, "-c", script, *map(str, reversed(seeds))],
         capture_output=True,
         text=True,
         env=os.environ | {"PYTHONHASHSEED": "77"},
         check=True,
     ).stdout.split()
-    assert here == there[::-1] and len(set(here)) == len(seeds)
+    assert here == other_digests[::-1] and len(set(here)) == len(seeds)
 
 
 @pytest.mark.parametrize("name", sorted(FAULTS))
-def test_the_referee_sees_a_small_fault(name):
-    """Each breaks the rule that is stated for it, within the stated number of seeds."""
+def test_the_referee_detects_an_injected_fault(name):
+    """Each fault breaks its rule within its number of seeds."""
     scenario, rule, seeds = SHOWN_BY[name]
     for seed in range(1, seeds + 1):
-        if any(one.rule == rule for one in runs.play(load(scenario), seed, name)[1].breaks):
+        if any(violation.rule == rule for violation in runs.play(load(scenario), seed, name)[1].breaks):
             return
     raise AssertionError(f"{seeds} seeds of {scenario} do not break {rule!r}")
 
 
-def test_a_fault_is_taken_out_again():
+def test_an_injected_fault_is_removed_after_the_run():
     before = runs.play(load("calm"), 1)[0].world.digest()
     runs.play(load("calm"), 1, "body-cut")
     assert runs.play(load("calm"), 1)[0].world.digest() == before
 
 
-def test_a_failing_run_is_made_smaller():
-    troubles, texts, found = runs.shrink(load("loss"), 1, "once-only-resent", max_runs=60)
-    assert found.rule == "double effect" and len(troubles) == 1 and len(texts) < 100
+def test_a_failing_run_is_reduced():
+    troubles, texts, violation = runs.shrink(load("loss"), 1, "once-only-resent", max_runs=60)
+    assert violation.rule == "double effect" and len(troubles) == 1 and len(texts) < 100
 
 
 @pytest.mark.parametrize("name", ["outage", "limits", "return", "loss"])
-def test_decisions_alone_keep_the_rules_in_fleet_mode(name):
+def test_fleet_mode_causes_no_violation(name):
     results = [fleet.play(load(name), 5, couriers=20, texts=30.0) for _ in range(2)]
     assert (
         not results[0].breaks
@@ -160,23 +162,23 @@
     )
 
 
-def run_command(*words):
-    return CliRunner().invoke(main, list(words))
+def run_command(*arguments):
+    return CliRunner().invoke(main, list(arguments))
 
 
-def test_the_command_tells_breaks_and_how_to_play_them_again(tmp_path):
-    kept = tmp_path / "runs.jsonl"
-    told = run_command(
-        "run", "calm", "--seeds", "1,2", "--jobs", "1", "--fault", "body-cut", "--json", str(kept)
+def test_the_command_reports_violations_and_how_to_replay_them(tmp_path):
+    figures_file = tmp_path / "runs.jsonl"
+    result = run_command(
+        "run", "calm", "--seeds", "1,2", "--jobs", "1", "--fault", "body-cut", "--json", str(figures_file)
     )
-    assert told.exit_code == 1 and "play calm --seed 1 --fault body-cut" in told.output
-    assert [json.loads(line)["seed"] for line in kept.read_text().splitlines()] == [1, 2]
+    assert result.exit_code == 1 and "play calm --seed 1 --fault body-cut" in result.output
+    assert [json.loads(line)["seed"] for line in figures_file.read_text().splitlines()] == [1, 2]
     assert "BROKEN double effect" in run_command("play", "calm", "--seed", "1", "--fault", "body-cut").output
     assert run_command("run", "calm", "--seeds", "3", "--jobs", "1").exit_code == 0
 
 
 @pytest.mark.parametrize(
-    "words,told",
+    "arguments,message",
     [
         (("run", "nowhere"), "no such scenario"),
         (("run", "calm", "--seeds", "1..x"), "neither a seed"),
@@ -184,16 +186,16 @@
         (("run", "calm", "--fault", "nonsense"), "nonsense"),
     ],
 )
-def test_a_command_that_cannot_be_read_begins_nothing(words, told):
-    result = run_command(*words)
-    assert result.exit_code == 2 and told in result.output
+def test_an_invalid_command_starts_no_run(arguments, message):
+    result = run_command(*arguments)
+    assert result.exit_code == 2 and message in result.output
 
 
-# The world itself: what the parties rely on.
+# The emulated network and disk.
 
 
 class Recorder:
-    """What one end of a connection has heard, and how it ended."""
+    """What one end of a connection has received, and how it ended."""
 
     def __init__(self, end):
         self.data, self.ends, self.end = b"", [], end
@@ -203,74 +205,74 @@
         self.data += data
 
 
-def joined(**other):
-    """A world with two machines, a connection between them and what either side hears."""
+def connected_pair(**network_options):
+    """A world with two connected machines, and recorders of both ends."""
     world = World(1)
-    net = Network(world, **other)
-    met, here = [], net.machine("10.0.0.1")
+    net = Network(world, **network_options)
+    accepted, client = [], net.machine("10.0.0.1")
     net.machine("10.0.0.2").listeners[80] = Listener(
-        net.machine("10.0.0.2"), lambda end: met.append(end) or True
+        net.machine("10.0.0.2"), lambda end: accepted.append(end) or True
     )
-    end = net.connect(here, "10.0.0.2", 80, lambda done: None)
+    end = net.connect(client, "10.0.0.2", 80, lambda done: None)
     world.run(100.0)
-    return world, net, Recorder(end), Recorder(met[0])
+    return world, net, Recorder(end), Recorder(accepted[0])
 
 
-def test_bytes_arrive_whole_and_in_order_however_they_are_cut():
-    world, _, one, other = joined(pieces=1.0)
+def test_bytes_arrive_complete_and_in_order_when_segments_are_split():
+    world, _, client, server = connected_pair(split_odds=1.0)
     for number in range(200):
-        one.end.send(b"%d," % number)
+        client.end.send(b"%d," % number)
     world.run(5000.0)
-    assert other.data == b"".join(b"%d," % number for number in range(200))
+    assert server.data == b"".join(b"%d," % number for number in range(200))
 
 
-def test_a_partition_holds_bytes_back_and_a_vanished_machine_forgets_them():
-    world, net, one, other = joined()
-    here, there = one.end.machine, other.end.machine
+def test_a_partition_delays_bytes_and_a_lost_machine_loses_them():
+    world, net, client, server = connected_pair()
+    here, there = client.end.machine, server.end.machine
     net.set_partition(here, there)
-    one.end.send(b"late")
+    client.end.send(b"late")
     world.run(3000.0)
-    assert other.data == b""
+    assert server.data == b""
     net.set_partition(here, there, False)
     world.run(6000.0)
-    assert other.data == b"late"
+    assert server.data == b"late"
     net.take_down(there)
-    one.end.send(b"never")
+    client.end.send(b"never")
     world.run(9000.0)
-    assert not one.ends
+    assert not client.ends
     there.up = True
     world.run(12000.0)
-    assert one.ends == [True] and other.data == b"late"
+    assert client.ends == [True] and server.data == b"late"
 
 
-def test_a_connection_closed_over_unread_bytes_is_reset():
-    world, _, one, other = joined()
-    other.end.on_data = None
-    one.end.send(b"unread")
+def test_a_connection_closed_with_unread_bytes_is_reset():
+    world, _, client, server = connected_pair()
+    server.end.on_data = None
+    client.end.send(b"unread")
     world.run(200.0)
-    other.end.close()
+    server.end.close()
     world.run(300.0)
-    assert one.ends == [True]
+    assert client.ends == [True]
 
 
-def test_a_full_disk_takes_what_fits_and_a_killed_writer_leaves_a_part():
+def test_a_full_disk_takes_what_fits_and_then_raises_enospc():
     disk = Disk(World(1).random_stream("disk"), capacity=10)
     file = disk.create("a")
     assert disk.write(file, b"x" * 8) == 8 and disk.write(file, b"y" * 8) == 2
-    with pytest.raises(OSError) as fault:
+    with pytest.raises(OSError) as error:
         disk.write(file, b"z")
-    assert fault.value.errno == errno.ENOSPC and disk.read("a") == b"x" * 8 + b"yy"
+    assert error.value.errno == errno.ENOSPC and disk.read("a") == b"x" * 8 + b"yy"
 
 
-def test_figures_hold_against_what_the_parties_saw_through_faults_and_kills():
-    """Days drawn from the seed, with couriers killed in them, and figures read every 0.7 s."""
+def test_statistics_match_what_the_parties_observed_through_faults_and_kills():
+    """Random troubles with kills; the statistics are read every 0.7 s."""
     from msgspec.structs import replace
 
     mixed = load("mixed")
-    asked = 0
+    admin_answers = 0
     for seed in range(31, 37):
         scenario = replace(mixed, couriers=replace(mixed.couriers, scrape_s=0.7, holders=3))
         _, referee, _ = runs.play(scenario, seed)
         assert not referee.breaks, (seed, list(map(str, referee.breaks[:5])))
-        asked += sum(status == 200 for *_, status, _ in referee.admin_calls)
-    assert asked > 300
+        admin_answers += sum(status == 200 for *_, status, _ in referee.admin_calls)
+    assert admin_answers > 300
--- a/tests/test_emulator_subscriptions.py
+++ b/tests/test_emulator_subscriptions.py
@@ -1,5 +1,6 @@
-"""Couriers that subscribe to parts of the list at real discovery nodes, in virtual time: the six rules and
-what such couriers owe beside them; same seed, same run."""
+"""Couriers that subscribe to parts of the list at real discovery nodes, in virtual time: the delivery
+rules, the further rules on such couriers, and reproducible runs.
+"""
 
 import os
 import subprocess
@@ -30,67 +31,69 @@
 
 @pytest.fixture(autouse=True)
 def no_log_output():
-    """Couriers' lines go to the run that made them, not to the test's output as well."""
+    """Couriers' log lines go to their run only, not to the output of the tests."""
     logger.remove()
     yield
     logger.add(sys.stderr)
 
 
 @cache
-def played(name, seed):
-    """The day and its referee; played once for all tests."""
+def play_once(name, seed):
+    """The simulation and its referee; run once for all tests."""
     return runs.play(load(name), seed)[:2]
 
 
-def play(name, seed):
-    """The same, with all rules kept."""
-    simulation, referee = played(name, seed)
+def play_without_violation(name, seed):
+    """The same, with a check that no rule is broken."""
+    simulation, referee = play_once(name, seed)
     assert not referee.breaks, list(map(str, referee.breaks[:5]))
     return simulation, referee
 
 
 def recorded(simulation, *kinds):
-    """The entries of these kinds in the trace."""
+    """The trace entries of these kinds."""
     return [entry for entry in simulation.world.trace if entry[1] in kinds]
 
 
-def test_fresh_and_given_up_and_unknown_destinations_on_a_calm_day():
-    simulation, referee = play("subscriptions", 1)
+def test_new_and_unsubscribed_and_unknown_destinations():
+    simulation, referee = play_without_violation("subscriptions", 1)
     answered, statuses = recorded(simulation, "answered"), [status for _, status in referee.answers.values()]
-    assert recorded(simulation, "gives-up"), "destinations are given up"
-    assert any(unknown for *_, unknown in answered) and 404 in statuses, "and asked for that do not exist"
-    told = {}
+    assert recorded(simulation, "gives-up"), "destinations are unsubscribed"
+    assert any(unknown for *_, unknown in answered) and 404 in statuses, "unknown destinations are requested"
+    answer_counts = {}
     for _, _, courier, _, complete, _ in answered:
         for destination in complete:
-            told[courier, destination] = told.get((courier, destination), 0) + 1
+            answer_counts[courier, destination] = answer_counts.get((courier, destination), 0) + 1
     given_up = {
         (courier, destination)
-        for *_, courier, some in recorded(simulation, "gives-up")
-        for destination in some
+        for *_, courier, destinations in recorded(simulation, "gives-up")
+        for destination in destinations
     }
-    assert any(told.get(one, 0) > 1 for one in given_up), "and subscribed to anew"
+    assert any(answer_counts.get(one, 0) > 1 for one in given_up), (
+        "unsubscribed destinations are subscribed again"
+    )
     assert sum(status == 202 for status in statuses) > 400
 
 
-def test_couriers_serve_on_by_what_they_know_while_no_node_is_there():
-    simulation, referee = play("subscriptions-nodes-killed", 1)
+def test_couriers_keep_sending_by_their_list_while_no_node_runs():
+    simulation, referee = play_without_violation("subscriptions-nodes-killed", 1)
     down = max(
         at for at, _, name, *_ in recorded(simulation, "end") if name.startswith("node") and at < 20000.0
     )
     back = min(at for at, _, name in recorded(simulation, "start") if name.startswith("node") and at > down)
-    meanwhile = [call for call in referee.calls.values() if down < call.started_at < back]
+    calls_meanwhile = [call for call in referee.calls.values() if down < call.started_at < back]
     restarted = [
         at for at, _, name in recorded(simulation, "start") if name.startswith("courier") and down < at < back
     ]
     assert not [entry for entry in recorded(simulation, "answered") if down + 100.0 < entry[0] < back]
-    assert restarted and any(call.started_at > restarted[-1] for call in meanwhile), (
+    assert restarted and any(call.started_at > restarted[-1] for call in calls_meanwhile), (
         "by the list in the folder"
     )
-    assert len(meanwhile) > 30
+    assert len(calls_meanwhile) > 30
 
 
-def test_a_courier_cut_off_from_its_node_goes_to_another_within_the_time_for_leaves():
-    simulation, referee = play("subscriptions-partition", 1)
+def test_a_courier_cut_off_from_its_node_switches_to_another_within_six_seconds():
+    simulation, referee = play_without_violation("subscriptions-partition", 1)
     (at, _, courier, node, _), *_ = recorded(simulation, "cut-off")
     served = [
         entry for entry in recorded(simulation, "answered") if entry[2] == courier and entry[0] > at + 100.0
@@ -99,34 +102,34 @@
     assert len({entry[3] for entry in recorded(simulation, "answered")}) == 3
 
 
-def test_a_herd_of_restarts_calls_nobody_before_its_first_answers():
-    simulation, referee = play("subscriptions-herd", 1)
+def test_couriers_restarted_together_call_nobody_before_their_first_answers():
+    simulation, referee = play_without_violation("subscriptions-herd", 1)
     starts = [at for at, _, name in recorded(simulation, "start") if name.startswith("courier")]
-    together = max(sum(other == at for other in starts) for at in starts)
-    assert together >= 4, "half of the couriers at one moment"
+    most_at_once = max(sum(other == at for other in starts) for at in starts)
+    assert most_at_once >= 4, "half of the couriers start at the same time"
 
 
-def test_a_restart_while_its_node_is_down_asks_the_next_one_before_it_calls_anybody():
-    simulation, _ = play("subscriptions-node-down", 1)
+def test_a_courier_restarted_while_its_node_is_down_asks_the_next_node_first():
+    simulation, _ = play_without_violation("subscriptions-node-down", 1)
     failed = [line for *_, line in simulation.log_lines if "cannot be connected to" in line]
-    assert failed, "a courier's first node was down"
+    assert failed, "no courier's first node was down"
 
 
-def test_a_list_that_is_too_old_is_not_called_by():
-    simulation, referee = play("subscriptions-old-list", 1)
+def test_a_list_that_is_too_old_is_not_used():
+    simulation, referee = play_without_violation("subscriptions-old-list", 1)
     back = min(
         at for at, _, name in recorded(simulation, "start") if name.startswith("node") and at > 10000.0
     )
-    late = [(at, name) for at, _, name in recorded(simulation, "start") if 12500.0 < at < back]
-    assert late
-    for at, name in late:
+    late_starts = [(at, name) for at, _, name in recorded(simulation, "start") if 12500.0 < at < back]
+    assert late_starts
+    for at, name in late_starts:
         assert not [c for c in referee.calls.values() if c.courier == name and at < c.started_at < back]
         assert [c for c in referee.calls.values() if c.courier == name and c.started_at > back]
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_another_seed_keeps_all_rules_and_each_list_is_compared_at_the_end(name):
-    simulation, _ = play(name, 2)
+def test_another_seed_causes_no_violation_and_each_list_is_compared_at_the_end(name):
+    simulation, _ = play_without_violation(name, 2)
     judged = ListReferee(simulation, Referee(simulation))
     assert not judged.referee.breaks
     assert judged.destinations_compared > 3 * len(simulation.couriers)
@@ -134,12 +137,12 @@
 
 
 @pytest.mark.parametrize("seed", range(4, 9))
-def test_a_day_that_the_seed_draws_keeps_all_rules(seed):
-    play("subscriptions-mixed", seed)
+def test_random_troubles_cause_no_violation(seed):
+    play_without_violation("subscriptions-mixed", seed)
 
 
-def test_the_faults_of_subscriptions_stand_with_the_others():
-    """Each is seen by its scenario in tests/test_emulator.py, which plays all faults."""
+def test_the_faults_of_subscriptions_are_registered():
+    """tests/test_emulator.py checks that each is detected by its scenario."""
     assert {SHOWN_BY[name][0] for name in FAULTS} == set(SCENARIOS) - {
         "subscriptions-mixed",
         "subscriptions-nodes-killed",
@@ -147,7 +150,7 @@
     assert len(FAULTS) == 10
 
 
-def test_one_seed_is_one_run_in_any_process():
+def test_the_same_seed_gives_the_same_run_in_any_process():
     seeds = [4, 5]
     script = (
         "import sys; from loguru import logger; logger.remove(); from calicopin.emulator import runs;"
@@ -155,15 +158,15 @@
         "days = [runs.play(load('subscriptions-mixed'), int(seed))[0] for seed in sys.argv[1:]];"
         "print(*[day.world.digest() for day in days])"
     )
-    here = [play("subscriptions-mixed", seed)[0].world.digest() for seed in seeds]
-    there = subprocess.run(
+    digests = [play_without_violation("subscriptions-mixed", seed)[0].world.digest() for seed in seeds]
+    other_digests = subprocess.run(
         [sys.executable, "-c", script, *map(str, reversed(seeds))],
         capture_output=True,
         text=True,
         env=os.environ | {"PYTHONHASHSEED": "77"},
         check=True,
     ).stdout.split()
-    assert here == there[::-1] and len(set(here)) == len(seeds)
+    assert digests == other_digests[::-1] and len(set(digests)) == len(seeds)
 
 
 MINIMAL_SCENARIO = (
@@ -174,7 +177,7 @@
 
 
 @pytest.mark.parametrize(
-    "data,told",
+    "data,message",
     [
         (MINIMAL_SCENARIO + b"[[trouble]]\nkind = 'node-kill'\nat_s = 9.0\n", "only where nodes.count"),
         (MINIMAL_SCENARIO + b"[nodes]\ncount = 99\n", "$.nodes.count"),
@@ -184,23 +187,23 @@
         ),
         (
             SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'node-kill'\nat_s = 9.0\nwhom = 'courier:0'\n",
-            "meets a node",
+            "affects a node",
         ),
         (
             SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'withdraw'\nat_s = 9.0\nwhom = 'node:0'\n",
-            "meets a destination",
+            "affects a destination",
         ),
         (SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'publish'\nat_s = 9.0\n", "named by its number"),
         (SCENARIO_WITH_NODES + b"[[trouble]]\nkind = 'courier-herd'\nat_s = 9.0\nsize = 2.0\n", "is a share"),
     ],
 )
-def test_a_scenario_that_cannot_be_used_is_told_by_file_and_place(data, told):
-    with pytest.raises(ScenarioError) as fault:
+def test_an_invalid_scenario_is_reported_with_file_and_place(data, message):
+    with pytest.raises(ScenarioError) as error:
         parse(data, "f.toml")
-    assert told in str(fault.value) and "\n" not in str(fault.value)
+    assert message in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_leave_is_owed_after_six_seconds_of_one_node():
+def test_a_leave_is_due_after_six_seconds_of_reach_to_one_node():
     assert Reachability([[]]).update_due(100.0) == 6100.0
     assert Reachability([[Span(0.0, 500.0)]]).update_due(100.0) == 6500.0
     assert Reachability([[Span(3000.0, 4000.0)]]).update_due(100.0) == 10000.0
@@ -208,27 +211,29 @@
     assert Reachability([[Span(50.0, INFINITE)]]).update_due(100.0) == INFINITE
 
 
-def test_a_party_is_silent_before_its_start_between_its_processes_and_while_it_stands():
+def test_a_party_is_silent_before_its_start_between_processes_and_while_suspended():
     party = Party([10.0, 50.0], [40.0, 90.0], [Span(20.0, 25.0)])
     assert party.silent() == [Span(0.0, 10.0), Span(40.0, 50.0), Span(90.0, INFINITE), Span(20.0, 25.0)]
     assert party.process_start(45.0) == 10.0 and party.process_start(50.0) == 50.0
 
 
-def test_what_was_given_up_counts_as_not_told():
-    told = KnownDestinations()
-    assert not told.is_known(7, 10.0)
-    told.destinations[7] += [5.0, 30.0]
-    told.given_up[7].append(20.0)
-    assert told.is_known(7, 10.0)
-    assert not told.is_known(7, 25.0)
-    assert told.is_known(7, 31.0)
+def test_an_unsubscribed_destination_counts_as_unknown():
+    known = KnownDestinations()
+    assert not known.is_known(7, 10.0)
+    known.destinations[7] += [5.0, 30.0]
+    known.given_up[7].append(20.0)
+    assert known.is_known(7, 10.0)
+    assert not known.is_known(7, 25.0)
+    assert known.is_known(7, 31.0)
 
 
-def test_sources_hold_the_changes_in_their_order_and_a_replaced_one_is_short():
-    simulation, _ = play("subscriptions", 1)
+def test_sources_hold_the_changes_in_order_and_a_replaced_one_is_short():
+    simulation, _ = play_without_violation("subscriptions", 1)
     for node in simulation.nodes.processes:
         serials = [entry[2] for entry in recorded(simulation, "source") if entry[3] == node.name]
         assert all(one < other for one, other in pairwise(serials))
         lines = bytes(node.disk.files[SOURCE]).splitlines()
         assert lines[0] + b"\n" == encode({"form": 1, "fleet": "emulated"})
-        assert len(lines) < 1 + len(simulation.nodes.initial_entries) + len(serials), "written anew since"
+        assert len(lines) < 1 + len(simulation.nodes.initial_entries) + len(serials), (
+            "the source was replaced"
+        )
