--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -165,13 +165,13 @@
         destination = self.destinations[call.place.dest]
         idents = tuple(text.ident for text in call.texts)
         if destination.overloaded or destination.active_troubles.get("refuse"):
-            destination.met.add(courier.name)
+            destination.couriers_in_outage.add(courier.name)
             self.world.call_later(
                 self.latency(), self.end, number, courier, call, started_at, Answer(Far.UNCONNECTED), False
             )
             return
         if destination.active_troubles.get("vanish"):
-            destination.met.add(courier.name)
+            destination.couriers_in_outage.add(courier.name)
             self.world.call_later(
                 self.scenario.couriers.connect_ms,
                 self.end,
@@ -188,7 +188,7 @@
         self.world.record(
             "call", number, courier.name, endpoint.ident, endpoint.zone, destination.number, texts, started_at
         )
-        reply = destination.arrive(endpoint, courier.name, idents)
+        reply = destination.handle_call(endpoint, courier.name, idents)
         if reply.processed:
             self.world.call_later(reply.processed_after_ms, self.world.record, "ran", number, reply.processed)
         if reply.delay_ms != NEVER:
--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -288,7 +288,7 @@
                         DRAIN,
                         at,
                         call.courier,
-                        f"a call to {call.endpoint} begun {at - listing.leave:.0f} ms after each node had "
+                        f"a call to {call.endpoint} started {at - listing.leave:.0f} ms after each node had "
                         f"its leave, which was due by {due:.1f}",
                     )
 
--- a/calicopin/emulator/net.py
+++ b/calicopin/emulator/net.py
@@ -165,7 +165,7 @@
                 self.partitions.pop(pair, None)
 
     def take_down(self, machine):
-        """Takes a machine down without a word to its peers; its connections and listeners are lost."""
+        """Takes a machine down without notice to its peers; its connections and listeners are lost."""
         machine.up, machine.boot_count = False, machine.boot_count + 1
         ends, machine.ends = list(machine.ends), {}
         for end in ends:
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -110,12 +110,12 @@
     """
 
     def __init__(self, node: "NodeProcess", end: End):
-        self.node, self.end, self.node_send, self.host = node, end, end.node_send, end.peer.machine.address
+        self.node, self.end, self.node_send, self.host = node, end, end.send, end.peer.machine.address
         self.answer_parser = MessageParser(httptools.HttpResponseParser, self._on_answer_parsed)
         self.answers: list[dict] = []
-        end.node_send = self._node_sent
+        end.send = self._node_sent
         self.request_parser = MessageParser(httptools.HttpRequestParser, self._on_request_parsed)
-        self.client_send, end.peer.node_send = end.peer.node_send, self._client_sent
+        self.client_send, end.peer.send = end.peer.send, self._client_sent
 
     def _client_sent(self, data, on_read=None):
         self.request_parser.feed(data)
--- a/calicopin/emulator/referee.py
+++ b/calicopin/emulator/referee.py
@@ -83,16 +83,16 @@
 
     def resumed_at(self, at):
         """When it could first react to what reached it at `at`."""
-        for begun, until in self.suspensions:
-            if begun <= at <= until:
+        for begin, until in self.suspensions:
+            if begin <= at <= until:
                 at = until
         return at
 
     def answer_due(self, until):
         """The latest time for a final answer to a text that is valid until `until`."""
         due = until + ANSWER_TOLERANCE_MS
-        for begun, end in sorted(self.excused):
-            if begun <= due and end >= until - REACTION_MS:
+        for begin, end in sorted(self.excused):
+            if begin <= due and end >= until - REACTION_MS:
                 due = max(due, end)
         return due
 
@@ -352,7 +352,7 @@
                     EFFECT,
                     later.started_at,
                     ident,
-                    f"sent while an earlier call, begun at {earlier.started_at:.1f}, is unanswered",
+                    f"sent while an earlier call, started at {earlier.started_at:.1f}, is unanswered",
                 )
         for call in calls:
             if call.started_at > first_notice_at + REACTION_MS and not self._may_be_lost(
@@ -450,7 +450,7 @@
                         DRAIN,
                         at,
                         courier,
-                        f"a call to {full.endpoint} begun {at - announced_at:.0f} ms after its drain was "
+                        f"a call to {full.endpoint} started {at - announced_at:.0f} ms after its drain was "
                         "announced",
                     )
 
