--- a/calicopin/emulator/scenario.py
+++ b/calicopin/emulator/scenario.py
@@ -279,7 +279,7 @@
                 number += 1
 
 
-def party(kind):
+def affected_party(kind):
     """The kind of party that a trouble affects; None if it is not one kind."""
     if kind in COURIER_TROUBLES or kind == "node-partition":
         return "courier"
@@ -288,7 +288,7 @@
     return "node" if kind in NODE_TROUBLES else None
 
 
-def check(scenario, source):
+def validate(scenario, source):
     """Validates what the types cannot express; raises ScenarioError for the first error."""
 
     def fail(place, reason):
@@ -328,7 +328,7 @@
         kind, _, name = trouble.whom.partition(":")
         if trouble.kind in SUBSCRIPTION_TROUBLES and not scenario.nodes.count:
             fail(f"{place}: kind", "there are discovery nodes only where nodes.count is set")
-        expected = party(trouble.kind)
+        expected = affected_party(trouble.kind)
         if trouble.kind == "publish" and kind != "destination":
             fail(f"{place}: whom", "a published destination is named by its number, destination:N")
         if kind == "any" and not name:
@@ -361,7 +361,7 @@
     except UnicodeDecodeError as error:
         raise ScenarioError(f"{source}: byte {error.start}: not UTF-8") from None
     try:
-        return check(msgspec.toml.decode(text, type=Scenario), source)
+        return validate(msgspec.toml.decode(text, type=Scenario), source)
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at ")
         raise ScenarioError(f"{source}: {place.strip('`') or 'the file'}: {reason}") from None
--- a/calicopin/emulator/simulation.py
+++ b/calicopin/emulator/simulation.py
@@ -195,8 +195,8 @@
                     *range(
                         10,
                         11
-                        + sum(one.destinations for one in scenario.partner) // 200
-                        + 40 * (max(one.endpoints for one in scenario.partner) // 250),
+                        + sum(partner.destinations for partner in scenario.partner) // 200
+                        + 40 * (max(partner.endpoints for partner in scenario.partner) // 250),
                     ),
                 )
             ),
@@ -222,8 +222,8 @@
         self.endpoints_created, self.log_lines = len(self.server_list), []
         if kills:
             self.couriers[0].planned_kills.extend(kills)
-            self.couriers[0].on_killed_in_call = lambda one: world.call_later(
-                scenario.couriers.restart_ms, self.start, one
+            self.couriers[0].on_killed_in_call = lambda courier: world.call_later(
+                scenario.couriers.restart_ms, self.start, courier
             )
 
     # The parties.
@@ -364,13 +364,13 @@
             return
         handler, duration = trouble.kind.replace("-", "_"), trouble.for_s * 1000.0
         if trouble.kind in PARTNER_TROUBLES:
-            for one in self.targets(trouble):
-                self.world.record("trouble", trouble.kind, f"destination {one.number}", duration)
-                getattr(self, f"_{handler}", self._set_mode)(one, trouble, duration)
+            for destination in self.targets(trouble):
+                self.world.record("trouble", trouble.kind, f"destination {destination.number}", duration)
+                getattr(self, f"_{handler}", self._set_mode)(destination, trouble, duration)
         elif trouble.kind in COURIER_TROUBLES:
-            for one in self.targets(trouble):
-                self.world.record("trouble", trouble.kind, one.name, duration)
-                getattr(self, f"_{handler}")(one, trouble, duration)
+            for courier in self.targets(trouble):
+                self.world.record("trouble", trouble.kind, courier.name, duration)
+                getattr(self, f"_{handler}")(courier, trouble, duration)
         else:
             self.world.record("trouble", trouble.kind, trouble.whom, duration)
             getattr(self, f"_{handler}")(trouble, duration)
