--- a/calicopin/emulator/simulation.py
+++ b/calicopin/emulator/simulation.py
@@ -195,8 +195,8 @@
                     *range(
                         10,
                         11
-                        + sum(partner.destinations for partner in scenario.partner) // 200
-                        + 40 * (max(partner.endpoints for partner in scenario.partner) // 250),
+                        + sum(make.destinations for make in scenario.partner) // 200
+                        + 40 * (max(make.endpoints for make in scenario.partner) // 250),
                     ),
                 )
             ),
