--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -26,7 +26,7 @@
 
 
 @contextmanager
-def put_in(name):
+def injected(name):
     """The program has this fault within the context; with None it is unchanged."""
     if name is None:
         yield
--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -122,30 +122,30 @@
     def __init__(self):
         self.answers: list[float] = []
         self.endpoints: dict[str, float] = {}  # when each was first known
-        self.destinations: dict[int, list[float]] = defaultdict(list)  # times of answers with it, in order
+        self.known_at: dict[int, list[float]] = defaultdict(list)  # times of answers with it, in order
         # the same, and times of answers that call it unknown
-        self.answered: dict[int, list[float]] = defaultdict(list)
-        self.given_up: dict[int, list[float]] = defaultdict(list)
+        self.answered_at: dict[int, list[float]] = defaultdict(list)
+        self.unsubscribed_at: dict[int, list[float]] = defaultdict(list)
 
     def is_known(self, destination: int, at: float) -> bool:
         """Whether an answer has told of the destination since it was last unsubscribed."""
-        known = self.destinations.get(destination, ())
-        given_up = self.given_up.get(destination, ())
-        last_told = bisect_right(known, at)
-        last_up = bisect_right(given_up, at)
-        if not last_told:
+        answers = self.known_at.get(destination, ())
+        unsubscribed = self.unsubscribed_at.get(destination, ())
+        answer_count = bisect_right(answers, at)
+        unsubscribe_count = bisect_right(unsubscribed, at)
+        if not answer_count:
             return False
-        return not last_up or known[last_told - 1] > given_up[last_up - 1]
+        return not unsubscribe_count or answers[answer_count - 1] > unsubscribed[unsubscribe_count - 1]
 
     def was_subscribed(self, destination: int, process_start: float, begin: float, end: float) -> bool:
         """Whether it was subscribed all that time, and known to the process that began at `process_start`."""
-        given_up = any(begin < at <= end for at in self.given_up.get(destination, ()))
+        unsubscribed = any(begin < at <= end for at in self.unsubscribed_at.get(destination, ()))
         known = self.is_known(destination, begin) and self.was_answered(destination, process_start, begin)
-        return known and not given_up
+        return known and not unsubscribed
 
     def was_answered(self, destination: int, begin: float, end: float) -> bool:
         """Whether an answer in that time told of it."""
-        return any(begin <= at <= end for at in self.answered.get(destination, ()))
+        return any(begin <= at <= end for at in self.answered_at.get(destination, ()))
 
 
 class ListReferee:
@@ -164,10 +164,10 @@
         self.loss_spans: list[Span] = []  # when answers may be lost with their connections
         for ident, entry in simulation.nodes.initial_entries.items():
             self.listings[ident].append(Listing(entry["cell"], 0.0))
-        for at, kind, *known in simulation.world.trace:
-            getattr(self, "_" + kind.replace("-", "_"), self._ignore)(at, *known)
+        for at, kind, *details in simulation.world.trace:
+            getattr(self, "_" + kind.replace("-", "_"), self._ignore)(at, *details)
         nodes = [node.name for node in simulation.nodes.processes]
-        self.reach = {
+        self.reachability = {
             courier.name: Reachability([self._unreachable_spans(courier.name, node) for node in nodes])
             for courier in simulation.couriers
         }
@@ -186,7 +186,7 @@
     def _start(self, at, name):
         self.parties[name].starts.append(at)
 
-    def _end(self, at, name, how, why):
+    def _end(self, at, name, how, reason):
         self.parties[name].ends.append(at)
 
     def _stands(self, at, name, ms):
@@ -196,7 +196,7 @@
         """After SIGTERM a node may stop answering."""
         self.parties[name].suspensions.append(Span(at, at + 1000.0))
 
-    def _trouble(self, at, kind, whom, ms):
+    def _trouble(self, at, kind, target, ms):
         if kind in ("answers-lost", "resets"):
             self.loss_spans.append(Span(at, at + ms + LOSS_TOLERANCE_MS))
 
@@ -215,13 +215,13 @@
         known = self.known[courier]
         known.answers.append(at)
         for destination in complete:
-            known.destinations[destination].append(at)
+            known.known_at[destination].append(at)
         for destination in complete + unknown:
-            known.answered[destination].append(at)
+            known.answered_at[destination].append(at)
 
     def _gives_up(self, at, courier, destinations):
         for destination in destinations:
-            self.known[courier].given_up[destination].append(at)
+            self.known[courier].unsubscribed_at[destination].append(at)
 
     def _source(self, at, serial, node, endpoint, destination, state, nodes):
         """A change is in a node's source; each node gets the changes in order, and so their first sight is
@@ -264,7 +264,11 @@
         return self.simulation.world.now
 
     def _judge_call(self, call):
-        known, party, reach = self.known[call.courier], self.parties[call.courier], self.reach[call.courier]
+        known, party, reachability = (
+            self.known[call.courier],
+            self.parties[call.courier],
+            self.reachability[call.courier],
+        )
         process_start, at = party.process_start(call.started_at), call.started_at
         if known.endpoints.get(call.endpoint, INFINITE) > at:
             self.referee.add(KNOWN, at, call.courier, f"a call to {call.endpoint}, of which no node has told")
@@ -282,7 +286,7 @@
             )
         for listing in self.listings[call.endpoint]:
             if listing.leave <= at < listing.end:
-                due = resume_time(party, reach.update_due(listing.leave))
+                due = resume_time(party, reachability.update_due(listing.leave))
                 if at > due + self.simulation.scenario.rules.drain_ms + REACTION_MS:
                     self.referee.add(
                         DRAIN,
@@ -299,7 +303,7 @@
             for listing in listings:
                 if listing.leave == INFINITE:
                     continue
-                due = resume_time(party, self.reach[courier].update_due(listing.leave)) + REACTION_MS
+                due = resume_time(party, self.reachability[courier].update_due(listing.leave)) + REACTION_MS
                 begin = listing.first_leave
                 if due > min(listing.end, self._end_at()) or not party.ran_through(begin, due):
                     continue
@@ -318,7 +322,7 @@
         answer_lost = any(
             span.begin < call.started_at and span.end > process_start for span in self.loss_spans
         )
-        if not answer_lost and self.reach[call.courier].every_node(process_start, call.started_at):
+        if not answer_lost and self.reachability[call.courier].every_node(process_start, call.started_at):
             self.referee.add(
                 KNOWN,
                 call.started_at,
@@ -330,7 +334,7 @@
             if (
                 announced
                 and not answer_lost
-                and self.reach[call.courier].any_node(process_start, call.started_at)
+                and self.reachability[call.courier].any_node(process_start, call.started_at)
             ):
                 self.referee.add(
                     DRAIN,
@@ -365,7 +369,7 @@
     def _was_listed(self, courier: str, destination: int, at: float) -> bool:
         return any(
             listing.destination == destination
-            and self.reach[courier].update_due(listing.begin) + REACTION_MS < at < listing.first_leave
+            and self.reachability[courier].update_due(listing.begin) + REACTION_MS < at < listing.first_leave
             for listings in self.listings.values()
             for listing in listings
         )
@@ -374,12 +378,13 @@
         """Compares the courier's file with the source, and checks that it still gets answers."""
         end, name = self._end_at(), courier.name
         known, process_start = self.known[name], self.parties[name].process_start(end)
-        can_be_updated = self.reach[name].update_due(process_start) < end
+        can_be_updated = self.reachability[name].update_due(process_start) < end
         quiet = (
             can_be_updated
-            and self.reach[name].update_due(self.changed_at) + STORED_WITHIN_MS - UPDATE_WITHIN_MS < end
+            and self.reachability[name].update_due(self.changed_at) + STORED_WITHIN_MS - UPDATE_WITHIN_MS
+            < end
         )
-        if can_be_updated and self.reach[name].update_due(end - ANSWER_WITHIN_MS) <= end:
+        if can_be_updated and self.reachability[name].update_due(end - ANSWER_WITHIN_MS) <= end:
             if not known.answers or known.answers[-1] < end - ANSWER_WITHIN_MS:
                 self.referee.add(
                     KNOWN, end, name, "no answer from a node for 6 s, though one could be reached"
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -275,13 +275,13 @@
         unsubscribed before.
         """
         courier = self.simulation.courier_by_host[host]
-        given_up = subscription["unsubscribe"]
+        unsubscribed = subscription["unsubscribe"]
         if subscription["lease"] is None:
-            given_up = sorted(self.known_by_courier[courier].keys() - set(subscription["subscribe"]))
-        for destination in given_up:
+            unsubscribed = sorted(self.known_by_courier[courier].keys() - set(subscription["subscribe"]))
+        for destination in unsubscribed:
             self.known_by_courier[courier].pop(destination, None)
-        if given_up:
-            self.world.record("gives-up", courier, tuple(given_up))
+        if unsubscribed:
+            self.world.record("gives-up", courier, tuple(unsubscribed))
 
     def _on_answer(self, node: str, host: str, answer: dict):
         """A courier has read an answer."""
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -59,7 +59,7 @@
 def play(scenario, seed, fault=None, troubles=None, texts=None, kills=()):
     """Plays one run: (simulation, referee, CPU seconds)."""
     started = time.process_time()
-    with faults.put_in(fault), unsubscribe_after(scenario.nodes.given_up_s):
+    with faults.injected(fault), unsubscribe_after(scenario.nodes.given_up_s):
         simulation = Simulation(scenario, seed, serve, troubles, texts, kills)
         try:
             with_cpu_limit(simulation.play)
--- a/tests/test_emulator_subscriptions.py
+++ b/tests/test_emulator_subscriptions.py
@@ -220,8 +220,8 @@
 def test_an_unsubscribed_destination_counts_as_unknown():
     known = KnownDestinations()
     assert not known.is_known(7, 10.0)
-    known.destinations[7] += [5.0, 30.0]
-    known.given_up[7].append(20.0)
+    known.known_at[7] += [5.0, 30.0]
+    known.unsubscribed_at[7].append(20.0)
     assert known.is_known(7, 10.0)
     assert not known.is_known(7, 25.0)
     assert known.is_known(7, 31.0)
