--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -1,7 +1,8 @@
-"""The decisions alone through the same scenarios: hundreds of couriers without sockets, processes or disks.
+"""Fleet mode: the decision logic alone through the same scenarios, for hundreds of couriers without sockets,
+processes or disks.
 
-Partners are those of the emulated network, and the referee is the same; troubles of couriers, platform and
-network are passed over, as there is nothing for them to meet.
+Partners and referee are those of the emulated network. Troubles of couriers, platform and network are
+skipped, since there is nothing that they could affect.
 """
 
 import time
@@ -10,20 +11,20 @@
 
 import msgspec
 
-from calicopin.emulator.day import OPENING, arrivals, drawn, settings
 from calicopin.emulator.partners import NEVER, Destination, Endpoint
 from calicopin.emulator.referee import Referee
 from calicopin.emulator.runs import Result
 from calicopin.emulator.scenario import PARTNER_TROUBLES
+from calicopin.emulator.simulation import CLIENTS_START_MS, arrivals, draw_troubles, settings
 from calicopin.emulator.world import World
 from calicopin.facade import Answer, Facade, Far, Place
 from calicopin.state.texts import Text
 
-MODES = ("refuse", "hang", "shut", "vanish", "slow", "errors", "lose", "spoil")
+FLEET_TROUBLES = ("refuse", "hang", "shut", "vanish", "slow", "errors", "lose", "spoil")
 
 
-class Instance:
-    """One courier's decisions, with the wake-up that is due for them."""
+class CourierInstance:
+    """The decision logic of one courier and its next wake-up."""
 
     def __init__(self, fleet, number):
         self.fleet, self.world, self.name = fleet, fleet.world, f"courier{number}"
@@ -32,30 +33,31 @@
             seed, settings(fleet.scenario, number), fleet.scenario.couriers.slots, self.world.now
         )
         self.facade.listed([replace(place) for place in fleet.places], True)
-        self.due, self.serial = float("inf"), 0
-        self.world.note("start", self.name)
+        self.next_due, self.wake_serial = float("inf"), 0
+        self.world.record("start", self.name)
 
-    def turn(self):
-        """What came in is decided and carried out."""
+    def process(self):
+        """Decides on pending input and carries the decisions out."""
         facade, world = self.facade, self.world
         due = facade.tick(world.now)
-        while back := facade.back():
-            back[0].came_back(back[1])
+        while returned := facade.back():
+            returned[0].came_back(returned[1])
         while facade.said():
             pass
         while call := facade.pick():
             self.fleet.call(self, call)
         while end := facade.ended():
             if end.verdict is not None:
-                world.note("notice", self.name, end.text.ident, end.verdict, end.wait)
-                self.fleet.noticed(end.text.ident, end.verdict, end.wait)
+                world.record("notice", self.name, end.text.ident, end.verdict, end.wait)
+                self.fleet.on_notice(end.text.ident, end.verdict, end.wait)
         if due < float("inf"):
-            self.serial += 1
-            world.at(max(due, world.now), self.wake, self.serial)
+            self.wake_serial += 1
+            world.call_at(max(due, world.now), self.wake, self.wake_serial)
 
-    def wake(self, serial):
-        if serial == self.serial:
-            self.turn()
+    def wake(self, wake_serial):
+        """Processes what is due, unless a later wake-up has been scheduled."""
+        if wake_serial == self.wake_serial:
+            self.process()
 
 
 class Fleet:
@@ -63,7 +65,12 @@
 
     def __init__(self, scenario, seed):
         self.scenario, self.seed, self.world = scenario, seed, World(seed)
-        self.rng, self.numbers, self.calls, self.open = self.world.chance("fleet"), {}, 0, {}
+        self.rng, self.attempts, self.call_count, self.open_calls = (
+            self.world.random_stream("fleet"),
+            {},
+            0,
+            {},
+        )
         self.destinations, self.places, self.endpoints = {}, [], {}
         for number, partner, _ in scenario.destinations():
             endpoints = [
@@ -73,30 +80,32 @@
             for endpoint in endpoints:
                 self.endpoints[endpoint.ident] = endpoint
                 self.places.append(Place(endpoint.ident, "", number, partner.name, endpoint.zone, True, 1.0))
-        self.troubles = drawn(scenario, self.world)
+        self.troubles = draw_troubles(scenario, self.world)
         self.texts = arrivals(
             msgspec.structs.replace(scenario, trouble=tuple(self.troubles), mixed=None), self.world
         )
-        self.asked = {}
-        self.couriers = [Instance(self, number) for number in range(scenario.couriers.count)]
+        self.submissions = {}
+        self.couriers = [CourierInstance(self, number) for number in range(scenario.couriers.count)]
 
     def latency(self):
+        """Draws the latency to a partner in ms."""
         low, high = self.scenario.net.partner_ms
         return low + (high - low) * self.rng.random()
 
     # Clients.
 
-    def hand_in(self, text, courier):
+    def send_text(self, text, courier):
+        """Submits a text to a courier."""
         now = self.world.now
         if now >= text["until"] - 20.0:
             return
-        tries = self.numbers[text["number"]] = self.numbers.get(text["number"], 0) + 1
-        ident = f"{text['number']:x}.{tries}"
-        made = Text(
+        attempt = self.attempts[text["number"]] = self.attempts.get(text["number"], 0) + 1
+        ident = f"{text['number']:x}.{attempt}"
+        message = Text(
             ident, text["dest"], text["product"], text["reference"], text["key"], text["until"], text["body"]
         )
-        self.asked[ident] = text, courier
-        self.world.note(
+        self.submissions[ident] = text, courier
+        self.world.record(
             "hand-in",
             ident,
             text["number"],
@@ -109,137 +118,155 @@
             text["until"],
         )
         if courier.facade.full():
-            self.world.note("answer", ident, 503)
-            self.again(text, courier, courier.facade.advice(made))
+            self.world.record("answer", ident, 503)
+            self.retry(text, courier, courier.facade.advice(message))
             return
-        self.world.note("answer", ident, 202)
-        courier.facade.hand_in(made)
-        courier.turn()
+        self.world.record("answer", ident, 202)
+        courier.facade.hand_in(message)
+        courier.process()
 
-    def noticed(self, ident, verdict, wait):
-        text, courier = self.asked[ident]
+    def on_notice(self, ident, verdict, wait):
+        """A notice has arrived; a text that had no effect is submitted again."""
+        text, courier = self.submissions[ident]
         if verdict == "bounced":
-            self.again(text, courier, wait)
+            self.retry(text, courier, wait)
 
-    def again(self, text, courier, wait):
+    def retry(self, text, courier, wait):
+        """Submits the text again after `wait` ms or more, if the scenario says so."""
         traffic = self.scenario.traffic
-        if traffic.again != "never" and self.numbers[text["number"]] <= traffic.agains:
-            heeds = self.rng.random() < traffic.honour
-            self.world.after(
-                max(wait if heeds else 0.0, self.rng.uniform(200.0, 800.0)), self.hand_in, text, courier
+        if traffic.again != "never" and self.attempts[text["number"]] <= traffic.agains:
+            honours_wait = self.rng.random() < traffic.honour
+            self.world.call_later(
+                max(wait if honours_wait else 0.0, self.rng.uniform(200.0, 800.0)),
+                self.send_text,
+                text,
+                courier,
             )
 
     # Calls.
 
     def call(self, courier, call):
-        """On its way; what ends it first is what it ends with."""
-        self.calls += 1
-        number, begun = self.calls, self.world.now
-        self.open[number] = False  # not there yet
+        """Starts a call; it ends with its answer or its time-out, whichever is first."""
+        self.call_count += 1
+        number, started_at = self.call_count, self.world.now
+        self.open_calls[number] = False  # not yet arrived
         for text in call.texts:
-            text.went_out(begun, call.place.zone)
-        self.world.after(self.latency(), self.arrive, number, courier, call, begun)
-        self.world.after(
-            call.timeout, self.end, number, courier, call, begun, Answer(Far.SENT, late=True), False
+            text.went_out(started_at, call.place.zone)
+        self.world.call_later(self.latency(), self.arrive, number, courier, call, started_at)
+        self.world.call_later(
+            call.timeout, self.end, number, courier, call, started_at, Answer(Far.SENT, late=True), False
         )
 
-    def arrive(self, number, courier, call, begun):
-        if number not in self.open:
+    def arrive(self, number, courier, call, started_at):
+        """The call reaches the destination."""
+        if number not in self.open_calls:
             return
         endpoint = self.endpoints[call.place.ident]
-        one = self.destinations[call.place.dest]
+        destination = self.destinations[call.place.dest]
         idents = tuple(text.ident for text in call.texts)
-        if one.fell or one.modes.get("refuse"):
-            one.met.add(courier.name)
-            self.world.after(
-                self.latency(), self.end, number, courier, call, begun, Answer(Far.UNCONNECTED), False
+        if destination.overloaded or destination.active_troubles.get("refuse"):
+            destination.couriers_in_outage.add(courier.name)
+            self.world.call_later(
+                self.latency(), self.end, number, courier, call, started_at, Answer(Far.UNCONNECTED), False
             )
             return
-        if one.modes.get("vanish"):
-            one.met.add(courier.name)
-            self.world.after(
+        if destination.active_troubles.get("vanish"):
+            destination.couriers_in_outage.add(courier.name)
+            self.world.call_later(
                 self.scenario.couriers.connect_ms,
                 self.end,
                 number,
                 courier,
                 call,
-                begun,
+                started_at,
                 Answer(Far.UNCONNECTED),
                 False,
             )
             return
-        self.open[number] = True
+        self.open_calls[number] = True
         texts = tuple((text.ident, text.reference, zlib.crc32(text.body)) for text in call.texts)
-        self.world.note("call", number, courier.name, endpoint.ident, endpoint.zone, one.number, texts, begun)
-        reply = one.arrive(endpoint, courier.name, idents)
-        if reply.ran:
-            self.world.after(reply.ran_after, self.world.note, "ran", number, reply.ran)
-        if reply.after != NEVER:
-            self.world.after(reply.after, self.reply, number, courier, call, begun, reply)
+        self.world.record(
+            "call", number, courier.name, endpoint.ident, endpoint.zone, destination.number, texts, started_at
+        )
+        reply = destination.handle_call(endpoint, courier.name, idents)
+        if reply.processed:
+            self.world.call_later(reply.processed_after_ms, self.world.record, "ran", number, reply.processed)
+        if reply.delay_ms != NEVER:
+            self.world.call_later(reply.delay_ms, self.reply, number, courier, call, started_at, reply)
 
-    def reply(self, number, courier, call, begun, reply):
-        if number not in self.open:
+    def reply(self, number, courier, call, started_at, reply):
+        """The destination answers."""
+        if number not in self.open_calls:
             return
-        lost = reply.lost or reply.spoilt
+        lost = reply.drop_connection or reply.corrupt
         states = reply.states
         if len(call.texts) > 1 and reply.status == 200:
-            states = states or {ident: "delivered" for ident in reply.ran}
+            states = states or {ident: "delivered" for ident in reply.processed}
         if lost:
-            self.world.note("lost", number)
+            self.world.record("lost", number)
             answer = Answer(Far.SENT)
         else:
-            self.world.note("reply", number, reply.status, reply.wait, tuple((states or {}).items()))
+            self.world.record(
+                "reply", number, reply.status, reply.retry_after_ms, tuple((states or {}).items())
+            )
             answer = Answer(
-                Far.ANSWERED, status=reply.status, wait=reply.wait, load=reply.load or {}, ends=states
+                Far.ANSWERED,
+                status=reply.status,
+                wait=reply.retry_after_ms,
+                load=reply.load or {},
+                ends=states,
             )
-        self.world.after(self.latency(), self.end, number, courier, call, begun, answer, not lost)
+        self.world.call_later(self.latency(), self.end, number, courier, call, started_at, answer, not lost)
 
-    def end(self, number, courier, call, begun, answer, heard):
-        met = self.open.pop(number, None)
-        if met is not None:
-            if met:
-                self.world.note("heard" if heard else "hung-up", number)
-            courier.facade.report(call, answer, self.world.now - begun)
-            courier.turn()
+    def end(self, number, courier, call, started_at, answer, answer_read):
+        """Reports the outcome of a call to the courier, once."""
+        arrived = self.open_calls.pop(number, None)
+        if arrived is not None:
+            if arrived:
+                self.world.record("heard" if answer_read else "hung-up", number)
+            courier.facade.report(call, answer, self.world.now - started_at)
+            courier.process()
 
     # The run.
 
-    def strike(self, trouble):
-        if trouble.kind not in PARTNER_TROUBLES or trouble.kind not in (*MODES, "limit"):
+    def begin_trouble(self, trouble):
+        """Starts a trouble of partners."""
+        if trouble.kind not in PARTNER_TROUBLES or trouble.kind not in (*FLEET_TROUBLES, "limit"):
             return
         kind, _, name = trouble.whom.partition(":")
-        some = [
-            one
-            for one in self.destinations.values()
+        targets = [
+            destination
+            for destination in self.destinations.values()
             if kind == "partner"
-            and one.spec.name == name
+            and destination.spec.name == name
             or kind == "destination"
-            and one.number == int(name)
+            and destination.number == int(name)
         ]
-        for one in some or [self.rng.choice(list(self.destinations.values()))]:
-            lasts = trouble.for_s * 1000.0
-            self.world.note("trouble", trouble.kind, f"destination {one.number}", lasts)
+        for destination in targets or [self.rng.choice(list(self.destinations.values()))]:
+            duration = trouble.for_s * 1000.0
+            self.world.record("trouble", trouble.kind, f"destination {destination.number}", duration)
             if trouble.kind == "limit":
-                one.factor = trouble.size
-                self.world.after(lasts, setattr, one, "factor", 1.0)
+                destination.limit_factor = trouble.size
+                self.world.call_later(duration, setattr, destination, "limit_factor", 1.0)
             else:
-                one.begin(trouble.kind, trouble.size)
-                one.shut_until = max(one.shut_until, self.world.now + lasts)
-                self.world.after(lasts, one.end, trouble.kind)
+                destination.begin_trouble(trouble.kind, trouble.size)
+                destination.shut_until = max(destination.shut_until, self.world.now + duration)
+                self.world.call_later(duration, destination.end_trouble, trouble.kind)
 
     def play(self):
+        """Plays the run to its end."""
         for courier in self.couriers:
-            courier.turn()
+            courier.process()
         for text in self.texts:
-            self.world.at(text["due"], self.hand_in, text, self.rng.choice(self.couriers))
+            self.world.call_at(text["due"], self.send_text, text, self.rng.choice(self.couriers))
         for trouble in self.troubles:
-            self.world.at(OPENING + trouble.at_s * 1000.0, self.strike, trouble)
-        last = max(product.validity_s for product in self.scenario.product) * 1000.0
-        self.world.run(OPENING + self.scenario.length_s * 1000.0 + last + 1500.0)
+            self.world.call_at(CLIENTS_START_MS + trouble.at_s * 1000.0, self.begin_trouble, trouble)
+        longest_validity_ms = max(product.validity_s for product in self.scenario.product) * 1000.0
+        self.world.run(CLIENTS_START_MS + self.scenario.length_s * 1000.0 + longest_validity_ms + 1500.0)
 
 
 def play(scenario, seed, couriers=None, texts=None):
-    """One run in fleet mode, judged."""
+    """Plays and judges one run in fleet mode."""
     if couriers is not None:
         scenario = msgspec.structs.replace(
             scenario, couriers=msgspec.structs.replace(scenario.couriers, count=couriers)
@@ -248,10 +275,10 @@
         scenario = msgspec.structs.replace(
             scenario, traffic=msgspec.structs.replace(scenario.traffic, texts=texts)
         )
-    began = time.process_time()
+    started = time.process_time()
     fleet = Fleet(scenario, seed)
     fleet.play()
-    cpu = time.process_time() - began
+    cpu = time.process_time() - started
     referee = Referee(fleet)
     return Result(
         scenario.name,
@@ -261,5 +288,5 @@
         cpu,
         referee.breaks,
         referee.figures(),
-        fleet.world.events,
+        fleet.world.events_run,
     )
--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -1,31 +1,30 @@
-"""Judges what couriers that subscribe to parts of the list owe, beside the six rules, from the trace alone.
+"""Judges the further rules on couriers that subscribe to parts of the list, from the trace alone.
 
-- An announced leave is told within 6 s of when a node could be reached: from then on it counts as told.
-- No destination is called, and no message for one taken on, before a node has told of it; given up and
-  subscribed to anew it counts as not told; a restarted courier calls nobody before its first answer while
-  every node can be
-  reached and no answer is lost.
+- An announced leave is known within 6 s of reach to a node; from then on it counts as known.
+- No destination is called, and no message for it accepted, before a node has answered about it. After it was
+  unsubscribed it counts as unknown until the next answer. A restarted courier calls nobody before its first
+  answer as long as every node can be reached and no answer is lost.
 - A list from the folder may be as old as the configuration says.
-- At the quiet end each courier's own file holds exactly what the source has of its destinations.
+- At the end of a quiet run each courier's own file holds exactly what the source says of its destinations.
 """
 
 from bisect import bisect_right
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from calicopin.emulator.referee import DRAIN, GRACE, INFINITE, KNOWN, Referee
+from calicopin.emulator.referee import DRAIN, INFINITE, KNOWN, REACTION_MS, Referee
 from calicopin.state.known_list import DamagedError, decode
 
-TOLD_WITHIN = 6000.0  # ms of reach to a node
-FILE_WITHIN = 8000.0  # ms without a change, after which each courier's file is up to date
-HEARD_WITHIN = 6000.0  # ms before the end in which each courier has heard a node, where one can be reached
-LAST_LOSS = 500.0  # ms: a connection may be reset that long after the time of such a trouble
-KNOWN_LIST = "state/known-list"
+UPDATE_WITHIN_MS = 6000.0  # of reach to a node
+STORED_WITHIN_MS = 8000.0  # without a change, after which each courier's file is up to date
+ANSWER_WITHIN_MS = 6000.0  # before the end, if a node can be reached
+LOSS_TOLERANCE_MS = 500.0  # a connection may be reset this long after the trouble
+KNOWN_LIST_PATH = "state/known-list"
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """From one moment to another, ms."""
+    """A time span in ms."""
 
     begin: float
     end: float
@@ -33,8 +32,9 @@
 
 @dataclass(slots=True)
 class Listing:
-    """One time in the list of one endpoint: when all nodes had it, the first one had its leave, all had that,
-    and the first one had it listed again."""
+    """One period of an endpoint in the list: when all nodes had it, when the first and when all nodes had
+    its leave, and when the first one had it listed again.
+    """
 
     destination: int
     begin: float
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Change:
-    """A change of the source on its way to the nodes, and what it is a change of."""
+    """A change of the source on its way to the nodes, and the listing that it affects."""
 
     listing: Listing | None
     nodes: int = 0  # that have it
@@ -53,173 +53,180 @@
 
 @dataclass(slots=True)
 class Party:
-    """A courier or a node: when it ran and when it stood still."""
+    """A courier or a node: when its processes ran and when it was suspended."""
 
     starts: list[float] = field(default_factory=list)
     ends: list[float] = field(default_factory=list)
-    stands: list[Span] = field(default_factory=list)
+    suspensions: list[Span] = field(default_factory=list)
 
     def silent(self) -> list[Span]:
-        """When it did nothing."""
+        """The spans in which it did nothing."""
         first = self.starts[0] if self.starts else INFINITE
         down = [Span(0.0, first)]
         for end in self.ends:
             later = bisect_right(self.starts, end)
             down.append(Span(end, self.starts[later] if later < len(self.starts) else INFINITE))
-        return down + self.stands
+        return down + self.suspensions
 
     def ran_through(self, begin: float, end: float) -> bool:
         """Whether one process ran all that time."""
         started = bisect_right(self.starts, begin)
-        return started > 0 and self.life(end) == self.starts[started - 1] and not self.ended(begin, end)
+        return (
+            started > 0 and self.process_start(end) == self.starts[started - 1] and not self.ended(begin, end)
+        )
 
     def ended(self, begin: float, end: float) -> bool:
         """Whether a process ended in that time."""
         return any(begin <= at <= end for at in self.ends)
 
-    def life(self, at: float) -> float:
+    def process_start(self, at: float) -> float:
         """When the process that ran at that time began."""
         return self.starts[bisect_right(self.starts, at) - 1]
 
 
-class Reach:
-    """When a courier could speak with each node."""
+class Reachability:
+    """When a courier could not reach each node."""
 
-    def __init__(self, silent: list[list[Span]]):
-        self.silent = [sorted(spans, key=lambda span: span.begin) for spans in silent]
+    def __init__(self, unreachable: list[list[Span]]):
+        self.unreachable = [sorted(spans, key=lambda span: span.begin) for spans in unreachable]
 
-    def told_by(self, at: float) -> float:
-        """By when what every node had at that time is told: after 6 s in which one node could be reached all
-        the time."""
-        return min((self._told_by(spans, at) for spans in self.silent), default=INFINITE)
+    def update_due(self, at: float) -> float:
+        """When a courier must know what every node had at `at`: after 6 s without interruption in which
+        one node could be reached.
+        """
+        return min((self._update_due_from(spans, at) for spans in self.unreachable), default=INFINITE)
 
-    def _told_by(self, spans: list[Span], at: float) -> float:
+    def _update_due_from(self, spans: list[Span], at: float) -> float:
         for span in spans:
             if span.end <= at:
                 continue
-            if span.begin - at >= TOLD_WITHIN:
+            if span.begin - at >= UPDATE_WITHIN_MS:
                 break
             at = max(at, span.end)
-        return at + TOLD_WITHIN
+        return at + UPDATE_WITHIN_MS
 
-    def any(self, begin: float, end: float) -> bool:
+    def any_node(self, begin: float, end: float) -> bool:
         """Whether one and the same node could be reached all that time."""
-        return any(not any(span.begin < end and span.end > begin for span in spans) for spans in self.silent)
+        return any(
+            not any(span.begin < end and span.end > begin for span in spans) for spans in self.unreachable
+        )
 
-    def whole(self, begin: float, end: float) -> bool:
+    def every_node(self, begin: float, end: float) -> bool:
         """Whether every node could be reached all that time."""
-        return not any(span.begin < end and span.end > begin for spans in self.silent for span in spans)
+        return not any(span.begin < end and span.end > begin for spans in self.unreachable for span in spans)
 
 
-class Told:
-    """What one courier was told, and what it gave up."""
+class KnownDestinations:
+    """What one courier has learnt from nodes, and what it has unsubscribed from."""
 
     def __init__(self):
         self.answers: list[float] = []
-        self.endpoints: dict[str, float] = {}  # when it was told of first
-        self.destinations: dict[int, list[float]] = defaultdict(list)  # answers that held it, in order
-        self.named: dict[int, list[float]] = defaultdict(list)  # the same, and those that told it as unknown
-        self.given_up: dict[int, list[float]] = defaultdict(list)
-
-    def since_given_up(self, destination: int, at: float) -> bool:
-        """Whether an answer has told of the destination since it was given up last."""
-        told = self.destinations.get(destination, ())
-        given_up = self.given_up.get(destination, ())
-        last_told = bisect_right(told, at)
-        last_up = bisect_right(given_up, at)
-        if not last_told:
+        self.endpoints: dict[str, float] = {}  # when each was first known
+        self.known_at: dict[int, list[float]] = defaultdict(list)  # times of answers with it, in order
+        # the same, and times of answers that call it unknown
+        self.answered_at: dict[int, list[float]] = defaultdict(list)
+        self.unsubscribed_at: dict[int, list[float]] = defaultdict(list)
+
+    def is_known(self, destination: int, at: float) -> bool:
+        """Whether an answer has told of the destination since it was last unsubscribed."""
+        answers = self.known_at.get(destination, ())
+        unsubscribed = self.unsubscribed_at.get(destination, ())
+        answer_count = bisect_right(answers, at)
+        unsubscribe_count = bisect_right(unsubscribed, at)
+        if not answer_count:
             return False
-        return not last_up or told[last_told - 1] > given_up[last_up - 1]
+        return not unsubscribe_count or answers[answer_count - 1] > unsubscribed[unsubscribe_count - 1]
 
-    def held(self, destination: int, life: float, begin: float, end: float) -> bool:
-        """Whether it was subscribed to all that time, and told of to the process that began at `life`."""
-        given_up = any(begin < at <= end for at in self.given_up.get(destination, ()))
-        told = self.since_given_up(destination, begin) and self.was_named(destination, life, begin)
-        return told and not given_up
+    def was_subscribed(self, destination: int, process_start: float, begin: float, end: float) -> bool:
+        """Whether it was subscribed all that time, and known to the process that began at `process_start`."""
+        unsubscribed = any(begin < at <= end for at in self.unsubscribed_at.get(destination, ()))
+        known = self.is_known(destination, begin) and self.was_answered(destination, process_start, begin)
+        return known and not unsubscribed
 
-    def was_named(self, destination: int, begin: float, end: float) -> bool:
-        """Whether an answer of that time told of it."""
-        return any(begin <= at <= end for at in self.named.get(destination, ()))
+    def was_answered(self, destination: int, begin: float, end: float) -> bool:
+        """Whether an answer in that time told of it."""
+        return any(begin <= at <= end for at in self.answered_at.get(destination, ()))
 
 
 class ListReferee:
-    """Adds its breaks to those of the referee of the six rules."""
+    """Adds its violations to those of the referee of the six rules."""
 
-    def __init__(self, day, referee: Referee):
-        self.day, self.referee, self.settings = day, referee, day.scenario.nodes
+    def __init__(self, simulation, referee: Referee):
+        self.simulation, self.referee, self.settings = simulation, referee, simulation.scenario.nodes
         self.parties: dict[str, Party] = defaultdict(Party)
         self.cuts: dict[tuple[str, str], list[Span]] = defaultdict(list)
-        self.told: dict[str, Told] = defaultdict(Told)
+        self.known: dict[str, KnownDestinations] = defaultdict(KnownDestinations)
         self.changes: dict[int, Change] = {}
         self.listings: dict[str, list[Listing]] = defaultdict(list)
         self.changed_at = 0.0
-        self.leaves = 0  # announced to couriers that held the destination, and judged
-        self.compared = 0  # destinations held by couriers' files at the end
-        self.losing: list[Span] = []  # when answers were lost with their connections
-        for ident, entry in day.nodes.first.items():
+        self.leaves_judged = 0  # leaves announced to couriers that held the destination
+        self.destinations_compared = 0  # in couriers' files at the end
+        self.loss_spans: list[Span] = []  # when answers may be lost with their connections
+        for ident, entry in simulation.nodes.initial_entries.items():
             self.listings[ident].append(Listing(entry["cell"], 0.0))
-        for at, kind, *told in day.world.trace:
-            getattr(self, "_" + kind.replace("-", "_"), self._pass)(at, *told)
-        nodes = [node.name for node in day.nodes.processes]
-        self.reach = {
-            courier.name: Reach([self._apart(courier.name, node) for node in nodes])
-            for courier in day.couriers
+        for at, kind, *details in simulation.world.trace:
+            getattr(self, "_" + kind.replace("-", "_"), self._ignore)(at, *details)
+        nodes = [node.name for node in simulation.nodes.processes]
+        self.reachability = {
+            courier.name: Reachability([self._unreachable_spans(courier.name, node) for node in nodes])
+            for courier in simulation.couriers
         }
         self._judge()
         referee.breaks.sort(key=lambda one: (one.at, one.rule))
 
-    def _apart(self, courier: str, node: str) -> list[Span]:
+    def _unreachable_spans(self, courier: str, node: str) -> list[Span]:
         parties = self.parties[courier].silent() + self.parties[node].silent()
         return parties + self.cuts[courier, node]
 
-    # Reading the trace.
+    # Reading the trace: each handler is named after the kind of its entries.
 
-    def _pass(self, *_):
+    def _ignore(self, *_):
         pass
 
     def _start(self, at, name):
         self.parties[name].starts.append(at)
 
-    def _end(self, at, name, how, why):
+    def _end(self, at, name, how, reason):
         self.parties[name].ends.append(at)
 
     def _stands(self, at, name, ms):
-        self.parties[name].stands.append(Span(at, at + ms))
+        self.parties[name].suspensions.append(Span(at, at + ms))
 
     def _leaves_service(self, at, name):
-        """Told to end, a node may answer no more."""
-        self.parties[name].stands.append(Span(at, at + 1000.0))
+        """After SIGTERM a node may stop answering."""
+        self.parties[name].suspensions.append(Span(at, at + 1000.0))
 
-    def _trouble(self, at, kind, whom, ms):
+    def _trouble(self, at, kind, target, ms):
         if kind in ("answers-lost", "resets"):
-            self.losing.append(Span(at, at + ms + LAST_LOSS))
+            self.loss_spans.append(Span(at, at + ms + LOSS_TOLERANCE_MS))
 
     def _machine_gone(self, at, name, ms):
-        self.parties[name].stands.append(Span(at, at + ms))
+        self.parties[name].suspensions.append(Span(at, at + ms))
 
     def _cut_off(self, at, courier, node, ms):
         self.cuts[courier, node].append(Span(at, at + ms))
 
     def _told(self, at, courier, full, on, off):
-        endpoints = self.told[courier].endpoints
+        endpoints = self.known[courier].endpoints
         for endpoint in on:
             endpoints.setdefault(endpoint, at)
 
     def _answered(self, at, courier, node, complete, unknown):
-        told = self.told[courier]
-        told.answers.append(at)
+        known = self.known[courier]
+        known.answers.append(at)
         for destination in complete:
-            told.destinations[destination].append(at)
+            known.known_at[destination].append(at)
         for destination in complete + unknown:
-            told.named[destination].append(at)
+            known.answered_at[destination].append(at)
 
     def _gives_up(self, at, courier, destinations):
         for destination in destinations:
-            self.told[courier].given_up[destination].append(at)
+            self.known[courier].unsubscribed_at[destination].append(at)
 
     def _source(self, at, serial, node, endpoint, destination, state, nodes):
-        """A change is in a node's source; the first sights of changes are in their order, as each node has
-        them."""
+        """A change is in a node's source; each node gets the changes in order, and so their first sight is
+        in order too.
+        """
         change = self.changes.get(serial) or self._first_sight(at, serial, endpoint, destination, state)
         change.nodes += 1
         self.changed_at = at
@@ -230,7 +237,7 @@
                 change.listing.leave = min(at, change.listing.leave)
 
     def _first_sight(self, at, serial, endpoint, destination, state) -> Change:
-        """A change is in the first source: from now on couriers may hear of it."""
+        """A change is in the first source: from now on couriers may learn of it."""
         listings = self.listings[endpoint]
         if state == "active":
             if listings:
@@ -248,174 +255,193 @@
             self._judge_call(call)
         for ident, (at, status) in self.referee.answers.items():
             self._judge_answer(ident, at, status)
-        for courier in self.day.couriers:
+        for courier in self.simulation.couriers:
             self._judge_leaves(courier.name)
             if not self.parties[courier.name].ends or self.parties[courier.name].ends[-1] >= self._end_at():
-                self._quiet_end(courier)
+                self._judge_end_state(courier)
 
     def _end_at(self) -> float:
-        return self.day.world.now
+        return self.simulation.world.now
 
     def _judge_call(self, call):
-        told, party, reach = self.told[call.courier], self.parties[call.courier], self.reach[call.courier]
-        began, at = party.life(call.begun), call.begun
-        if told.endpoints.get(call.endpoint, INFINITE) > at:
+        known, party, reachability = (
+            self.known[call.courier],
+            self.parties[call.courier],
+            self.reachability[call.courier],
+        )
+        process_start, at = party.process_start(call.started_at), call.started_at
+        if known.endpoints.get(call.endpoint, INFINITE) > at:
             self.referee.add(KNOWN, at, call.courier, f"a call to {call.endpoint}, of which no node has told")
-        elif not told.since_given_up(call.dest, at):
+        elif not known.is_known(call.dest, at):
             self.referee.add(
                 KNOWN,
                 at,
                 call.courier,
-                f"a call to destination {call.dest}, which it gave up: no answer since then",
+                f"a call to destination {call.dest}, which it unsubscribed from: no answer since then",
+            )
+        answer_count = bisect_right(known.answers, at)
+        if not answer_count or known.answers[answer_count - 1] < process_start:
+            self._judge_call_before_answer(
+                call, process_start, known.answers[answer_count - 1] if answer_count else -INFINITE
             )
-        heard = bisect_right(told.answers, at)
-        if not heard or told.answers[heard - 1] < began:
-            self._before_first_answer(call, began, told.answers[heard - 1] if heard else -INFINITE)
         for listing in self.listings[call.endpoint]:
             if listing.leave <= at < listing.end:
-                due = party_later(party, reach.told_by(listing.leave))
-                if at > due + self.day.scenario.rules.drain_ms + GRACE:
+                due = resume_time(party, reachability.update_due(listing.leave))
+                if at > due + self.simulation.scenario.rules.drain_ms + REACTION_MS:
                     self.referee.add(
                         DRAIN,
                         at,
                         call.courier,
-                        f"a call to {call.endpoint} begun {at - listing.leave:.0f} ms after each node had "
-                        f"its leave, which was to be told by {due:.1f}",
+                        f"a call to {call.endpoint} started {at - listing.leave:.0f} ms after each node had "
+                        f"its leave, which was due by {due:.1f}",
                     )
 
     def _judge_leaves(self, courier: str):
-        """Each leave of a destination that the courier holds is told in time, whether a call would follow or
-        not."""
-        told, party = self.told[courier], self.parties[courier]
+        """A courier that holds a destination must learn of each leave in time, whether it calls it or not."""
+        known, party = self.known[courier], self.parties[courier]
         for endpoint, listings in self.listings.items():
             for listing in listings:
                 if listing.leave == INFINITE:
                     continue
-                due = party_later(party, self.reach[courier].told_by(listing.leave)) + GRACE
+                due = resume_time(party, self.reachability[courier].update_due(listing.leave)) + REACTION_MS
                 begin = listing.first_leave
                 if due > min(listing.end, self._end_at()) or not party.ran_through(begin, due):
                     continue
-                if told.held(listing.destination, party.life(begin), begin, due):
-                    self.leaves += 1
-                    if not told.was_named(listing.destination, begin, due):
+                if known.was_subscribed(listing.destination, party.process_start(begin), begin, due):
+                    self.leaves_judged += 1
+                    if not known.was_answered(listing.destination, begin, due):
                         self.referee.add(
                             KNOWN,
                             due,
                             courier,
-                            f"the leave of {endpoint}, at every node by {listing.leave:.1f}, was not told",
+                            f"the leave of {endpoint}, at all nodes by {listing.leave:.1f}, was not reported",
                         )
 
-    def _before_first_answer(self, call, began: float, heard: float):
-        """A call by what the folder held."""
-        lost = any(span.begin < call.begun and span.end > began for span in self.losing)
-        if not lost and self.reach[call.courier].whole(began, call.begun):
+    def _judge_call_before_answer(self, call, process_start: float, previous_answer: float):
+        """A call by the list in the folder."""
+        answer_lost = any(
+            span.begin < call.started_at and span.end > process_start for span in self.loss_spans
+        )
+        if not answer_lost and self.reachability[call.courier].every_node(process_start, call.started_at):
             self.referee.add(
                 KNOWN,
-                call.begun,
+                call.started_at,
                 call.courier,
-                "a call before its first answer, though every node could be reached and none was lost",
+                "a call before its first answer, though every node could be reached and no answer was lost",
             )
         for listing in self.listings[call.endpoint]:
-            announced = listing.leave < began and call.begun < listing.end
-            if announced and not lost and self.reach[call.courier].any(began, call.begun):
+            announced = listing.leave < process_start and call.started_at < listing.end
+            if (
+                announced
+                and not answer_lost
+                and self.reachability[call.courier].any_node(process_start, call.started_at)
+            ):
                 self.referee.add(
                     DRAIN,
-                    call.begun,
+                    call.started_at,
                     call.courier,
-                    f"a call to {call.endpoint}, announced as leaving before its start, no node asked: "
+                    f"a call to {call.endpoint}, announced as leaving before its start, without an answer: "
                     "a node could be reached",
                 )
-        if began - heard > self.settings.list_age_s * 1000.0:
+        if process_start - previous_answer > self.settings.list_age_s * 1000.0:
             self.referee.add(
                 KNOWN,
-                call.begun,
+                call.started_at,
                 call.courier,
-                f"a call by a list that was {(began - heard) / 1000.0:.1f} s old at the start, over list_age",
+                f"a call by a list that was {(process_start - previous_answer) / 1000.0:.1f} s old at the "
+                "start, over list_age",
             )
 
     def _judge_answer(self, ident: str, at: float, status: int):
-        _, _, courier, destination, *_ = self.referee.hands[ident]
-        if status == 202 and not self.told[courier].since_given_up(destination, at):
+        _, _, courier, destination, *_ = self.referee.submissions[ident]
+        if status == 202 and not self.known[courier].is_known(destination, at):
             self.referee.add(
                 KNOWN,
                 at,
                 courier,
-                f"{ident} taken on for destination {destination}, of which no node has told",
+                f"{ident} accepted for destination {destination}, of which no node has told",
             )
-        if status == 404 and self._listed_long(courier, destination, at):
+        if status == 404 and self._was_listed(courier, destination, at):
             self.referee.add(
                 KNOWN, at, courier, f"{ident} refused with 404: destination {destination} was in the list"
             )
 
-    def _listed_long(self, courier: str, destination: int, at: float) -> bool:
+    def _was_listed(self, courier: str, destination: int, at: float) -> bool:
         return any(
             listing.destination == destination
-            and self.reach[courier].told_by(listing.begin) + GRACE < at < listing.first_leave
+            and self.reachability[courier].update_due(listing.begin) + REACTION_MS < at < listing.first_leave
             for listings in self.listings.values()
             for listing in listings
         )
 
-    def _quiet_end(self, courier):
-        """What the courier's file holds against the source, and that it still hears a node."""
+    def _judge_end_state(self, courier):
+        """Compares the courier's file with the source, and checks that it still gets answers."""
         end, name = self._end_at(), courier.name
-        told, life = self.told[name], self.parties[name].life(end)
-        can_hear = self.reach[name].told_by(life) < end
-        quiet = can_hear and self.reach[name].told_by(self.changed_at) + FILE_WITHIN - TOLD_WITHIN < end
-        if can_hear and self.reach[name].told_by(end - HEARD_WITHIN) <= end:
-            if not told.answers or told.answers[-1] < end - HEARD_WITHIN:
+        known, process_start = self.known[name], self.parties[name].process_start(end)
+        can_be_updated = self.reachability[name].update_due(process_start) < end
+        quiet = (
+            can_be_updated
+            and self.reachability[name].update_due(self.changed_at) + STORED_WITHIN_MS - UPDATE_WITHIN_MS
+            < end
+        )
+        if can_be_updated and self.reachability[name].update_due(end - ANSWER_WITHIN_MS) <= end:
+            if not known.answers or known.answers[-1] < end - ANSWER_WITHIN_MS:
                 self.referee.add(
-                    KNOWN, end, name, "it has heard no node for 6 s, though one could be reached"
+                    KNOWN, end, name, "no answer from a node for 6 s, though one could be reached"
                 )
         if quiet:
-            self._compare(courier, life)
+            self._compare_stored_list(courier, process_start)
 
-    def _compare(self, courier, life: float):
+    def _compare_stored_list(self, courier, process_start: float):
         end, name = self._end_at(), courier.name
         try:
-            held = decode(bytes(courier.disk.files.get(KNOWN_LIST, b""))).places
-        except DamagedError as fault:
-            self.referee.add(KNOWN, end, name, f"its list in the folder: {fault}")
+            stored = decode(bytes(courier.disk.files.get(KNOWN_LIST_PATH, b""))).places
+        except DamagedError as error:
+            self.referee.add(KNOWN, end, name, f"its list in the folder: {error}")
             return
         listed = defaultdict(set)
-        for entry in self.day.nodes.source.entries.values():
+        for entry in self.simulation.nodes.source.entries.values():
             listed[entry["cell"]].add((entry["id"], entry["addr"], entry["zone"], entry["state"] == "active"))
-        self.compared += len(held)
-        for destination, places in held.items():
-            own = {(place.ident, place.address, place.zone, place.ready) for place in places}
-            if own != listed[destination]:
+        self.destinations_compared += len(stored)
+        for destination, places in stored.items():
+            stored_entries = {(place.ident, place.address, place.zone, place.ready) for place in places}
+            if stored_entries != listed[destination]:
                 self.referee.add(
                     KNOWN,
                     end,
                     name,
-                    f"destination {destination}: it holds {sorted(own)}, not {sorted(listed[destination])}",
+                    f"destination {destination}: it holds {sorted(stored_entries)}, "
+                    f"not {sorted(listed[destination])}",
                 )
-        for destination in self._used(name, life):
-            if listed[destination] and destination not in held:
-                self.referee.add(KNOWN, end, name, f"destination {destination} is used and not held")
-
-    def _used(self, courier: str, life: float) -> list[int]:
-        """Destinations of messages that its last process took on, none of which may be given up yet."""
-        since = max(life, self._end_at() - (self.settings.given_up_s or 600.0) * 1000.0)
-        hands = self.referee.hands
+        for destination in self._used_destinations(name, process_start):
+            if listed[destination] and destination not in stored:
+                self.referee.add(KNOWN, end, name, f"destination {destination} is used but not in its list")
+
+    def _used_destinations(self, courier: str, process_start: float) -> list[int]:
+        """Destinations of messages that the last process accepted and cannot have unsubscribed from yet."""
+        since = max(process_start, self._end_at() - (self.settings.given_up_s or 600.0) * 1000.0)
+        submissions = self.referee.submissions
         return sorted(
             {
-                hands[ident][3]
+                submissions[ident][3]
                 for ident, (at, status) in self.referee.answers.items()
-                if status == 202 and hands[ident][2] == courier and since < at < self._end_at() - FILE_WITHIN
+                if status == 202
+                and submissions[ident][2] == courier
+                and since < at < self._end_at() - STORED_WITHIN_MS
             }
         )
 
 
-def party_later(party: Party, at: float) -> float:
-    """When a party that stood still at that time goes on."""
-    for span in party.stands:
+def resume_time(party: Party, at: float) -> float:
+    """When a party that was suspended at that time resumes."""
+    for span in party.suspensions:
         if span.begin <= at <= span.end:
             at = span.end
     return at
 
 
-def judge(day, referee: Referee) -> Referee:
-    """The referee with these breaks too, where there are nodes."""
-    if day.nodes.processes:
-        ListReferee(day, referee)
+def judge(simulation, referee: Referee) -> Referee:
+    """The referee with these violations added, if there are nodes."""
+    if simulation.nodes.processes:
+        ListReferee(simulation, referee)
     return referee
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -1,6 +1,4 @@
-"""Many runs: seeds spread over processes, and one that fails made smaller for as long as the same rule
-breaks.
-"""
+"""Many runs: seeds spread over processes, and a failing run reduced as long as the same rule is broken."""
 
 import multiprocessing
 import signal
@@ -9,20 +7,20 @@
 
 from loguru import logger
 
-from calicopin.emulator import faults, list_faults  # noqa: F401  the latter adds its faults to the others
-from calicopin.emulator.day import Day
+from calicopin.emulator import faults, list_faults  # noqa: F401  list_faults registers its faults
 from calicopin.emulator.list_referee import judge
-from calicopin.emulator.nodes import given_up_after
+from calicopin.emulator.nodes import unsubscribe_after
 from calicopin.emulator.referee import Referee
 from calicopin.emulator.scenario import load
+from calicopin.emulator.simulation import Simulation
 from calicopin.lifecycle.start import serve
 
-CPU_MOST = 300  # seconds of CPU for one run: beyond that a loop that asks for nothing never ends
+MAX_RUN_CPU_S = 300  # beyond it the program is taken to loop without system calls
 
 
 @dataclass(slots=True)
 class Result:
-    """What one run came to. `cpu` is in seconds."""
+    """The result of one run; `cpu` is in seconds."""
 
     scenario: str
     seed: int
@@ -33,117 +31,124 @@
     figures: dict = field(default_factory=dict)
     events: int = 0
     kills: tuple = ()
-    starts: int = 0  # of the first courier's processes
+    starts: int = 0  # processes of the first courier
 
 
-class Endless(BaseException):
-    """A loop without a single system call."""
+class CpuLimitExceeded(BaseException):
+    """The program loops without a system call."""
 
 
-def guarded(play):
-    """Calls `play` under a limit of CPU time, where signals can be had."""
+def with_cpu_limit(play):
+    """Calls `play` under a limit of CPU time, where signals are available."""
 
-    def late(*_):
-        raise Endless
+    def on_alarm(*_):
+        raise CpuLimitExceeded
 
     try:
-        before = signal.signal(signal.SIGVTALRM, late)
+        original = signal.signal(signal.SIGVTALRM, on_alarm)
     except ValueError:  # not in the main thread
         return play()
-    signal.setitimer(signal.ITIMER_VIRTUAL, CPU_MOST)
+    signal.setitimer(signal.ITIMER_VIRTUAL, MAX_RUN_CPU_S)
     try:
         return play()
     finally:
         signal.setitimer(signal.ITIMER_VIRTUAL, 0)
-        signal.signal(signal.SIGVTALRM, before)
+        signal.signal(signal.SIGVTALRM, original)
 
 
 def play(scenario, seed, fault=None, troubles=None, texts=None, kills=()):
-    """One run: (the day, its referee, the CPU it took)."""
-    began = time.process_time()
-    with faults.put_in(fault), given_up_after(scenario.nodes.given_up_s):
-        day = Day(scenario, seed, serve, troubles, texts, kills)
+    """Plays one run: (simulation, referee, CPU seconds)."""
+    started = time.process_time()
+    with faults.injected(fault), unsubscribe_after(scenario.nodes.given_up_s):
+        simulation = Simulation(scenario, seed, serve, troubles, texts, kills)
         try:
-            guarded(day.play)
-        except Endless:
-            day.world.note(
-                "end", "a courier", "busy", f"{CPU_MOST} s of CPU at one moment, without a system call"
+            with_cpu_limit(simulation.play)
+        except CpuLimitExceeded:
+            simulation.world.record(
+                "end", "a courier", "busy", f"{MAX_RUN_CPU_S} s of CPU without a system call"
             )
-    return day, judge(day, Referee(day)), time.process_time() - began
+    return simulation, judge(simulation, Referee(simulation)), time.process_time() - started
 
 
-def once(job):
-    """One run as a process of the pool plays it."""
-    word, seed, fault, kills = job
+def run_job(job):
+    """Plays one job in a process of the pool."""
+    name_or_path, seed, fault, kills = job
     logger.remove()
-    scenario = load(word)
-    day, referee, cpu = play(scenario, seed, fault, kills=kills)
+    scenario = load(name_or_path)
+    simulation, referee, cpu = play(scenario, seed, fault, kills=kills)
     return Result(
         scenario.name,
         seed,
-        day.world.digest(),
-        day.world.now / 1000.0,
+        simulation.world.digest(),
+        simulation.world.now / 1000.0,
         cpu,
         referee.breaks,
         referee.figures(),
-        day.world.events,
+        simulation.world.events_run,
         kills,
-        day.couriers[0].number,
+        simulation.couriers[0].start_count,
     )
 
 
-def many(jobs, processes, told=lambda result: None):
-    """Results as they come; `jobs` are (scenario, seed, fault, kills)."""
+def run_jobs(jobs, processes, on_result=lambda result: None):
+    """Plays jobs of (scenario, seed, fault, kills) and passes each result to `on_result` as it comes."""
     if processes == 1:
         for job in jobs:
-            told(once(job))
+            on_result(run_job(job))
         return
-    with multiprocessing.get_context("spawn").Pool(processes, _quiet) as pool:
-        for result in pool.imap_unordered(once, jobs):
-            told(result)
+    with multiprocessing.get_context("spawn").Pool(processes, _ignore_interrupt) as pool:
+        for result in pool.imap_unordered(run_job, jobs):
+            on_result(result)
 
 
-def _quiet():
+def _ignore_interrupt():
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
-def shrink(scenario, seed, fault=None, told=lambda line: None, most=200):
-    """The smallest run found in which the same rule breaks: (troubles, texts, the break).
+def shrink(scenario, seed, fault=None, on_progress=lambda line: None, max_runs=200):
+    """The smallest run found that breaks the same rule: (troubles, texts, violation); None if no rule is
+    broken.
 
-    First troubles are left out, then texts, in ever smaller parts; `most` runs are played."""
-    day, referee, _ = play(scenario, seed, fault)
+    First troubles, then texts are left out, in ever smaller parts; at most `max_runs` runs are played.
+    """
+    simulation, referee, _ = play(scenario, seed, fault)
     if not referee.breaks:
         return None
     rule = referee.breaks[0].rule
-    troubles, texts, found, left = list(day.troubles), list(day.texts), referee.breaks[0], [most]
+    troubles, texts, found, runs_left = (
+        list(simulation.troubles),
+        list(simulation.texts),
+        referee.breaks[0],
+        [max_runs],
+    )
 
     def breaks(some_troubles, some_texts):
         nonlocal found
-        if left[0] <= 0:
+        if runs_left[0] <= 0:
             return False
-        left[0] -= 1
+        runs_left[0] -= 1
         _, judged, _ = play(scenario, seed, fault, some_troubles, some_texts)
         same = [one for one in judged.breaks if one.rule == rule]
         if same:
             found = same[0]
         return bool(same)
 
-    def smaller(whole, still):
-        size = max(1, len(whole) // 2)
-        while whole and left[0] > 0:
-            at, any_left_out = 0, False
-            while at < len(whole):
-                rest = whole[:at] + whole[at + size :]
-                if still(rest):
-                    whole, any_left_out = rest, True
+    def reduce(items, still_breaks):
+        size = max(1, len(items) // 2)
+        while items and runs_left[0] > 0:
+            start, any_left_out = 0, False
+            while start < len(items):
+                rest = items[:start] + items[start + size :]
+                if still_breaks(rest):
+                    items, any_left_out = rest, True
                 else:
-                    at += size
-            told(f"{len(whole)} left, parts of {size}, {left[0]} runs to go")
+                    start += size
+            on_progress(f"{len(items)} left, in parts of {size}, {runs_left[0]} runs remaining")
             if size == 1 and not any_left_out:
                 break
             size = max(1, size // 2)
-        return whole
+        return items
 
-    troubles = smaller(troubles, lambda some: breaks(some, texts))
-    texts = smaller(texts, lambda some: breaks(troubles, some))
+    troubles = reduce(troubles, lambda some: breaks(some, texts))
+    texts = reduce(texts, lambda some: breaks(troubles, some))
     return troubles, texts, found
--- a/calicopin/emulator/standins/platform.py
+++ b/calicopin/emulator/standins/platform.py
@@ -1,76 +1,88 @@
-"""The platform: an agent beside each courier with the list and the notices, and discovery behind them."""
+"""The platform: an agent beside each courier that serves the list and takes notices, and the discovery
+service behind all agents.
+"""
 
 import json
 
 from calicopin.emulator.net import Listener
-from calicopin.emulator.standins.http import Server, response
+from calicopin.emulator.standins.http import ServerConnection, response
 
 
-class Registry:
-    """What stands behind all agents.
+class DiscoveryService:
+    """Admission of watches by the service behind all agents.
 
-    While `work` is above 0 it is overbooked: it works off one new watch after the other, `work` ms each, also
-    those whose courier it has told no meanwhile; a watch that goes on costs it nothing.
+    While `work_ms` is above 0 it is overloaded: it works off new watches one after the other, `work_ms` each,
+    including those that have timed out meanwhile. A watch that continues an earlier one costs nothing.
     """
 
-    PATIENCE, LINE, GOES_ON, NO = 2000.0, 24, 200.0, 60.0
+    ANSWER_TIMEOUT_MS, QUEUE_LIMIT, CONTINUED_WITHIN_MS, REJECT_AFTER_MS = 2000.0, 24, 200.0, 60.0
 
     def __init__(self):
-        self.work = self.free = 0.0
-
-    def turn(self, now):
-        """(after how many ms it answers, whether it serves)."""
-        delay = max(0.0, self.free - now)
-        if delay > self.LINE * self.work:
-            return self.NO, False
-        self.free = now + delay + self.work
-        return (delay + self.work, True) if delay <= self.PATIENCE else (self.PATIENCE, False)
+        self.work_ms = self.free_at = 0.0
+
+    def admit(self, now):
+        """(ms until the answer, whether the watch is served)."""
+        delay = max(0.0, self.free_at - now)
+        if delay > self.QUEUE_LIMIT * self.work_ms:
+            return self.REJECT_AFTER_MS, False
+        self.free_at = now + delay + self.work_ms
+        return (
+            (delay + self.work_ms, True)
+            if delay <= self.ANSWER_TIMEOUT_MS
+            else (self.ANSWER_TIMEOUT_MS, False)
+        )
 
 
-class Platform:
+class PlatformAgent:
     """The agent beside one courier: the list, watches on it and notices.
 
-    `entries` are the list as it is told.
+    `entries` is the list as the agent has it; `delay_range` is the range of ms that a change takes to arrive.
     """
 
-    def __init__(self, world, net, courier, host, entries, late, rng, registry):
-        self.world, self.net, self.courier, self.late, self.rng = world, net, courier, late, rng
-        self.registry, self.answered = registry, -1e12
+    def __init__(self, world, net, courier, host, entries, delay_range, rng, discovery):
+        self.world, self.net, self.courier, self.delay_range, self.rng = world, net, courier, delay_range, rng
+        self.discovery, self.last_answer_at = discovery, -1e12
         self.machine = net.machine(host)
         self.version, self.entries, self.history = 1, dict(entries), []
-        self.silent, self.watchers, self.news, self.held = 0, [], 0.0, []
+        self.silence_count, self.watchers, self.last_change_at, self.pending_changes = 0, [], 0.0, []
         self.listen()
 
     def listen(self):
-        self.machine.listeners[8500] = Listener(self.machine, self.met)
+        """Starts to listen."""
+        self.machine.listeners[8500] = Listener(self.machine, self.on_connection)
 
-    def met(self, end):
-        Server(end, self.answer)
+    def on_connection(self, end):
+        """Accepts a connection."""
+        ServerConnection(end, self.handle_request)
         return True
 
-    def known(self):
+    def snapshot(self):
+        """The whole list, as an answer."""
         return {
             "version": self.version,
             "full": True,
             "servers": [dict(entry) for entry in self.entries.values()],
         }
 
-    def change(self, *entries):
-        """News, on their way to this agent."""
-        low, high = self.late
-        self.news = max(self.news, self.world.now + low + (high - low) * self.rng.random())  # in their order
-        self.world.at(self.news, self.changed, entries)
+    def publish_change(self, *entries):
+        """Sends changed entries to this agent; changes arrive in order."""
+        low, high = self.delay_range
+        self.last_change_at = max(
+            self.last_change_at, self.world.now + low + (high - low) * self.rng.random()
+        )
+        self.world.call_at(self.last_change_at, self.apply_change, entries)
 
-    def changed(self, entries):
-        if self.silent:  # what it has to tell is told once discovery is back
-            self.held.append(entries)
+    def apply_change(self, entries):
+        """Applies changed entries and answers the watches; kept for later while the agent is silent."""
+        if self.silence_count:
+            self.pending_changes.append(entries)
             return
         self.version += 1
         on, off = (
             tuple(entry["id"] for entry in entries if (entry["state"] == "active") is ready)
             for ready in (True, False)
         )
-        self.world.note("had", self.courier, on, off)
+        self.world.record("had", self.courier, on, off)
         for entry in entries:
             self.history.append((self.version, dict(entry)))
             if entry["state"] == "left":
@@ -79,38 +91,40 @@
                 self.entries[entry["id"]] = dict(entry)
         watchers, self.watchers = self.watchers, []
         for server, index in watchers:
-            self.tell(server, index)
-
-    def speak(self):
-        """No longer silent."""
-        self.silent -= 1
-        if not self.silent:
-            held, self.held = self.held, []
-            for entries in held:
-                self.changed(entries)
-
-    def tell(self, server, index):
+            self.send_list(server, index)
+
+    def end_silence(self):
+        """Ends one silence; after the last one the changes kept meanwhile are applied."""
+        self.silence_count -= 1
+        if not self.silence_count:
+            pending_changes, self.pending_changes = self.pending_changes, []
+            for entries in pending_changes:
+                self.apply_change(entries)
+
+    def send_list(self, server, index):
+        """Answers with the changes since `index`, or with the whole list."""
         if not server.open:
             return
-        self.answered = self.world.now
+        self.last_answer_at = self.world.now
         if index is None or index > self.version:
-            told = self.known()
+            answer = self.snapshot()
         else:
-            told = {
+            answer = {
                 "version": self.version,
                 "full": False,
                 "servers": [entry for version, entry in self.history if version > index],
             }
-        servers = told["servers"]
+        servers = answer["servers"]
         off = tuple(entry["id"] for entry in servers if entry["state"] != "active")
         on = tuple(entry["id"] for entry in servers if entry["state"] == "active")
-        full = told["full"]
+        full = answer["full"]
         server.reply(
-            response(200, json.dumps(told).encode()),
-            lambda: self.world.note("told", self.courier, full, on, off),
+            response(200, json.dumps(answer).encode()),
+            lambda: self.world.record("told", self.courier, full, on, off),
         )
 
-    def answer(self, server, target, headers, body, begun):
+    def handle_request(self, server, target, headers, body, started_at):
+        """Handles notices and requests for the list."""
         if target == b"/v1/outcomes":
             try:
                 lines = [json.loads(line) for line in body.splitlines()]
@@ -123,45 +137,54 @@
                     for line in lines
                 ]
             except (ValueError, KeyError, TypeError):
-                self.world.note("fault", self.courier, "a notice that cannot be read")
+                self.world.record("fault", self.courier, "a notice that cannot be read")
                 server.reply(response(400))
                 return
             for notice in notices:
-                self.world.note("notice", self.courier, *notice)
-                self.heard(*notice)
+                self.world.record("notice", self.courier, *notice)
+                self.on_notice(*notice)
             server.reply(response(204))
             return
         path, _, query = target.partition(b"?")
-        told = dict(part.split(b"=") for part in query.split(b"&") if b"=" in part)
+        parameters = dict(part.split(b"=") for part in query.split(b"&") if b"=" in part)
         if path != b"/api/targets":
             server.reply(response(404))
-        elif not self.silent:
-            index, wait = int(told[b"index"]) if b"index" in told else None, float(told.get(b"wait", b"0"))
-            if not self.registry.work or self.world.now <= self.answered + Registry.GOES_ON:
+        elif not self.silence_count:
+            index, wait = (
+                int(parameters[b"index"]) if b"index" in parameters else None,
+                float(parameters.get(b"wait", b"0")),
+            )
+            if (
+                not self.discovery.work_ms
+                or self.world.now <= self.last_answer_at + DiscoveryService.CONTINUED_WITHIN_MS
+            ):
                 self.watch(server, index, wait)
                 return
-            after, serves = self.registry.turn(self.world.now)
-            self.world.note("asked", self.courier, serves)
-            self.world.after(
-                after, self.watch if serves else self.turn_away, server, index, max(0.0, wait - after)
+            delay, serves = self.discovery.admit(self.world.now)
+            self.world.record("asked", self.courier, serves)
+            self.world.call_later(
+                delay, self.watch if serves else self.reject, server, index, max(0.0, wait - delay)
             )
 
-    def turn_away(self, server, index, wait):
+    def reject(self, server, index, wait):
+        """Answers 503."""
         if server.open:
             server.reply(response(503))
 
     def watch(self, server, index, wait):
+        """Answers at once if the list has changed, else within `wait` ms."""
         if index is None or index != self.version:
-            self.tell(server, index)
+            self.send_list(server, index)
         elif server.open:
             self.watchers.append((server, index))
-            self.world.after(wait, self.nothing, server, index)
+            self.world.call_later(wait, self.watch_expired, server, index)
 
-    def nothing(self, server, index):
+    def watch_expired(self, server, index):
+        """Answers a watch that timed out."""
         if (server, index) in self.watchers:
             self.watchers.remove((server, index))
-            if not self.silent:
-                self.tell(server, index)
+            if not self.silence_count:
+                self.send_list(server, index)
 
-    def heard(self, ident, verdict, wait):
-        """Set by the run: the client hears of it."""
+    def on_notice(self, ident, verdict, wait):
+        """Replaced by the simulation, which passes the notice to the client."""
