--- a/calicopin/handover/taker.py
+++ b/calicopin/handover/receiver.py
@@ -9,7 +9,7 @@
 import h11
 from loguru import logger
 
-from calicopin.handover.meeting import Channel, HandoverError
+from calicopin.handover.channel import Channel, HandoverError
 from calicopin.handover.state import FORM, read
 from calicopin.wire.clients import Visit
 from calicopin.wire.endpoints import Flight
--- a/calicopin/handover/giver.py
+++ b/calicopin/handover/sender.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from calicopin.handover.meeting import Channel, HandoverError, is_same_user
+from calicopin.handover.channel import Channel, HandoverError, is_same_user
 from calicopin.handover.state import FORM, written
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -263,8 +263,8 @@
         if taker.told["drained"] is not None:
             stop.begin_drain(taker.told["drained"])
     if post.listening_socket:
-        from calicopin.handover.giver import Giver
-        from calicopin.handover.meeting import Place
+        from calicopin.handover.channel import Place
+        from calicopin.handover.sender import Giver
 
         Giver(
             Place(post.handover_folder or post.folder, post.folder),
@@ -332,8 +332,8 @@
     """(lock, `Taker` or None, configuration): waits until the folder is free or its holder hands over. All
     three are None if a signal to stop comes first.
     """
-    from calicopin.handover.meeting import Place
-    from calicopin.handover.taker import StoppedError, begin
+    from calicopin.handover.channel import Place
+    from calicopin.handover.receiver import StoppedError, begin
 
     try:
         lock, taker = begin(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 from helper import free_address, terms
 
 from calicopin.handover import state
-from calicopin.handover.meeting import Channel, HandoverError
+from calicopin.handover.channel import Channel, HandoverError
 
 ROOT = os.path.join(os.path.dirname(__file__), "..")
 DRIVER = """
@@ -27,7 +27,7 @@
 from calicopin.lifecycle.signals import SignalReader
 signal_reader = SignalReader()
 from calicopin import send_guard
-from calicopin.handover import giver, meeting, state, taker
+from calicopin.handover import channel, receiver, sender, state
 if sys.argv[1] == "loses-waits":
     original = state.written
     def without_waits(facade, calls):
@@ -36,11 +36,11 @@
             for name in ("pause", "tokens", "mode"):
                 del route[name]
         return snapshot
-    giver.written = without_waits
+    sender.written = without_waits
 if sys.argv[1] == "loses-drains":
     send_guard.SendGuard.may_call = lambda *_: True  # else the guard would delay the call
-    real = giver.Giver.snapshot
-    giver.Giver.snapshot = lambda self, flights: real(self, flights) | dict(drained=None)
+    real = sender.Giver.snapshot
+    sender.Giver.snapshot = lambda self, flights: real(self, flights) | dict(drained=None)
 role, at = sys.argv[1], int(sys.argv[2])
 count, armed = 0, False
 def step():
@@ -61,7 +61,7 @@
 for name in ("send_fds", "recv_fds"):
     watch(socket, name)
 for name in ("send", "receive"):
-    watch(meeting.Channel, name)
+    watch(channel.Channel, name)
 def arm(owner, name):
     real = getattr(owner, name)
     def call(*args):
@@ -69,15 +69,15 @@
         armed = True
         return real(*args)
     setattr(owner, name, call)
-def disarm(real=giver.Giver.__init__):
+def disarm(real=sender.Giver.__init__):
     def begin(*args):
         global armed
         armed = False
         real(*args)
     return begin
-giver.Giver.__init__ = disarm()  # the handover is complete: a kill from here on is an ordinary crash
+sender.Giver.__init__ = disarm()  # the handover is complete: a kill from here on is an ordinary crash
 # for the other roles the steps are counted and no kill follows
-arm(giver.Giver, "accepts") if role == "old" else arm(taker, "request_handover")
+arm(sender.Giver, "accepts") if role == "old" else arm(receiver, "request_handover")
 system.System.again = staticmethod(lambda: os.execv(sys.executable, [sys.executable, "-m", "calicopin"]))
 sys.argv = sys.argv[:1]
 from calicopin.lifecycle.start import main
@@ -386,7 +386,7 @@
     """The successor sends another form, garbage or nothing, or dies after receiving the state and before it
     is ready.
     """
-    from calicopin.handover.meeting import Place
+    from calicopin.handover.channel import Place
 
     old = platform.up(platform.start())
     assert platform.post("hold-1") == 202
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -202,8 +202,8 @@
     "lifecycle.start",
     "lifecycle.shutdown_steps",
     "store.segments",
-    "handover.giver",
-    "handover.taker",
+    "handover.sender",
+    "handover.receiver",
     "admin.server",
 )
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -288,7 +288,7 @@
 
     script = (
         "import sys; from calicopin.lifecycle.log_import import load_logging; load_logging(); "
-        "import calicopin.lifecycle.start, calicopin.handover.giver;"
+        "import calicopin.lifecycle.start, calicopin.handover.sender;"
         "assert not {'ssl', 'asyncio', 'subprocess', 'concurrent'} & set(sys.modules), 'read in';"
         "from loguru import logger; logger.info('said'); import asyncio; asyncio.run(asyncio.sleep(0))"
     )
