--- a/calicopin/handover/channel.py
+++ b/calicopin/handover/channel.py
@@ -24,7 +24,7 @@
     return f"calicopin-{zlib.crc32(os.path.abspath(folder).encode()):08x}"
 
 
-class Place:
+class HandoverSocket:
     """The handover socket of the courier whose texts are stored in `folder`; `shared_folder` is a folder that
     both processes can see.
     """
--- a/calicopin/handover/receiver.py
+++ b/calicopin/handover/receiver.py
@@ -24,26 +24,26 @@
     """A stop signal came before this process had taken anything over."""
 
 
-class Taker:
-    """Receives a handover. `told` is the state sent by the other process; nothing of it takes effect before
-    `take`.
+class HandoverReceiver:
+    """Receives a handover. `snapshot` is the state sent by the other process; nothing of it takes effect
+    before `complete`.
     """
 
-    def __init__(self, channel, told):
-        self.channel, self.told = channel, told
+    def __init__(self, channel, snapshot):
+        self.channel, self.snapshot = channel, snapshot
 
     @property
-    def flying(self):
+    def in_flight_ids(self):
         """Ids of texts whose calls are in flight."""
-        return {ident for call in self.told["calls"] for ident in call["open"]}
+        return {ident for call in self.snapshot["calls"] for ident in call["open"]}
 
-    def read(self, facade, journal, now):
+    def restore(self, facade, journal, now):
         """Restores the decisions into `facade`; returns the texts that only wait for a notice."""
         live = [text for text in journal.texts.values() if text.verdict is None]
-        self.calls = read(facade, self.told, live, now)
+        self.calls = read(facade, self.snapshot, live, now)
         return [text for text in journal.texts.values() if text.verdict is not None]
 
-    def take(self, loop, runtime, clients):
+    def complete(self, loop, runtime, clients):
         """Completes the handover: from here on this process decides.
 
         Returns the descriptor of the folder's lock. Raises HandoverError if the handover fails before that.
@@ -76,9 +76,11 @@
         """Resumes a call in flight with its connection and the bytes received on it."""
         number, call = connection["call"], self.flights.pop(connection["call"])
         # older versions end the texts of a shared call one by one; here the first of them ends the call
-        deadlines = [end_at for end_at, shared_call, _ in self.told.get("due", ()) if shared_call == number]
-        flight = Flight(call, min([self.told["until"][number], *deadlines]))
-        flight.began = self.told["began"][number]
+        deadlines = [
+            end_at for end_at, shared_call, _ in self.snapshot.get("due", ()) if shared_call == number
+        ]
+        flight = Flight(call, min([self.snapshot["until"][number], *deadlines]))
+        flight.began = self.snapshot["began"][number]
         runtime.go_on(flight, Line(loop, sock, h11.CLIENT), base64.b64decode(connection["heard"]))
 
     def adopt_client(self, loop, runtime, clients, connection, sock):
@@ -97,9 +99,9 @@
         )
 
 
-def begin(place, folder, signal_reader, system):
-    """(the folder's lock, None) once no other process holds it, or (None, a Taker) once the process that
-    holds it has sent its state. Raises StoppedError if a stop signal comes first.
+def begin(handover_socket, folder, signal_reader, system):
+    """(the folder's lock, None) once no other process holds it, or (None, a HandoverReceiver) once the
+    process that holds it has sent its state. Raises StoppedError if a stop signal comes first.
     """
     logged_at = -LOG_INTERVAL_S
     while True:
@@ -107,9 +109,9 @@
             return system.lock(folder), None
         except BlockingIOError:
             pass
-        taker = request_handover(place)
-        if taker:
-            return None, taker
+        receiver = request_handover(handover_socket)
+        if receiver:
+            return None, receiver
         if time.monotonic() >= logged_at + LOG_INTERVAL_S:
             logger.info(
                 "another process holds the folder and offers no handover yet; waiting",
@@ -121,10 +123,10 @@
         time.sleep(POLL_INTERVAL_S)
 
 
-def request_handover(place):
-    """A Taker with the state of the serving process; None if there is none or it refuses now."""
+def request_handover(handover_socket):
+    """A HandoverReceiver with the state of the serving process; None if there is none or it refuses now."""
     try:
-        sock = place.connect()
+        sock = handover_socket.connect()
     except OSError:
         return None
     channel = Channel(sock, ANSWER_TIMEOUT_S)
@@ -133,7 +135,7 @@
         sent_state, _ = channel.receive()
         if sent_state.get("form") != FORM:
             raise HandoverError(f"the other process uses form {sent_state.get('form')!r}, this one {FORM}")
-        return Taker(channel, sent_state)
+        return HandoverReceiver(channel, sent_state)
     except OSError as fault:
         logger.warning("handover not possible: {fault}", event="handover.refused", fault=fault)
         channel.close()
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -25,13 +25,13 @@
     return base64.b64encode(bytes(data)).decode()
 
 
-class Giver:
+class HandoverSender:
     """Hands over the courier that consists of the given parts.
 
     `lock` is the descriptor of the folder's lock; `restart` starts this process anew.
     """
 
-    def __init__(self, place, lock, restart, loop, runtime, clients, discovery, renewal, stop):
+    def __init__(self, handover_socket, lock, restart, loop, runtime, clients, discovery, renewal, stop):
         self.lock, self.restart = lock, restart
         self.loop, self.runtime, self.clients, self.discovery, self.renewal, self.stop = (
             loop,
@@ -41,7 +41,7 @@
             renewal,
             stop,
         )
-        self.listener = place.listen()
+        self.listener = handover_socket.listen()
         self.task = loop.keep(self.accept_successors)
 
     def accept_successors(self):
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -96,12 +96,12 @@
                 ran=sum(text.ran_at is not None for text in texts),
             )
 
-    def restore_from_handover(self, taker):
+    def restore_from_handover(self, receiver):
         """Takes over the state that another process handed over."""
-        for text in taker.read(self.facade, self.journal, self.loop.now()):
+        for text in receiver.restore(self.facade, self.journal, self.loop.now()):
             self.notices.owe(text)
-        self.current, self.lines.trust = taker.told["current"], taker.told["trust"]
-        self.lines.fastest = {(ident, address): best for ident, address, best in taker.told["fastest"]}
+        self.current, self.lines.trust = receiver.snapshot["current"], receiver.snapshot["trust"]
+        self.lines.fastest = {(ident, address): best for ident, address, best in receiver.snapshot["fastest"]}
 
     def lost(self, call):
         """A call whose connection was not handed over; the endpoint may have processed it."""
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -138,11 +138,11 @@
     return version, places
 
 
-def build(post, loop, signal_reader, read_configuration, lock=None, taker=None):
+def build(post, loop, signal_reader, read_configuration, lock=None, receiver=None):
     """Builds the parts of one courier and returns its `Runtime`. The journal is restored before any client is
     served.
 
-    `read_configuration` reads the configuration again. `lock` is the lock of the folder; with `taker` the
+    `read_configuration` reads the configuration again. `lock` is the lock of the folder; with `receiver` the
     state comes from another process instead of the folder.
     """
     terms = post.terms
@@ -156,7 +156,7 @@
         from calicopin.state.known_list import journal_bytes
 
         disk = journal_bytes(disk)
-    system, in_flight = loop.system, taker.flying if taker else None
+    system, in_flight = loop.system, receiver.in_flight_ids if receiver else None
     wall_clock_offset, boot = system.wall() - loop.now(), patiently(system, system.boot)
     if post.store == "segments":
         from calicopin.store.segments import Segments
@@ -182,7 +182,7 @@
                 post.folder, disk, wall_clock_offset, system, longest_validity, boot, in_flight, loop.now
             ),
         )
-    facade = Facade(post.seed, terms, budget.calls, loop.now(), journal.again and not taker)
+    facade = Facade(post.seed, terms, budget.calls, loop.now(), journal.again and not receiver)
     # idle connections are closed at least one connect time-out before the limit
     lines = Lines(budget.endpoints, max(idle_timeout / 2.0, idle_timeout - connect_timeout))
     runtime = Runtime(
@@ -193,16 +193,16 @@
         Notices(loop, notice_address, runtime.told) if notice_address else NoticeLines(loop, runtime.told)
     )
     long_poll_timeout = longest_wait((terms["rules"].get("askWithin") or 10.0) * 1000.0)
-    if taker:
-        version, places = taker.told["version"], ()
-        runtime.restore_from_handover(taker)
+    if receiver:
+        version, places = receiver.snapshot["version"], ()
+        runtime.restore_from_handover(receiver)
     if post.nodes:
         from calicopin.lifecycle.subscribed import build_subscription
 
         runtime.subscribed = build_subscription(
-            post, loop, runtime, long_poll_timeout, facade.places.values() if taker else None
+            post, loop, runtime, long_poll_timeout, facade.places.values() if receiver else None
         )
-    if not taker:
+    if not receiver:
         version, places = (
             (None, runtime.subscribed.places()) if post.nodes else initial_list(post.configured_list)
         )
@@ -210,11 +210,11 @@
         runtime.restore()
     if post.nodes:
         discovery = runtime.subscribed.start()
-        runtime.list_agent = None if taker else discovery  # after a handover the list is current
+        runtime.list_agent = None if receiver else discovery  # after a handover the list is current
     elif post.discovery:
         is_pushed = pushed(terms)
         # the configured list is old, and the agent has the whole current one
-        fetch_all = is_pushed and not taker
+        fetch_all = is_pushed and not receiver
         discovery = Discovery(
             loop,
             post.discovery,
@@ -237,7 +237,7 @@
             if post.partner_file
             else None
         )
-    if not taker:
+    if not receiver:
         runtime.turn()
     products = {grade["name"]: number for number, grade in enumerate(terms["grades"])}
     listener = loop.system.passed(post.listening_socket) if post.listening_socket else None
@@ -257,17 +257,17 @@
             budget.admin - 1,
         )
     renewal = Renewal(loop, signal_reader, post, read_configuration, stop, discovery, clients, runtime)
-    if taker:
-        lock = taker.take(loop, runtime, clients)
+    if receiver:
+        lock = receiver.complete(loop, runtime, clients)
         journal.begin()
-        if taker.told["drained"] is not None:
-            stop.begin_drain(taker.told["drained"])
+        if receiver.snapshot["drained"] is not None:
+            stop.begin_drain(receiver.snapshot["drained"])
     if post.listening_socket:
-        from calicopin.handover.channel import Place
-        from calicopin.handover.sender import Giver
+        from calicopin.handover.channel import HandoverSocket
+        from calicopin.handover.sender import HandoverSender
 
-        Giver(
-            Place(post.handover_folder or post.folder, post.folder),
+        HandoverSender(
+            HandoverSocket(post.handover_folder or post.folder, post.folder),
             lock,
             loop.system.again,
             loop,
@@ -290,11 +290,11 @@
         raise ValueError(
             f"{environ.get('LB_CONFIG', 'LB_CONFIG')}: the configuration cannot be read: {fault!r}"
         ) from None
-    lock = taker = None
+    lock = receiver = None
     if post.listening_socket:
         # raises for an invalid descriptor before the folder is locked
         system.passed(post.listening_socket).detach()
-        lock, taker, post = acquire_folder(post, environ, signal_reader, system)
+        lock, receiver, post = acquire_folder(post, environ, signal_reader, system)
         if post is None:
             return
     elif post.sheet:  # on the platform each courier has a folder of its own
@@ -302,7 +302,7 @@
     loop = patiently(system, lambda: Loop(system=system))
     try:
         runtime = build(
-            post, loop, signal_reader, lambda: posted(environ, renewed=True, system=system), lock, taker
+            post, loop, signal_reader, lambda: posted(environ, renewed=True, system=system), lock, receiver
         )
     except ConnectionAbortedError as fault:
         logger.warning(
@@ -329,22 +329,25 @@
 
 
 def acquire_folder(post, environ, signal_reader, system):
-    """(lock, `Taker` or None, configuration): waits until the folder is free or its holder hands over. All
-    three are None if a signal to stop comes first.
+    """(lock, `HandoverReceiver` or None, configuration): waits until the folder is free or its holder hands
+    over. All three are None if a signal to stop comes first.
     """
-    from calicopin.handover.channel import Place
+    from calicopin.handover.channel import HandoverSocket
     from calicopin.handover.receiver import StoppedError, begin
 
     try:
-        lock, taker = begin(
-            Place(post.handover_folder or post.folder, post.folder), post.folder, signal_reader, system
+        lock, receiver = begin(
+            HandoverSocket(post.handover_folder or post.folder, post.folder),
+            post.folder,
+            signal_reader,
+            system,
         )
     except StoppedError:
         logger.info("{name} stopped before it took over", event="stopped", name=post.name, texts=0)
         return None, None, None
-    if taker and taker.told["renewed"]:
+    if receiver and receiver.snapshot["renewed"]:
         post = posted(environ, renewed=True, system=system)
-    return lock, taker, post
+    return lock, receiver, post
 
 
 def log_level(environ):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -39,8 +39,8 @@
     sender.written = without_waits
 if sys.argv[1] == "loses-drains":
     send_guard.SendGuard.may_call = lambda *_: True  # else the guard would delay the call
-    real = sender.Giver.snapshot
-    sender.Giver.snapshot = lambda self, flights: real(self, flights) | dict(drained=None)
+    real = sender.HandoverSender.snapshot
+    sender.HandoverSender.snapshot = lambda self, flights: real(self, flights) | dict(drained=None)
 role, at = sys.argv[1], int(sys.argv[2])
 count, armed = 0, False
 def step():
@@ -69,15 +69,16 @@
         armed = True
         return real(*args)
     setattr(owner, name, call)
-def disarm(real=sender.Giver.__init__):
+def disarm(real=sender.HandoverSender.__init__):
     def begin(*args):
         global armed
         armed = False
         real(*args)
     return begin
-sender.Giver.__init__ = disarm()  # the handover is complete: a kill from here on is an ordinary crash
+# the handover is complete: a kill from here on is an ordinary crash
+sender.HandoverSender.__init__ = disarm()
 # for the other roles the steps are counted and no kill follows
-arm(sender.Giver, "accepts") if role == "old" else arm(receiver, "request_handover")
+arm(sender.HandoverSender, "accepts") if role == "old" else arm(receiver, "request_handover")
 system.System.again = staticmethod(lambda: os.execv(sys.executable, [sys.executable, "-m", "calicopin"]))
 sys.argv = sys.argv[:1]
 from calicopin.lifecycle.start import main
@@ -386,12 +387,12 @@
     """The successor sends another form, garbage or nothing, or dies after receiving the state and before it
     is ready.
     """
-    from calicopin.handover.channel import Place
+    from calicopin.handover.channel import HandoverSocket
 
     old = platform.up(platform.start())
     assert platform.post("hold-1") == 202
     platform.until(lambda: "hold-1" in platform.heard)  # a call that has not begun is not handed over
-    sock = Place(str(platform.folder / "tmp"), str(platform.folder / "state")).connect()
+    sock = HandoverSocket(str(platform.folder / "tmp"), str(platform.folder / "state")).connect()
     sock.sendall(hello)
     if hello.endswith(b" 1\n"):
         state_sent, _ = Channel(sock, 5.0).receive()
