--- a/calicopin/handover/receiver.py
+++ b/calicopin/handover/receiver.py
@@ -12,7 +12,7 @@
 from calicopin.handover.channel import Channel, HandoverError
 from calicopin.handover.state import FORM, read
 from calicopin.wire.clients import Visit
-from calicopin.wire.endpoints import Flight
+from calicopin.wire.endpoints import OutstandingCall
 from calicopin.wire.http import Line
 
 ANSWER_TIMEOUT_S = 3.0  # longer than the other process's own time-out
@@ -56,7 +56,7 @@
             fds[0],
             {"call": self.resume_call, "client": self.adopt_client, "idle": self.adopt_idle_connection},
         )
-        self.flights = dict(enumerate(self.calls))
+        self.outstanding_calls = dict(enumerate(self.calls))
         try:
             while True:
                 message, fds = self.channel.receive()
@@ -68,20 +68,20 @@
             logger.warning(
                 "the other process broke off the handover: {fault}", event="handover.broken", fault=fault
             )
-        for call in self.flights.values():
+        for call in self.outstanding_calls.values():
             runtime.lost(call)
         return lock
 
     def resume_call(self, loop, runtime, clients, connection, sock):
         """Resumes a call in flight with its connection and the bytes received on it."""
-        number, call = connection["call"], self.flights.pop(connection["call"])
+        number, call = connection["call"], self.outstanding_calls.pop(connection["call"])
         # older versions end the texts of a shared call one by one; here the first of them ends the call
         deadlines = [
             end_at for end_at, shared_call, _ in self.snapshot.get("due", ()) if shared_call == number
         ]
-        flight = Flight(call, min([self.snapshot["until"][number], *deadlines]))
-        flight.began = self.snapshot["began"][number]
-        runtime.go_on(flight, Line(loop, sock, h11.CLIENT), base64.b64decode(connection["heard"]))
+        outstanding = OutstandingCall(call, min([self.snapshot["until"][number], *deadlines]))
+        outstanding.began = self.snapshot["began"][number]
+        runtime.adopt_call(outstanding, Line(loop, sock, h11.CLIENT), base64.b64decode(connection["heard"]))
 
     def adopt_client(self, loop, runtime, clients, connection, sock):
         """Goes on serving a client's connection with the bytes received of its request."""
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -95,8 +95,10 @@
         """Cancels calls that have not begun, journals what has been decided, and sends pending answers."""
         for _ in range(8):
             self.loop.step()
-            for flight in [flight for flight in self.runtime.flights if not flight.far]:
-                self.loop.cancel(flight.task)
+            for outstanding in [
+                outstanding for outstanding in self.runtime.outstanding_calls if not outstanding.progress
+            ]:
+                self.loop.cancel(outstanding.task)
             self.runtime.turn()
             if self.runtime.stuck or not self.loop.ready:
                 break
@@ -111,8 +113,10 @@
             self.finish_pending_work()
             if runtime.stuck:
                 raise HandoverError("the journal cannot be written")
-            flights = [flight for flight in runtime.flights if flight.call.open]
-            channel.send(self.snapshot(flights))
+            outstanding_calls = [
+                outstanding for outstanding in runtime.outstanding_calls if outstanding.call.open
+            ]
+            channel.send(self.snapshot(outstanding_calls))
             if channel.receive()[0].get("ready") is not True:
                 raise HandoverError("the successor is not ready")
             if self.stop.stopping or runtime.journal.buffer:
@@ -129,7 +133,7 @@
             return
         text_count = len(runtime.facade.texts)
         try:
-            self.send_connections(channel, flights)
+            self.send_connections(channel, outstanding_calls)
         except Exception as fault:  # after `go` this process must not serve, whatever the error
             logger.error(
                 "the successor broke off the handover: {fault}", event="handover.broken", fault=fault
@@ -140,16 +144,16 @@
             event="handover.given",
             ms=self.loop.now() - began,
             texts=text_count,
-            out=len(flights),
+            out=len(outstanding_calls),
         )
 
-    def snapshot(self, flights):
+    def snapshot(self, outstanding_calls):
         """The state for the successor: decisions, calls in flight, the list, and figures of connections."""
-        stop, calls = self.stop, [flight.call for flight in flights]
+        stop, calls = self.stop, [outstanding.call for outstanding in outstanding_calls]
         pool = self.runtime.lines
         return written(self.runtime.facade, calls) | dict(
-            until=[flight.until for flight in flights],
-            began=[flight.began for flight in flights],
+            until=[outstanding.until for outstanding in outstanding_calls],
+            began=[outstanding.began for outstanding in outstanding_calls],
             version=None if self.runtime.subscribed else getattr(self.discovery, "version", None),
             current=self.runtime.current,
             renewed=self.renewal.renewed,
@@ -158,18 +162,20 @@
             drained=stop.drain.began if stop.drain else None,
         )
 
-    def send_connections(self, channel, flights):
+    def send_connections(self, channel, outstanding_calls):
         """Sends the connections, some in each frame, and closes each here once it is sent."""
         runtime, clients = self.runtime, self.clients
         connections = []
-        for number, flight in enumerate(flights):
-            flight.given = True
+        for number, outstanding in enumerate(outstanding_calls):
+            outstanding.handed_over = True
             connections.append(
-                ("call", dict(call=number, heard=encode_base64(flight.line.heard)), flight.line)
+                ("call", dict(call=number, heard=encode_base64(outstanding.line.heard)), outstanding.line)
             )
-            self.loop.cancel(flight.task)
-        for flight in list(runtime.flights):  # all its texts have ended, its answer is not needed
-            self.loop.cancel(flight.task)
+            self.loop.cancel(outstanding.task)
+        for outstanding in list(
+            runtime.outstanding_calls
+        ):  # all its texts have ended, its answer is not needed
+            self.loop.cancel(outstanding.task)
         for visit in list(clients.visits):
             if connection := clients.give(visit):
                 connections.append(
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -10,7 +10,7 @@
 from calicopin.lifecycle import call_log
 from calicopin.send_guard import SendGuard
 from calicopin.wire.clients import Kept
-from calicopin.wire.endpoints import Flight, go_on, submit
+from calicopin.wire.endpoints import OutstandingCall, resume_call, submit
 from calicopin.wire.loop import FOREVER, Until
 
 SWEEP = 1000.0  # ms between two passes over idle connections
@@ -49,7 +49,7 @@
         self.list_deadline = None  # no call is made before this time or the first list
         self.waiting, self.calls, self.given_up, self.calling, self.refusing = [], [], [], True, False
         self.unacknowledged = set()  # ids of accepted texts whose 202 is not sent yet
-        self.flights, self.ledger = {}, ledger
+        self.outstanding_calls, self.ledger = {}, ledger
         # consecutive failed turns and the time of the first; no message is accepted until a turn succeeds
         self.stuck, self.first_failure_at = 0, 0.0
         self.guard = SendGuard(facade.module.fail_back.cold, log_broken_invariant)
@@ -323,7 +323,7 @@
     @property
     def out(self):
         """Number of calls in progress."""
-        return len(self.flights)
+        return len(self.outstanding_calls)
 
     def start_call(self, call):
         """Starts a call if the guard permits it; returns whether it was started. The time-out counts from
@@ -334,25 +334,34 @@
             self.facade.report(call, Answer(Far.CALLED_OFF), 0.0)
             return False
         call_log.log_call_sent(call)
-        flight = Flight(call, min(now + call.timeout, call.valid_until))
+        outstanding = OutstandingCall(call, min(now + call.timeout, call.valid_until))
         self.spawn_call(
-            flight,
+            outstanding,
             lambda on_written, report: submit(
-                self.loop, self.lines, flight, self.connect_timeout, self.facade.still, on_written, report
+                self.loop,
+                self.lines,
+                outstanding,
+                self.connect_timeout,
+                self.facade.still,
+                on_written,
+                report,
             ),
         )
         return True
 
-    def go_on(self, flight, line, received):
+    def adopt_call(self, outstanding, line, received):
         """Continues a call that another process began, with the bytes `received` so far."""
         self.spawn_call(
-            flight, lambda on_written, report: go_on(self.loop, self.lines, flight, line, received, report)
+            outstanding,
+            lambda on_written, report: resume_call(
+                self.loop, self.lines, outstanding, line, received, report
+            ),
         )
 
-    def spawn_call(self, flight, exchange):
+    def spawn_call(self, outstanding, exchange):
         """Runs the exchange with the endpoint in a coroutine until the call has its outcome."""
-        self.flights[flight] = True
-        flight.task = self.loop.spawn(self.run_call(flight, exchange))
+        self.outstanding_calls[outstanding] = True
+        outstanding.task = self.loop.spawn(self.run_call(outstanding, exchange))
 
     def journal_decisions(self):
         """Writes the decisions to the journal; they take effect outside only once it holds them."""
@@ -381,9 +390,9 @@
                 journal.route(dest, endpoint, state)
         journal.flush()
 
-    def run_call(self, flight, exchange):
+    def run_call(self, outstanding, exchange):
         """One call as a coroutine; its texts get an outcome whatever happens."""
-        call, started = flight.call, flight.began or self.loop.now()
+        call, started = outstanding.call, outstanding.began or self.loop.now()
         answer = Answer(Far.SENT)  # after an exception the endpoint may have processed it
         collected = False
 
@@ -400,15 +409,15 @@
             answer = yield from exchange(on_written, report)
         except GeneratorExit:
             # cancelled, or garbage-collected with its loop, which may happen within any other code
-            answer, collected = Answer(flight.far), not flight.task.over
+            answer, collected = Answer(outstanding.progress), not outstanding.task.finished
             raise
         except Exception as fault:
             self.loop.faults.tell(
                 "call.fault", "call to {endpoint} failed with an exception", fault, endpoint=call.place.ident
             )
         finally:
-            del self.flights[flight]
-            if not flight.given and not collected:
+            del self.outstanding_calls[outstanding]
+            if not outstanding.handed_over and not collected:
                 report(answer)
                 self.guard.call_ended(call)
 
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -257,7 +257,7 @@
             yield from self.refuse_request(line, 500, "a fault of the courier")
             yield from self.close_gracefully(line)
         except GeneratorExit:  # cancelled, or garbage-collected with its loop
-            collected = not self.visits[visit].over if visit in self.visits else False
+            collected = not self.visits[visit].finished if visit in self.visits else False
             raise
         finally:
             if not (collected or visit.handed_over):
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -98,17 +98,20 @@
     )
 
 
-class Flight:
+class OutstandingCall:
     """A call under way and its progress, with which it can be cancelled or continued in another process."""
 
-    __slots__ = ("call", "line", "until", "began", "task", "far", "given")
+    __slots__ = ("call", "line", "until", "began", "task", "progress", "handed_over")
 
     def __init__(self, call, until):
         self.call, self.until, self.line, self.began, self.task = call, until, None, 0.0, None
-        self.far, self.given = Far.CALLED_OFF, False  # far: the outcome if it were cancelled now
+        self.progress, self.handed_over = (
+            Far.CALLED_OFF,
+            False,
+        )  # progress: the outcome if it were cancelled now
 
 
-def submit(loop, pool, flight, connect_timeout, still_wanted, on_written, report):
+def submit(loop, pool, outstanding, connect_timeout, still_wanted, on_written, report):
     """A coroutine that makes one call; returns its outcome as an `Answer`.
 
     `still_wanted(call, now)` is asked again once a new connection is open: meanwhile the endpoint may have
@@ -116,7 +119,7 @@
     written; `report` receives an outcome that is certain before the answer is complete. `pool` holds idle
     connections.
     """
-    call, until, place = flight.call, flight.until, flight.call.place
+    call, until, place = outstanding.call, outstanding.until, outstanding.call.place
     line, reusable = pool.take(place, loop.now()), False
     try:
         while not line:
@@ -128,64 +131,64 @@
                 return Answer(Far.CALLED_OFF if line is NO_RESOURCES else Far.UNCONNECTED)
             if not still_wanted(call, loop.now()):
                 return Answer(Far.CALLED_OFF)
-        flight.line, flight.began = line, loop.now()
+        outstanding.line, outstanding.began = line, loop.now()
         head, body = encode(call, max(1.0, until - loop.now()))
         data = line.encode(head, body)
         done = yield from line.write(data, until, stop_on_answer=True)
         if done < len(data):
             return (yield from read_unsent_outcome(line, call, until))
         on_written()
-        outcome, reusable = yield from receive_outcome(loop, pool, flight, report)
+        outcome, reusable = yield from receive_outcome(loop, pool, outstanding, report)
         return outcome
     finally:
-        release_connection(loop, pool, flight, line, reusable)
+        release_connection(loop, pool, outstanding, line, reusable)
 
 
-def go_on(loop, pool, flight, line, heard, report):
+def resume_call(loop, pool, outstanding, line, heard, report):
     """Continues a call that another process sent completely, and returns its outcome.
 
     `heard` holds the bytes of the answer that were received so far.
     """
     pool.used, reusable = pool.used + 1, False
     try:
-        line.encode(*encode(flight.call, 1.0))  # puts h11 into the state after a complete request
+        line.encode(*encode(outstanding.call, 1.0))  # puts h11 into the state after a complete request
         if heard:  # to h11, b"" would mean the end of stream
             line.hear(heard)
-        flight.line = line
-        outcome, reusable = yield from receive_outcome(loop, pool, flight, report)
+        outstanding.line = line
+        outcome, reusable = yield from receive_outcome(loop, pool, outstanding, report)
         return outcome
     finally:
-        release_connection(loop, pool, flight, line, reusable)
+        release_connection(loop, pool, outstanding, line, reusable)
 
 
-def release_connection(loop, pool, flight, line, reusable):
+def release_connection(loop, pool, outstanding, line, reusable):
     """Returns the connection of a call to the pool, or closes it unless another process has taken it over."""
     if reusable:
-        pool.keep(flight.call.place, line, loop.now())
+        pool.keep(outstanding.call.place, line, loop.now())
     else:
-        pool.drop(None if flight.given else line, flight.call.place.ident)
+        pool.drop(None if outstanding.handed_over else line, outstanding.call.place.ident)
 
 
-def receive_outcome(loop, pool, flight, report):
+def receive_outcome(loop, pool, outstanding, report):
     """(outcome, whether the connection may be reused) of a call that was sent completely.
 
     An endpoint drops a call once the validity period of its first text is over, and answers it as delivered
     all the same. If this process was suspended and reads such an answer only after that time, the call may or
     may not have been executed: it counts as sent, and not as a failure of the endpoint.
     """
-    line, flight.far, call = flight.line, Far.SENT, flight.call
+    line, outstanding.progress, call = outstanding.line, Far.SENT, outstanding.call
 
     def report_in_time(partial):
         if loop.now() < call.valid_until:
             report(partial)
 
-    outcome, complete = yield from read_outcome(line, call, flight.until, report_in_time)
+    outcome, complete = yield from read_outcome(line, call, outstanding.until, report_in_time)
     if outcome.far == Far.ANSWERED:
-        pool.answered(call.place, loop.now() - flight.began)
+        pool.answered(call.place, loop.now() - outstanding.began)
         if outcome.status == 200 and loop.now() >= call.valid_until:
             outcome = Answer(Far.SENT, gone=True, wait=outcome.wait, load=outcome.load)
     elif outcome.far == Far.SENT and line.ended and not line.unread():
-        outcome.gone = pool.gone(call.place, line, loop.now() - flight.began)
+        outcome.gone = pool.gone(call.place, line, loop.now() - outstanding.began)
     return outcome, complete and line.again() and not line.has_extra_data()
 
 
--- a/calicopin/wire/loop.py
+++ b/calicopin/wire/loop.py
@@ -47,10 +47,10 @@
 class Task:
     """A coroutine and what it is waiting for."""
 
-    __slots__ = ("gen", "wait", "wait_id", "over", "ahead")
+    __slots__ = ("gen", "wait", "wait_id", "finished", "ahead")
 
     def __init__(self, gen, ahead=False):
-        self.gen, self.wait, self.wait_id, self.over, self.ahead = gen, None, 0, False, ahead
+        self.gen, self.wait, self.wait_id, self.finished, self.ahead = gen, None, 0, False, ahead
 
     def started(self):
         """Whether it has run at all. If cancelled before that, not even its `finally` blocks run."""
@@ -106,10 +106,10 @@
 
     def cancel(self, task):
         """Closes a coroutine at the point where it waits."""
-        if not task.over:
+        if not task.finished:
             if task.wait is not None:
                 self._disarm(task)
-            task.over = True
+            task.finished = True
             task.gen.close()
 
     def _disarm(self, task):
@@ -151,10 +151,10 @@
         try:
             wait = task.gen.send(value)
         except StopIteration:
-            task.over = True
+            task.finished = True
             return
         except Exception as fault:  # an exception ends this coroutine only, not the process
-            task.over = True
+            task.finished = True
             self.faults.tell("coroutine.fault", "a coroutine ended by an unexpected exception", fault)
             return
         task.wait = wait
@@ -181,7 +181,7 @@
 
         Waits until `until` (ms) at most. Returns the time at which `turn` is due again.
         """
-        while self.due and (self.due[0][2].over or self.due[0][2].wait_id != self.due[0][3]):
+        while self.due and (self.due[0][2].finished or self.due[0][2].wait_id != self.due[0][3]):
             heapq.heappop(self.due)
         at = min(until, self.due[0][0] if self.due else FOREVER)
         polled_at = self.now()
@@ -198,7 +198,7 @@
         expired_until = min(now, max(polled_at, at) if wait and not events else polled_at)
         while self.due and self.due[0][0] <= expired_until:
             at, _, task, wait_id = heapq.heappop(self.due)
-            if not task.over and task.wait_id == wait_id:
+            if not task.finished and task.wait_id == wait_id:
                 self.lateness = max(self.lateness, now - at)
                 self.resume(task, task.wait.at > expired_until)  # True for a retry of epoll_ctl
         self.step()
@@ -212,7 +212,7 @@
         """Resumes coroutines until none is ready."""
         while self.ready:
             task, wait_id, value = self.ready.popleft()
-            if not task.over and task.wait_id == wait_id:
+            if not task.finished and task.wait_id == wait_id:
                 self._step(task, value)
 
     def run(self):
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -325,8 +325,8 @@
     peer = courier.request(left=0.5)
     courier.endpoint.meet().wait(b"\r\n\r\n")
     peer.wait(b"202")
-    (flight,) = courier.runtime.flights
-    assert flight.until <= flight.call.texts[0].until
+    (outstanding,) = courier.runtime.outstanding_calls
+    assert outstanding.until <= outstanding.call.texts[0].until
 
 
 @pytest.mark.parametrize("end", ["closes", "resets", "stops"])
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -145,7 +145,7 @@
     courier.runtime.facade.report = lambda *outcome: outcomes.append(outcome)
     sink = logger.add(lambda message: lines.append(message.record["extra"]["event"]), level="DEBUG")
     try:
-        next(iter(courier.runtime.flights)).task.gen.close()  # as garbage collection does
+        next(iter(courier.runtime.outstanding_calls)).task.gen.close()  # as garbage collection does
         assert not outcomes and set(lines) <= {"connection.closed"}
     finally:
         logger.remove(sink)
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -131,7 +131,7 @@
 
     def next_due():
         loop.once(loop.now())
-        return min(at for at, _, task, wait_id in loop.due if not task.over and task.wait_id == wait_id)
+        return min(at for at, _, task, wait_id in loop.due if not task.finished and task.wait_id == wait_id)
 
     assert 0.0 < next_due() - began <= 4000.0
     for _ in range(3):
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -6,7 +6,7 @@
 from calicopin.state.connections import Budget, Lines
 from calicopin.state.texts import Text
 from calicopin.wire.clients import Clients, Kept
-from calicopin.wire.endpoints import Flight, submit
+from calicopin.wire.endpoints import OutstandingCall, submit
 
 
 def call(address, texts=1, timeout=500.0):
@@ -34,7 +34,7 @@
         self.answer = yield from submit(
             self.loop,
             self.lines,
-            Flight(new_call, self.loop.now() + new_call.timeout),
+            OutstandingCall(new_call, self.loop.now() + new_call.timeout),
             200.0,
             lambda call, now: self.wanted,
             lambda: None,
