--- a/calicopin/handover/receiver.py
+++ b/calicopin/handover/receiver.py
@@ -11,7 +11,7 @@
 
 from calicopin.handover.channel import Channel, HandoverError
 from calicopin.handover.state import FORM, read
-from calicopin.wire.clients import Visit
+from calicopin.wire.clients import ClientConnection
 from calicopin.wire.endpoints import OutstandingCall
 from calicopin.wire.http import Line
 
@@ -87,10 +87,14 @@
         """Goes on serving a client's connection with the bytes received of its request."""
         line = Line(loop, sock, h11.SERVER)
         if connection["heard"]:
-            line.hear(base64.b64decode(connection["heard"]))
-        visit = Visit(line, loop.now())
-        visit.fresh, visit.since, visit.until = connection["fresh"], connection["since"], connection["until"]
-        clients.receive(visit)
+            line.feed(base64.b64decode(connection["heard"]))
+        client = ClientConnection(line, loop.now())
+        client.fresh, client.since, client.until = (
+            connection["fresh"],
+            connection["since"],
+            connection["until"],
+        )
+        clients.receive(client)
 
     def adopt_idle_connection(self, loop, runtime, clients, connection, sock):
         """Adds an idle connection to an endpoint to the pool, with the time since which it has been idle."""
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -169,23 +169,23 @@
         for number, outstanding in enumerate(outstanding_calls):
             outstanding.handed_over = True
             connections.append(
-                ("call", dict(call=number, heard=encode_base64(outstanding.line.heard)), outstanding.line)
+                ("call", dict(call=number, heard=encode_base64(outstanding.line.received)), outstanding.line)
             )
             self.loop.cancel(outstanding.task)
         for outstanding in list(
             runtime.outstanding_calls
         ):  # all its texts have ended, its answer is not needed
             self.loop.cancel(outstanding.task)
-        for visit in list(clients.visits):
-            if connection := clients.give(visit):
+        for client in list(clients.visits):
+            if connection := clients.release_for_handover(client):
                 connections.append(
                     (
                         "client",
                         dict(
-                            heard=encode_base64(connection.heard),
-                            fresh=visit.fresh,
-                            since=visit.since,
-                            until=min(visit.until, 1e15),
+                            heard=encode_base64(connection.received),
+                            fresh=client.fresh,
+                            since=client.since,
+                            until=min(client.until, 1e15),
                         ),
                         connection,
                     )
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -277,7 +277,12 @@
             renewal,
             stop,
         )
-    for coroutine in (runtime.run_housekeeping, clients.keep_house, stop.wait_for_request, renewal.wait):
+    for coroutine in (
+        runtime.run_housekeeping,
+        clients.free_descriptors_periodically,
+        stop.wait_for_request,
+        renewal.wait,
+    ):
         loop.keep(coroutine)
     return runtime
 
--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -70,7 +70,7 @@
         runtime.stop_waiting()
         self.clients.close_between_requests()
         yield Until(self.loop.now())
-        self.clients.end()
+        self.clients.refuse_outstanding_requests()
         self.loop.running = False
 
     def end_drain(self):
--- a/calicopin/state/connections.py
+++ b/calicopin/state/connections.py
@@ -65,7 +65,7 @@
         while idle:
             connection, since = idle.pop()
             if self.good(connection, since, now):
-                connection.stood = now - since
+                connection.idle_ms = now - since
                 return connection
             close(connection, place.ident, "idle for too long, or closed by the endpoint")
         if self.used + self.count > self.most:
@@ -108,9 +108,11 @@
         after a shorter time (`elapsed`, ms) than the endpoint's fastest answer. `trust` is then reduced to
         half the time that it had been idle.
         """
-        closed_while_idle = connection.stood is not None and elapsed < self.fastest.get(self.key(place), 0.0)
+        closed_while_idle = connection.idle_ms is not None and elapsed < self.fastest.get(
+            self.key(place), 0.0
+        )
         if closed_while_idle:
-            self.trust = max(self.MIN_TRUST_MS, min(self.trust, connection.stood / 2.0))
+            self.trust = max(self.MIN_TRUST_MS, min(self.trust, connection.idle_ms / 2.0))
         return closed_while_idle
 
     def list(self, places):
--- a/calicopin/system_errors.py
+++ b/calicopin/system_errors.py
@@ -54,12 +54,12 @@
     return fault.errno in TRANSIENT_FILE_ERRORS
 
 
-def passes(fault: OSError) -> bool:
+def is_transient(fault: OSError) -> bool:
     """Whether the same call on the same connection or file may succeed if retried."""
     return fault.errno in PASSING
 
 
-def no_room_here(code: int | None) -> bool:
+def lacks_local_resources(code: int | None) -> bool:
     """Whether a connection failed because this machine lacked resources."""
     return code in LOCAL_RESOURCE_ERRORS
 
@@ -69,6 +69,6 @@
     return code in NO_ROUTE_ERRORS
 
 
-def of_one_connection(fault: OSError) -> bool:
+def concerns_one_connection(fault: OSError) -> bool:
     """Whether an error of accept concerns one connection only, so that the next can be accepted."""
     return fault.errno in SINGLE_CONNECTION_ERRORS
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -16,9 +16,10 @@
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Until
 
 MAX_BODY_BYTES = 65536
-PATIENCE = 2500.0  # ms for a whole request, so that silent clients do not hold descriptors
-LINGER = 300.0  # ms for a client to read its last answer
-NEW = 500.0  # ms before a new connection may be closed to free descriptors: its request may be under way
+REQUEST_TIMEOUT_MS = 2500.0  # for a whole request, so that silent clients do not hold descriptors
+LINGER_MS = 300.0  # for a client to read its last answer
+# before a new connection may be closed to free descriptors: its request may be under way
+NEW_CONNECTION_MIN_IDLE_MS = 500.0
 KEEP_ALIVE_MIN_IDLE_MS = 2000.0  # the same between requests, unless no descriptor is left at all
 CLEANUP_INTERVAL_MS = 250.0
 MIN_CLEANUP_INTERVAL_MS = 20.0  # bounds the cost where new connections arrive at a high rate
@@ -30,7 +31,7 @@
 MAX_TIMEOUT_S = 86400.0  # validity periods are not longer than a day
 SECONDS_PATTERN = re.compile(r"[0-9]{1,18}(\.[0-9]{0,18})?")
 DESTINATION_PATTERN = re.compile(r"[0-9]{1,9}")
-TURNED_AWAY = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+REFUSAL_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 class RequestRefusedError(Exception):
@@ -85,7 +86,7 @@
     return [("Retry-After", f"{wait / 1000.0:.3f}")] if wait > 0.0 else []
 
 
-class Visit:
+class ClientConnection:
     """A connection of a client and its state."""
 
     __slots__ = (
@@ -101,7 +102,7 @@
     )
 
     def __init__(self, line, now):
-        self.line, self.task, self.since, self.until = line, None, now, now + PATIENCE
+        self.line, self.task, self.since, self.until = line, None, now, now + REQUEST_TIMEOUT_MS
         self.fresh, self.delay = True, 0.0  # no request read yet; ms until the next one is read
         self.asked = ""  # method and target of the last request
         # answer_pending: a request was read completely, or cannot be, and its answer is not sent yet
@@ -184,30 +185,30 @@
             self.free_descriptors()
         limit = self.budget.clients + self.budget.porch
         if self.open >= limit:  # close one that is idle between requests, however briefly
-            visit = next((visit for visit in self.idle if not visit.fresh and visit.line.quiet()), None)
-            if visit:
-                self.loop.cancel(visit.task)
+            client = next((client for client in self.idle if not client.fresh and client.line.quiet()), None)
+            if client:
+                self.loop.cancel(client.task)
         if self.open < limit:
-            self.receive(Visit(line, self.loop.now()))
+            self.receive(ClientConnection(line, self.loop.now()))
             return
         self.log_refusal(503, "no descriptor left for a client")
-        line.part(TURNED_AWAY)
+        line.part(REFUSAL_RESPONSE)
         line.close()
 
-    def receive(self, visit):
+    def receive(self, client):
         """Serves a connection in a coroutine of its own."""
         self.open += 1
-        self.visits[visit] = self.loop.spawn(self.serve(visit))
+        self.visits[client] = self.loop.spawn(self.serve(client))
 
-    def give(self, visit):
+    def release_for_handover(self, client):
         """Releases a connection for the handover to another process, and returns it.
 
         None if its state cannot be rebuilt from the bytes received on it: then it stays here.
         """
-        line = visit.line
-        if visit.answer_pending or line.ended or line in self.lingering or visit not in self.visits:
+        line = client.line
+        if client.answer_pending or line.ended or line in self.lingering or client not in self.visits:
             return None
-        task, visit.handed_over = self.visits.pop(visit), True
+        task, client.handed_over = self.visits.pop(client), True
         if not task.started():  # its `finally` block, which counts down, will not run
             self.open -= 1
         self.loop.cancel(task)
@@ -226,29 +227,31 @@
                 break
             self.loop.cancel(task)
         # while leaving, few new connections arrive: those in use stay
-        for fresh, min_idle in ((True, NEW), (False, KEEP_ALIVE_MIN_IDLE_MS)) if not self.leaving else ():
-            for visit in list(self.idle) if self.open >= limit else ():
-                if self.open < limit or now - visit.since < min_idle:
+        for fresh, min_idle in (
+            ((True, NEW_CONNECTION_MIN_IDLE_MS), (False, KEEP_ALIVE_MIN_IDLE_MS)) if not self.leaving else ()
+        ):
+            for client in list(self.idle) if self.open >= limit else ():
+                if self.open < limit or now - client.since < min_idle:
                     break
-                if visit.fresh is fresh and visit.line.quiet():
-                    self.loop.cancel(visit.task)
+                if client.fresh is fresh and client.line.quiet():
+                    self.loop.cancel(client.task)
 
-    def keep_house(self):
+    def free_descriptors_periodically(self):
         """A coroutine that frees descriptors every `CLEANUP_INTERVAL_MS`."""
         while True:
             yield Until(self.loop.now() + CLEANUP_INTERVAL_MS)
             self.free_descriptors()
 
-    def serve(self, visit):
+    def serve(self, client):
         """A coroutine that serves one connection until it is closed."""
-        line, collected = visit.line, False
+        line, collected = client.line, False
         try:
             keep_alive = True
             while keep_alive:
-                keep_alive = yield from self.request(visit)
-                visit.fresh = visit.answer_pending = False
+                keep_alive = yield from self.request(client)
+                client.fresh = client.answer_pending = False
                 # yields between requests, so that pipelined requests of one client do not delay others
-                yield Until(self.loop.now() + visit.delay)
+                yield Until(self.loop.now() + client.delay)
             yield from self.close_gracefully(line)
         except Exception as fault:  # the process goes on, and the client still gets an answer
             self.loop.faults.tell(
@@ -257,41 +260,41 @@
             yield from self.refuse_request(line, 500, "a fault of the courier")
             yield from self.close_gracefully(line)
         except GeneratorExit:  # cancelled, or garbage-collected with its loop
-            collected = not self.visits[visit].finished if visit in self.visits else False
+            collected = not self.visits[client].finished if client in self.visits else False
             raise
         finally:
-            if not (collected or visit.handed_over):
-                self.report_unanswered(visit)
-            self.idle.pop(visit, None)
+            if not (collected or client.handed_over):
+                self.report_unanswered(client)
+            self.idle.pop(client, None)
             self.lingering.pop(line, None)
-            self.visits.pop(visit, None)
-            if not visit.handed_over:
+            self.visits.pop(client, None)
+            if not client.handed_over:
                 line.close()
             self.open -= 1
 
-    def report_unanswered(self, visit):
+    def report_unanswered(self, client):
         """Reports a request that was read and not answered on a connection about to be closed."""
-        if visit.line.h11.our_state is h11.SEND_RESPONSE and not visit.line.left():
-            self.acceptor.unanswered(visit.asked)
+        if client.line.h11.our_state is h11.SEND_RESPONSE and not client.line.left():
+            self.acceptor.unanswered(client.asked)
 
-    def request(self, visit):
+    def request(self, client):
         """Serves one request; returns whether the connection may serve another."""
-        line, visit.delay, visit.answer_pending = visit.line, 0.0, False
-        head = yield from self.next_head(visit)
-        visit.answer_pending = not isinstance(head, h11.Request)
+        line, client.delay, client.answer_pending = client.line, 0.0, False
+        head = yield from self.next_head(client)
+        client.answer_pending = not isinstance(head, h11.Request)
         if not isinstance(head, h11.Request):
             if head is None and line.unread():
                 yield from self.refuse_request(line, 408, "a head that does not come")
             if isinstance(head, h11.RemoteProtocolError):
                 yield from self.refuse_request(line, head.error_status_hint or 400, str(head))
             return False
-        path, until = head.target.split(b"?")[0], visit.until
-        visit.asked = f"{head.method.decode()} {head.target.decode('latin-1')[:100]}"
+        path, until = head.target.split(b"?")[0], client.until
+        client.asked = f"{head.method.decode()} {head.target.decode('latin-1')[:100]}"
         error = framing_error(head)
         if error is None and head.method not in (b"GET", b"HEAD", b"POST"):
             error = 405, f"no {head.method[:20]!r}"
         body = None if error else (yield from line.body(MAX_BODY_BYTES, until))
-        visit.answer_pending = True
+        client.answer_pending = True
         if body is TOO_LONG:
             error = 413, "a body over 64 KiB"
         elif body is None and not error:
@@ -313,7 +316,7 @@
         try:
             text = read_text(head, body, self.products, self.loop.now())
         except RequestRefusedError as fault:
-            visit.delay = REFUSAL_DELAY_MS
+            client.delay = REFUSAL_DELAY_MS
             self.log_refusal(fault.status, fault)
             return (yield from self.reply(line, fault.status, str(fault).encode()))
         yield from self.wait_for_destination(line, text)
@@ -323,7 +326,7 @@
         if refusal is not None:
             status, wait = refusal
             if status != 503:
-                visit.delay = REFUSAL_DELAY_MS
+                client.delay = REFUSAL_DELAY_MS
                 self.log_refusal(status, f"dest {text.dest}, id {text.ident[:40]!r}")
             return (yield from self.reply(line, status, b"", retry_after(wait)))
         kept = self.acceptor.kept(text)
@@ -362,21 +365,21 @@
         finally:
             self.acceptor.waited(event)
 
-    def next_head(self, visit):
+    def next_head(self, client):
         """Waits for the head of the next request; only in this wait may the courier close the connection."""
-        line = visit.line
+        line = client.line
         if not self.closing and not line.has_extra_data():
-            visit.task = self.loop.current
-            if not visit.fresh:
-                visit.since, visit.until = self.loop.now(), FOREVER
-            self.idle[visit] = True
-            yield Until(visit.until, line.sock.fileno(), READ)
-            self.idle.pop(visit, None)
-        if not visit.fresh:
-            visit.until = self.loop.now() + PATIENCE
+            client.task = self.loop.current
+            if not client.fresh:
+                client.since, client.until = self.loop.now(), FOREVER
+            self.idle[client] = True
+            yield Until(client.until, line.sock.fileno(), READ)
+            self.idle.pop(client, None)
+        if not client.fresh:
+            client.until = self.loop.now() + REQUEST_TIMEOUT_MS
         elif self.closing:  # a silent connection must not delay the stop
-            visit.until = min(visit.until, self.loop.now() + NEW)
-        return (yield from line.event(visit.until))
+            client.until = min(client.until, self.loop.now() + NEW_CONNECTION_MIN_IDLE_MS)
+        return (yield from line.event(client.until))
 
     def refuse_request(self, line, status, why):
         """Answers a request with an error status and the reason, then the connection is closed."""
@@ -384,7 +387,7 @@
         yield from self.reply(line, status, why.encode("latin-1", "replace"), [("Connection", "close")])
 
     def close_gracefully(self, line):
-        """Gives the client `LINGER` ms to read the last answer and to close the connection.
+        """Gives the client `LINGER_MS` to read the last answer and to close the connection.
 
         If descriptors are short, only where unread data would make the close reset the connection, by which
         the answer could be lost.
@@ -393,7 +396,7 @@
             return
         if self.open < self.budget.clients or not line.quiet():
             self.lingering[line] = self.loop.current
-            yield from line.linger(self.loop.now() + LINGER)
+            yield from line.linger(self.loop.now() + LINGER_MS)
 
     def log_refusal(self, status, why):
         """Logs refused requests, one line a second at most; the others are counted in it."""
@@ -419,7 +422,7 @@
             )
         except h11.LocalProtocolError:  # already answered, or the peer is gone
             return None
-        done = yield from line.write(data, self.loop.now() + PATIENCE)
+        done = yield from line.write(data, self.loop.now() + REQUEST_TIMEOUT_MS)
         return None if done < len(data) else line.again()
 
     def stop_listening(self):
@@ -438,16 +441,16 @@
             return
         self.loop.close(self.listener)
 
-    def end(self):
+    def refuse_outstanding_requests(self):
         """Refuses all outstanding requests before the process exits.
 
         No turn follows, so their messages are not in the journal and refusing them is safe.
         """
         unsent = {}
-        for visit in self.visits:
-            line = visit.line
+        for client in self.visits:
+            line = client.line
             if not line.ended and line.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                unsent[line] = TURNED_AWAY if visit not in self.idle or not line.quiet() else b""
+                unsent[line] = REFUSAL_RESPONSE if client not in self.idle or not line.quiet() else b""
         for tries_left in reversed(range(FINAL_ANSWER_TRIES)):
             unsent = {line: remaining for line, answer in unsent.items() if (remaining := line.part(answer))}
             if not unsent:
@@ -461,5 +464,5 @@
     def close_between_requests(self):
         """Closes idle connections now, the others with their next answer."""
         self.closing = True
-        for visit in [visit for visit in self.idle if visit.line.quiet()]:
-            self.loop.cancel(visit.task)
+        for client in [client for client in self.idle if client.line.quiet()]:
+            self.loop.cancel(client.task)
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -105,10 +105,8 @@
 
     def __init__(self, call, until):
         self.call, self.until, self.line, self.began, self.task = call, until, None, 0.0, None
-        self.progress, self.handed_over = (
-            Far.CALLED_OFF,
-            False,
-        )  # progress: the outcome if it were cancelled now
+        # progress: the outcome if it were cancelled now
+        self.progress, self.handed_over = Far.CALLED_OFF, False
 
 
 def submit(loop, pool, outstanding, connect_timeout, still_wanted, on_written, report):
@@ -153,7 +151,7 @@
     try:
         line.encode(*encode(outstanding.call, 1.0))  # puts h11 into the state after a complete request
         if heard:  # to h11, b"" would mean the end of stream
-            line.hear(heard)
+            line.feed(heard)
         outstanding.line = line
         outcome, reusable = yield from receive_outcome(loop, pool, outstanding, report)
         return outcome
--- a/calicopin/wire/http.py
+++ b/calicopin/wire/http.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from calicopin.system_errors import no_room_here, no_route, of_one_connection, passes
+from calicopin.system_errors import concerns_one_connection, is_transient, lacks_local_resources, no_route
 from calicopin.wire.loop import AGAIN, READ, WRITE, Until
 
 READ_SIZE = 65536
@@ -32,8 +32,8 @@
 
     def __init__(self, loop, sock, role):
         self.loop, self.sock, self.h11 = loop, sock, h11.Connection(role)
-        self.ended, self.stood = False, None  # end of stream read; ms it was idle before its last reuse
-        self.heard = bytearray()  # received since the last message ended; handed over with the connection
+        self.ended, self.idle_ms = False, None  # end of stream read; ms it was idle before its last reuse
+        self.received = bytearray()  # received since the last message ended; handed over with the connection
         sock.setblocking(False)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -57,12 +57,12 @@
         if data is None:
             return False
         self.ended = not data
-        self.hear(data)
+        self.feed(data)
         return True
 
-    def hear(self, data):
+    def feed(self, data):
         """Adds received data, as if just read from the socket."""
-        self.heard += data
+        self.received += data
         try:
             self.h11.receive_data(data)
         except h11.RemoteProtocolError:  # data after the end of stream: `parse` reports it
@@ -96,7 +96,7 @@
                     return None
                 ready = yield Until(until, self.sock.fileno(), READ)
             except OSError as fault:
-                if not passes(fault):
+                if not is_transient(fault):
                     return b""
                 if not (yield from self._pause(until)):
                     return None
@@ -117,7 +117,7 @@
                 if not (yield Until(until, self.sock.fileno(), WRITE | READ if stop_on_answer else WRITE)):
                     break
             except OSError as fault:
-                if not passes(fault) or not (yield from self._pause(until)):
+                if not is_transient(fault) or not (yield from self._pause(until)):
                     break
         return done
 
@@ -217,7 +217,7 @@
             except BlockingIOError:
                 return None
             except OSError as fault:
-                if not passes(fault):
+                if not is_transient(fault):
                     return None
                 if not tries_left:
                     raise
@@ -230,7 +230,7 @@
         except BlockingIOError:
             return None
         except OSError as fault:
-            return UNKNOWN if passes(fault) else b""
+            return UNKNOWN if is_transient(fault) else b""
 
     def quiet(self):
         """Whether an idle connection is open with nothing to read."""
@@ -244,7 +244,7 @@
         """Prepares for the next message; False if this connection cannot be reused."""
         if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
             self.h11.start_next_cycle()
-            self.heard[:] = self.unread()
+            self.received[:] = self.unread()
             return True
         return False
 
@@ -274,7 +274,7 @@
             return None
         except OSError as fault:
             aborted += 1
-            if aborted > MAX_ABORTED_ACCEPTS or not of_one_connection(fault):
+            if aborted > MAX_ABORTED_ACCEPTS or not concerns_one_connection(fault):
                 raise
 
 
@@ -288,7 +288,7 @@
         code, sock = yield from _try_connect(loop, address, until)
         if sock:
             return Line(loop, sock, h11.CLIENT)
-        if no_room_here(code):
+        if lacks_local_resources(code):
             return NO_RESOURCES
         if not no_route(code) or loop.now() + AGAIN >= until:
             return None
@@ -301,7 +301,7 @@
     try:
         sock = loop.system.stream()
     except OSError as fault:  # a local error in any case: the peer was not contacted
-        return (fault.errno if no_room_here(fault.errno) else errno.ENOBUFS), None
+        return (fault.errno if lacks_local_resources(fault.errno) else errno.ENOBUFS), None
     code = errno.ECANCELED  # remains if the coroutine is cancelled while it waits
     try:
         code = yield from _connect_socket(sock, (host, int(port)), until)
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -153,7 +153,7 @@
             self.session.resyncs,
             self.nodes.changes,
             self._sent,
-            self._received + (len(self.line.heard) if self.line else 0),
+            self._received + (len(self.line.received) if self.line else 0),
         )
 
     def move(self, nodes: list[str]) -> None:
@@ -345,8 +345,8 @@
 
     def _count_received(self) -> None:
         """Adds up the bytes received on the connection since the last count."""
-        self._received += len(self.line.heard)
-        self.line.heard.clear()
+        self._received += len(self.line.received)
+        self.line.received.clear()
 
     def hang_up(self) -> None:
         """Closes the connection."""
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -19,7 +19,13 @@
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
 from calicopin.state.connections import Lines
 from calicopin.wire.asking import TOLD, Asking, longest_pause, longest_wait
-from calicopin.wire.clients import LINGER, NEW, PATIENCE, TURNED_AWAY, Clients
+from calicopin.wire.clients import (
+    LINGER_MS,
+    NEW_CONNECTION_MIN_IDLE_MS,
+    REFUSAL_RESPONSE,
+    REQUEST_TIMEOUT_MS,
+    Clients,
+)
 from calicopin.wire.discovery import GRACE, Discovery
 from calicopin.wire.loop import Loop
 
@@ -55,7 +61,7 @@
     server.acceptor.keep()
     peer.wait_end()
     assert server.open == 1 and server.lingering
-    loop.now.now += LINGER + 1.0
+    loop.now.now += LINGER_MS + 1.0
     spin(loop, lambda: server.open == 0)
 
 
@@ -66,8 +72,8 @@
     spin(loop, lambda: server.open and not server.idle)
     for _ in range(5):
         loop.once(loop.now())
-    task = next(task for visit, task in server.visits.items())
-    loop.now.now += PATIENCE + 1.0
+    task = next(task for connection, task in server.visits.items())
+    loop.now.now += REQUEST_TIMEOUT_MS + 1.0
     peer.say(request()[-1:])
     loop.resume(task, False)  # as the loop does if the bytes arrive after its poll
     spin(loop, lambda: server.acceptor.events)
@@ -203,11 +209,11 @@
     spin(loop, lambda: server.open and not server.idle)
     half.say(request()[-1:] + request(X_Request_ID="behind"))
     system.told[call].extend([error] * 5)
-    server.end()
-    for visit in server.visits:
-        visit.line.sock.close()  # as at the end of the process
+    server.refuse_outstanding_requests()
+    for connection in server.visits:
+        connection.line.sock.close()  # as at the end of the process
     assert system.met[call] == 5
-    assert half.wait_end() == TURNED_AWAY and not half.reset
+    assert half.wait_end() == REFUSAL_RESPONSE and not half.reset
 
 
 @pytest.mark.parametrize("error", ["EINTR", "ENOBUFS", SHORT])
@@ -221,7 +227,7 @@
     spin(loop, lambda: server.open == 2 and not server.idle)
     system.told["client_send"].extend([error] * 5)
     last = client(loop, address)
-    assert last.wait_end() == TURNED_AWAY and system.met["client_send"] == 5
+    assert last.wait_end() == REFUSAL_RESPONSE and system.met["client_send"] == 5
 
 
 # Endpoints.
@@ -518,7 +524,7 @@
     again.say(answer(200, json.dumps(courier.known).encode()))
     spin(courier.loop, lambda: courier.runtime.current)
     assert created[0].open == budget.clients + budget.porch, "all idle clients are still connected"
-    courier.loop.now.now += NEW
+    courier.loop.now.now += NEW_CONNECTION_MIN_IDLE_MS
     spin(courier.loop, lambda: created[0].open < budget.clients)
     assert courier.post("a") == b"202"
     assert b"\xfe\xfe\xfe" in courier.endpoint.meet().wait(b"\xfe\xfe\xfe")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -40,7 +40,7 @@
 if sys.argv[1] == "loses-drains":
     send_guard.SendGuard.may_call = lambda *_: True  # else the guard would delay the call
     real = sender.HandoverSender.snapshot
-    sender.HandoverSender.snapshot = lambda self, outstanding_calls: real(self, outstanding_calls) | dict(drained=None)
+    sender.HandoverSender.snapshot = lambda self, calls: real(self, calls) | dict(drained=None)
 role, at = sys.argv[1], int(sys.argv[2])
 count, armed = 0, False
 def step():
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -230,7 +230,7 @@
 def test_the_trusted_idle_time_falls_at_once_and_recovers_with_time():
     pool, connection = Lines(5, 8000.0), FakeConnection()
     pool.answered(place("s-1"), 40.0)
-    connection.stood = 200.0
+    connection.idle_ms = 200.0
     assert (
         not pool.gone(place("s-1"), connection, 41.0)
         and not pool.gone(place("s-2"), connection, 1.0)
@@ -243,7 +243,7 @@
     for _ in range(8):
         pool.sweep(0.0)
     assert pool.trust == 8000.0
-    connection.stood = 0.0
+    connection.idle_ms = 0.0
     assert pool.gone(place("s-1"), connection, 1.0) and pool.trust == Lines.MIN_TRUST_MS
     pool.list([place("s-2")])
     assert not pool.fastest
--- a/tests/test_wire_clients.py
+++ b/tests/test_wire_clients.py
@@ -4,7 +4,12 @@
 from helper import client, spin
 from wire_helper import clients, request
 
-from calicopin.wire.clients import KEEP_ALIVE_MIN_IDLE_MS, NEW, PATIENCE, REFUSAL_DELAY_MS
+from calicopin.wire.clients import (
+    KEEP_ALIVE_MIN_IDLE_MS,
+    NEW_CONNECTION_MIN_IDLE_MS,
+    REFUSAL_DELAY_MS,
+    REQUEST_TIMEOUT_MS,
+)
 
 
 def test_a_text_is_accepted_only_once_it_is_stored(loop):
@@ -200,7 +205,7 @@
     spin(loop, lambda: server.open and not server.idle)
     for _ in range(20):
         loop.once(loop.now())
-    loop.now.now += PATIENCE + 1.0
+    loop.now.now += REQUEST_TIMEOUT_MS + 1.0
     assert peer.wait_end().startswith(b"HTTP/1.1 408")
     loop.now.now += 1001.0
     spin(loop, lambda: server.open == 0)
@@ -210,8 +215,8 @@
     server, address = clients(loop)
     peer = client(loop, address)
     spin(loop, lambda: server.idle)
-    loop.now.now += PATIENCE + 1.0
-    assert peer.wait_end() == b"" and PATIENCE <= 3000.0
+    loop.now.now += REQUEST_TIMEOUT_MS + 1.0
+    assert peer.wait_end() == b"" and REQUEST_TIMEOUT_MS <= 3000.0
     spin(loop, lambda: server.open == 0)
 
 
@@ -226,11 +231,11 @@
     """Connections between requests are kept for 2 s, new ones for 0.5 s, those in a request always."""
     server, address = clients(loop, most=4)
     idle_peers = [served_once(loop, server, address) for _ in range(2)]
-    loop.now.now += KEEP_ALIVE_MIN_IDLE_MS - NEW
+    loop.now.now += KEEP_ALIVE_MIN_IDLE_MS - NEW_CONNECTION_MIN_IDLE_MS
     silent, half_sent = client(loop, address), client(loop, address)
     half_sent.say(request()[:40])
     spin(loop, lambda: len(server.idle) == 3 and server.open == 4)
-    loop.now.now += NEW - 1.0
+    loop.now.now += NEW_CONNECTION_MIN_IDLE_MS - 1.0
     server.free_descriptors()
     assert server.open == 4
     loop.now.now += 1.0
