--- a/calicopin/capacity/courier.py
+++ b/calicopin/capacity/courier.py
@@ -12,9 +12,9 @@
 
 WATCH_S = 2.0  # longest wait of a call for the list (`wire/asking.py: longest_wait`)
 RENEWAL_S = subscriber.WAIT / 1000.0  # between the beginnings of two renewals where there is no news
-PAUSE_S = asking.AGAIN / 1000.0  # between two calls for the list
+PAUSE_S = asking.POLL_INTERVAL_MS / 1000.0  # between two calls for the list
 SOURCE_S = source.LOOK / 1000.0  # after which a node has seen a change of its source, at the most
-MOST_LIST_BYTES = float(discovery.MOST_LIST)  # of a list's answer
+MOST_LIST_BYTES = float(discovery.MAX_LIST_BYTES)  # of a list's answer
 DISK_SHARE = 0.5  # of `disk` that live messages fill at most in the segmented store (docs/store.md)
 JOURNAL_SHARE = 0.4  # the same in the one-file journal (`state/journal.py: Journal.limit`)
 
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -157,8 +157,8 @@
             version=None if self.runtime.subscribed else getattr(self.discovery, "version", None),
             current=self.runtime.current,
             renewed=self.renewal.renewed,
-            trust=pool.trust,
-            fastest=[[*key, elapsed] for key, elapsed in pool.fastest.items()],
+            trust=pool.trusted_idle_ms,
+            fastest=[[*key, elapsed] for key, elapsed in pool.fastest_answer_ms.items()],
             drained=stop.drain.began if stop.drain else None,
         )
 
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -3,7 +3,7 @@
 from loguru import logger
 
 from calicopin.state.connections import Budget
-from calicopin.wire.discovery import read
+from calicopin.wire.discovery import decode_list
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
 PATIENCE = 3000.0  # ms of retries: the platform relies on a new configuration 4 s after its signal
@@ -54,7 +54,7 @@
             self.discovery.path = post.partner_file
             self.discovery.take()
         elif post.configured_list != old.configured_list:
-            _, _, places = read(post.configured_list)
+            _, _, places = decode_list(post.configured_list)
             self.runtime.update_list(places, True)
 
     def limit_disk(self, disk):
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -100,8 +100,10 @@
         """Takes over the state that another process handed over."""
         for text in receiver.restore(self.facade, self.journal, self.loop.now()):
             self.notices.owe(text)
-        self.current, self.lines.trust = receiver.snapshot["current"], receiver.snapshot["trust"]
-        self.lines.fastest = {(ident, address): best for ident, address, best in receiver.snapshot["fastest"]}
+        self.current, self.lines.trusted_idle_ms = receiver.snapshot["current"], receiver.snapshot["trust"]
+        self.lines.fastest_answer_ms = {
+            (ident, address): best for ident, address, best in receiver.snapshot["fastest"]
+        }
 
     def lost(self, call):
         """A call whose connection was not handed over; the endpoint may have processed it."""
@@ -234,7 +236,7 @@
             self.stuck, due = 0, self.loop.now()
             self.facade.pause_calls(self.list_deadline is not None)
         while place := self.facade.given_back():
-            self.lines.give_back(place)
+            self.lines.close_idle(place)
         while line := self.facade.said():
             logger.info("{line}", event="decided", line=line)
         waiting, self.waiting = self.waiting, []
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -22,11 +22,10 @@
 from calicopin.system import HERE, patiently
 from calicopin.wire.asking import longest_wait
 from calicopin.wire.clients import Clients
-from calicopin.wire.discovery import Discovery, read
+from calicopin.wire.discovery import Discovery, decode_list
 from calicopin.wire.listfile import ListFile
 from calicopin.wire.loop import Loop
-from calicopin.wire.notices import Lines as NoticeLines
-from calicopin.wire.notices import Notices
+from calicopin.wire.notices import NoticeLog, Notices
 
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
@@ -129,7 +128,7 @@
     sends the whole list.
     """
     try:
-        version, _, places = read(known)
+        version, _, places = decode_list(known)
     except ValueError as fault:
         logger.warning(
             "the list in the configuration is ignored: {fault}", event="discovery.unread", fault=fault
@@ -190,7 +189,7 @@
     )
     notice_address = post.discovery or post.notices
     runtime.notices = (
-        Notices(loop, notice_address, runtime.told) if notice_address else NoticeLines(loop, runtime.told)
+        Notices(loop, notice_address, runtime.told) if notice_address else NoticeLog(loop, runtime.told)
     )
     long_poll_timeout = longest_wait((terms["rules"].get("askWithin") or 10.0) * 1000.0)
     if receiver:
--- a/calicopin/scale/measures.py
+++ b/calicopin/scale/measures.py
@@ -18,7 +18,7 @@
 from calicopin.scale.list_source import ListSize, encode, entries
 from calicopin.state.journal import Journal
 from calicopin.state.texts import Text
-from calicopin.wire.discovery import read
+from calicopin.wire.discovery import decode_list
 
 CHANGES = 15  # single changes that are timed in one process
 WARM_UP = 3  # of them, not counted
@@ -54,7 +54,7 @@
 def places(destinations: int, seed: int) -> list[Place]:
     """A whole list of so many destinations as the list's reader gives it."""
     servers = list(entries(ListSize(destinations), seed))
-    return read({"full": True, "version": 1, "servers": servers})[2]
+    return decode_list({"full": True, "version": 1, "servers": servers})[2]
 
 
 def copies(some: list[Place]) -> list[Place]:
--- a/calicopin/state/connections.py
+++ b/calicopin/state/connections.py
@@ -16,15 +16,16 @@
 class Budget:
     """Divides the file descriptors that the process may hold among calls, endpoints and clients."""
 
-    OWN = 16  # loop, listener, standard streams, journal and its successor, discovery, notices, signals
+    RESERVED = 16  # loop, listener, standard streams, journal and its successor, discovery, notices, signals
 
     def __init__(self, descriptors, slots, admin=False):
         self.admin = max(4, min(16, descriptors // 16)) if admin else 0  # connections to the admin server
-        available = max(2, descriptors - self.OWN - self.admin)
+        available = max(2, descriptors - self.RESERVED - self.admin)
         self.calls = min(slots, max(1, available // 2))  # calls in flight at once
         self.endpoints = min(max(1, available // 2), 4 * self.calls)  # connections to endpoints, idle or not
         self.clients = max(1, min(descriptors // 3, available - self.endpoints))  # clients with a request
-        self.porch = available - self.endpoints - self.clients  # further clients: new, idle or being closed
+        # further clients: new, idle or being closed
+        self.other_clients = available - self.endpoints - self.clients
 
 
 class Lines:
@@ -33,16 +34,16 @@
     Idle connections are kept by endpoint and address, since an address may pass to another endpoint. The one
     used last is taken first; the oldest is closed where room is needed.
 
-    `trust` is how long (ms) a connection may have been idle and still be used, at most `idle_limit`: an
-    endpoint may close an idle connection while the next call is being written to it, and then it is unknown
-    whether that call was executed. A new connection costs less than that.
+    `trusted_idle_ms` is how long (ms) a connection may have been idle and still be used, at most
+    `idle_limit`: an endpoint may close an idle connection while the next call is being written to it, and
+    then it is unknown whether that call was executed. A new connection costs less than that.
     """
 
-    MIN_TRUST_MS = 10.0  # `trust` is not reduced below this
+    MIN_TRUSTED_IDLE_MS = 10.0  # `trusted_idle_ms` is not reduced below this
 
     def __init__(self, most, idle_limit):
         self.most, self.idle_limit, self.idle, self.used, self.listed = most, idle_limit, {}, 0, None
-        self.trust, self.fastest, self.answered_unlisted = idle_limit, {}, set()
+        self.trusted_idle_ms, self.fastest_answer_ms, self.answered_unlisted = idle_limit, {}, set()
 
     @property
     def count(self):
@@ -54,9 +55,9 @@
         """The key under which idle connections to an endpoint are kept."""
         return place.ident, place.address
 
-    def good(self, connection, since, now):
+    def is_usable(self, connection, since, now):
         """Whether a connection that is idle since `since` (ms) may still be used."""
-        return now - since < self.trust and connection.quiet()
+        return now - since < self.trusted_idle_ms and connection.quiet()
 
     def take(self, place, now):
         """A usable idle connection; None where the caller has to open a new one, for which room was made."""
@@ -64,7 +65,7 @@
         idle = self.idle.get(self.key(place), [])
         while idle:
             connection, since = idle.pop()
-            if self.good(connection, since, now):
+            if self.is_usable(connection, since, now):
                 connection.idle_ms = now - since
                 return connection
             close(connection, place.ident, "idle for too long, or closed by the endpoint")
@@ -89,7 +90,7 @@
         if connection:
             close(connection, endpoint, why)
 
-    def give_back(self, place):
+    def close_idle(self, place):
         """Closes the idle connections to an endpoint that may accept only a few from all its callers."""
         for connection, _ in self.idle.pop(self.key(place), ()):
             close(connection, place.ident, "the endpoint may accept only a few connections")
@@ -99,20 +100,22 @@
         connections were already closed when a call was written to them.
         """
         key = self.key(place)
-        self.fastest[key] = min(elapsed, self.fastest.get(key, elapsed))
+        self.fastest_answer_ms[key] = min(elapsed, self.fastest_answer_ms.get(key, elapsed))
         if self.listed is not None and key not in self.listed:
             self.answered_unlisted.add(key)
 
-    def gone(self, place, connection, elapsed):
+    def was_closed_before(self, place, connection, elapsed):
         """Whether a connection that broke under a call had been closed before it: it had been idle, and broke
-        after a shorter time (`elapsed`, ms) than the endpoint's fastest answer. `trust` is then reduced to
-        half the time that it had been idle.
+        after a shorter time (`elapsed`, ms) than the endpoint's fastest answer. `trusted_idle_ms` is then
+        reduced to half the time that it had been idle.
         """
-        closed_while_idle = connection.idle_ms is not None and elapsed < self.fastest.get(
+        closed_while_idle = connection.idle_ms is not None and elapsed < self.fastest_answer_ms.get(
             self.key(place), 0.0
         )
         if closed_while_idle:
-            self.trust = max(self.MIN_TRUST_MS, min(self.trust, connection.idle_ms / 2.0))
+            self.trusted_idle_ms = max(
+                self.MIN_TRUSTED_IDLE_MS, min(self.trusted_idle_ms, connection.idle_ms / 2.0)
+            )
         return closed_while_idle
 
     def list(self, places):
@@ -121,7 +124,9 @@
         for key in [key for key in self.idle if key not in self.listed]:
             for connection, _ in self.idle.pop(key):
                 close(connection, key[0], "its endpoint is no longer listed")
-        self.fastest = {key: elapsed for key, elapsed in self.fastest.items() if key in self.listed}
+        self.fastest_answer_ms = {
+            key: elapsed for key, elapsed in self.fastest_answer_ms.items() if key in self.listed
+        }
         self.answered_unlisted.clear()
 
     def change(self, removed, added):
@@ -132,20 +137,20 @@
         self.listed.difference_update(removed)
         self.listed.update(self.key(place) for place in added)
         for key in (removed | self.answered_unlisted) - self.listed:
-            self.fastest.pop(key, None)
+            self.fastest_answer_ms.pop(key, None)
             for connection, _ in self.idle.pop(key, ()):
                 close(connection, key[0], "its endpoint is no longer listed")
         self.answered_unlisted.clear()
 
     def sweep(self, now):
-        """Closes connections that were idle for too long or that the endpoint closed, and doubles `trust` up
-        to the idle limit.
+        """Closes connections that were idle for too long or that the endpoint closed, and doubles
+        `trusted_idle_ms` up to the idle limit.
         """
-        self.trust = min(self.idle_limit, 2.0 * self.trust)
+        self.trusted_idle_ms = min(self.idle_limit, 2.0 * self.trusted_idle_ms)
         for key, idle in list(self.idle.items()):
             usable = []
             for connection, since in idle:
-                if self.good(connection, since, now):
+                if self.is_usable(connection, since, now):
                     usable.append((connection, since))
                 else:
                     close(connection, key[0], "idle for too long, or closed by the endpoint")
--- a/calicopin/wire/asking.py
+++ b/calicopin/wire/asking.py
@@ -6,7 +6,7 @@
 import zlib
 from itertools import count
 
-AGAIN = 100.0  # between two polls; discovery counts a poll as continued within 200 ms
+POLL_INTERVAL_MS = 100.0  # between two polls; discovery counts a poll as continued within 200 ms
 TOLD = 6000.0  # after which the platform regards a courier as informed of a change, heard or not
 # share of the longest delay: with the duration of a call, the first answer comes within `TOLD`
 FIRST_CALL_SHARE = 0.4
@@ -27,7 +27,7 @@
     return TOLD - wait - 2.0 * grace
 
 
-class Asking:
+class PollSchedule:
     """Backoff with jitter, which protects a discovery that serves few calls at a time from a whole fleet.
 
     Each call is delayed by a random time whose range grows with the number of senders and with each refusal.
@@ -58,7 +58,7 @@
         """A random delay in ms; its range grows with the number of senders and `factor`, up to `max_delay`
         and `pause`.
         """
-        return self.chance() * min(max_delay, self.pause, AGAIN * self.senders * factor)
+        return self.chance() * min(max_delay, self.pause, POLL_INTERVAL_MS * self.senders * factor)
 
     def first(self):
         """The delay of the first call after a start, since a whole fleet may start at once."""
@@ -85,5 +85,5 @@
         return (
             self.draw_delay(2.0 ** min(self.refusals, 16), self.most)
             if self.refusals and not self.pushed
-            else AGAIN
+            else POLL_INTERVAL_MS
         )
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -183,7 +183,7 @@
             and self.loop.now() >= self.cleaned_up_at + MIN_CLEANUP_INTERVAL_MS
         ):
             self.free_descriptors()
-        limit = self.budget.clients + self.budget.porch
+        limit = self.budget.clients + self.budget.other_clients
         if self.open >= limit:  # close one that is idle between requests, however briefly
             client = next((client for client in self.idle if not client.fresh and client.line.quiet()), None)
             if client:
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -8,20 +8,20 @@
 
 from calicopin.facade import Place
 from calicopin.wire.agent import Agent
-from calicopin.wire.asking import Asking, longest_pause
+from calicopin.wire.asking import PollSchedule, longest_pause
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import Until
 
 # to connect, and for an answer beyond the wait of a long poll: the agent is on this machine
-GRACE = 250.0
-FIRST_ANSWER_GRACE_MS = 2.0 * GRACE  # for the first answer after a start, once a call was not answered
+GRACE_MS = 250.0
+FIRST_ANSWER_GRACE_MS = 2.0 * GRACE_MS  # for the first answer after a start, once a call was not answered
 MAX_BACKOFF_EXPONENT = 16  # beyond it `answer_grace` has reached its maximum
-MOST_LIST = 8 << 20
+MAX_LIST_BYTES = 8 << 20
 ENDPOINT_STATES = ("active", "leaving", "left")
 ASK_WITHIN_WAITS = 5.0  # after which the platform regards a polling courier as informed, in waits of a poll
 
 
-def read(data):
+def decode_list(data):
     """Decodes a list: (version, whether it is complete, places); raises ValueError if it is malformed.
 
     A list of changes may hold an endpoint several times; the last entry counts.
@@ -63,8 +63,8 @@
     """Polls the list of endpoints and passes each update to `heard(places, whole)`.
 
     `version` is that of the list known here; with None the complete list is requested. `senders`, `seed` and
-    `pushed` are those of `Asking`; with `spread` the first call is delayed as well. `tried` is true once the
-    first call has ended in any way, `answered` once any call was answered or refused.
+    `pushed` are those of `PollSchedule`; with `spread` the first call is delayed as well. `tried` is true
+    once the first call has ended in any way, `answered` once any call was answered or refused.
     """
 
     def __init__(self, loop, address, version, wait, heard, senders=1, seed=0, spread=False, pushed=False):
@@ -74,7 +74,9 @@
         # consecutive calls without an answer; meanwhile calls do not wait for changes, so that an agent that
         # is back is noticed at once
         self.silent_calls = 0
-        self.asking = Asking(senders, ASK_WITHIN_WAITS * wait, seed, pushed, longest_pause(wait, GRACE))
+        self.poll_schedule = PollSchedule(
+            senders, ASK_WITHIN_WAITS * wait, seed, pushed, longest_pause(wait, GRACE_MS)
+        )
         super().__init__(loop, address)
 
     def move(self, address):
@@ -87,11 +89,11 @@
         self.hang_up()
         if self.spread:
             self.spread = False
-            yield Until(self.loop.now() + self.asking.first())
+            yield Until(self.loop.now() + self.poll_schedule.first())
         while True:
             self.refused = False
             try:
-                until = self.loop.now() + GRACE
+                until = self.loop.now() + GRACE_MS
                 line = yield from self.connect(until)
                 self.refused = not line and self.loop.now() < until
                 update = (yield from self.request_list(line)) if line else None
@@ -111,16 +113,16 @@
             self.silent_calls = self.silent_calls + 1 if update is None and not self.refused else 0
             if update is None:
                 if self.refused:
-                    if not self.asking.refusals:
+                    if not self.poll_schedule.refusals:
                         logger.warning("discovery refuses calls for the list", event="discovery.refused")
-                    self.asking.refused()
+                    self.poll_schedule.refused()
                 else:
-                    self.asking.silent()
-                yield Until(self.loop.now() + self.asking.again())
+                    self.poll_schedule.silent()
+                yield Until(self.loop.now() + self.poll_schedule.again())
                 continue
-            if self.asking.refusals:
+            if self.poll_schedule.refusals:
                 logger.info("discovery answers again", event="discovery.again")
-            self.asking.answered()
+            self.poll_schedule.answered()
             self.logged_fault = None
             version, whole, places = update
             self.heard(places, whole)
@@ -133,11 +135,12 @@
         would never be heard otherwise. The third such call allows as much as a whole poll, which still fits
         into the 6 s of `asking.TOLD`.
         """
-        if self.asking.pushed and not self.answered:  # at a start, where many may start on a busy machine
-            return FIRST_ANSWER_GRACE_MS if self.silent_calls else GRACE
-        if self.asking.pushed or not self.silent_calls:
-            return GRACE
-        return min(self.wait + GRACE, GRACE * 4.0 ** min(self.silent_calls - 1, MAX_BACKOFF_EXPONENT))
+        # at a start, where many may start on a busy machine
+        if self.poll_schedule.pushed and not self.answered:
+            return FIRST_ANSWER_GRACE_MS if self.silent_calls else GRACE_MS
+        if self.poll_schedule.pushed or not self.silent_calls:
+            return GRACE_MS
+        return min(self.wait + GRACE_MS, GRACE_MS * 4.0 ** min(self.silent_calls - 1, MAX_BACKOFF_EXPONENT))
 
     def request_list(self, line):
         """One call: the decoded list, or None if it was not answered with one in time."""
@@ -147,8 +150,8 @@
             target = f"{target}?index={self.version}&wait={wait:.0f}"
         until = self.loop.now() + wait + self.answer_grace()
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        status, body = (yield from line.ask(request, b"", MOST_LIST, until)) or (0, b"")
+        status, body = (yield from line.ask(request, b"", MAX_LIST_BYTES, until)) or (0, b"")
         self.refused = status in (429, 503)
         if body is TOO_LONG:
-            raise ValueError(f"the list is over {MOST_LIST >> 20} MiB")
-        return read(json.loads(body)) if status == 200 else None
+            raise ValueError(f"the list is over {MAX_LIST_BYTES >> 20} MiB")
+        return decode_list(json.loads(body)) if status == 200 else None
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -186,7 +186,7 @@
         if outcome.status == 200 and loop.now() >= call.valid_until:
             outcome = Answer(Far.SENT, gone=True, wait=outcome.wait, load=outcome.load)
     elif outcome.far == Far.SENT and line.ended and not line.unread():
-        outcome.gone = pool.gone(call.place, line, loop.now() - outstanding.began)
+        outcome.gone = pool.was_closed_before(call.place, line, loop.now() - outstanding.began)
     return outcome, complete and line.again() and not line.has_extra_data()
 
 
--- a/calicopin/wire/listfile.py
+++ b/calicopin/wire/listfile.py
@@ -4,7 +4,7 @@
 
 from calicopin.wire.loop import Until
 
-LOOK = 500.0  # ms between two checks of the file
+CHECK_INTERVAL_MS = 500.0  # between two checks of the file
 
 
 class ListFile:
@@ -24,9 +24,9 @@
         self.loop.cancel(self.task)
 
     def watch(self):
-        """A coroutine that checks the file every `LOOK` ms and reads it when it has changed."""
+        """A coroutine that checks the file every `CHECK_INTERVAL_MS` and reads it when it has changed."""
         while True:
-            yield Until(self.loop.now() + LOOK)
+            yield Until(self.loop.now() + CHECK_INTERVAL_MS)
             stamp = self.loop.system.stamp(self.path)
             if stamp != self.stamp and self.take():
                 self.stamp = stamp
--- a/calicopin/wire/notices.py
+++ b/calicopin/wire/notices.py
@@ -26,7 +26,7 @@
     return json.dumps(notice).encode() + b"\n"
 
 
-class Lines:
+class NoticeLog:
     """Replaces `Notices` where no platform is configured: each notice is a log line and counts as sent."""
 
     line, address = None, ""
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -25,7 +25,7 @@
 from calicopin.subscription.nodes import NodeChoice
 from calicopin.subscription.session import Ask, News, Session, Standing
 from calicopin.wire.agent import Agent
-from calicopin.wire.discovery import read
+from calicopin.wire.discovery import decode_list
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import READ, Event, Until
 
@@ -290,7 +290,7 @@
             raise MessageError("answer", f"is over {MAX_ANSWER_BYTES >> 20} MiB")
         answer = decode_answer(reply.body)
         listing = dict(version=answer.version, full=answer.full, servers=answer.servers)
-        _, _, places = read(listing)
+        _, _, places = decode_list(listing)
         return self.session.answered(answer, places)
 
     def _apply(self, news: News) -> None:
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -18,7 +18,7 @@
 from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, STOP_LIMIT_MS
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
 from calicopin.state.connections import Lines
-from calicopin.wire.asking import TOLD, Asking, longest_pause, longest_wait
+from calicopin.wire.asking import TOLD, PollSchedule, longest_pause, longest_wait
 from calicopin.wire.clients import (
     LINGER_MS,
     NEW_CONNECTION_MIN_IDLE_MS,
@@ -26,7 +26,7 @@
     REQUEST_TIMEOUT_MS,
     Clients,
 )
-from calicopin.wire.discovery import GRACE, Discovery
+from calicopin.wire.discovery import GRACE_MS, Discovery
 from calicopin.wire.loop import Loop
 
 # Clients.
@@ -381,14 +381,14 @@
     peer.wait(b"\x00\xff")
     peer.say(answer(200))
     assert first.end().status == 200 and lines.count == 1
-    good = Lines.good
+    is_usable = Lines.is_usable
 
     def crossed(lines, line, since, now):
-        quiet = good(lines, line, since, now)
+        quiet = is_usable(lines, line, since, now)
         peer.say(b"HTTP/1.1 2")
         return quiet
 
-    monkeypatch.setattr(Lines, "good", crossed)
+    monkeypatch.setattr(Lines, "is_usable", crossed)
     exchange = Out(loop, call(listener.address), lines)
     peer.wait(b"\x00\xff")
     peer.say(answer(200))
@@ -405,13 +405,15 @@
     for ask_within in (200.0, 3000.0, 10000.0, 60000.0, 1e7):
         wait = longest_wait(ask_within)
         for senders in (1, 20, 200, 1024):
-            asking = Asking(senders, 5.0 * wait, 1, False, longest_pause(wait, GRACE))
-            asking.chance = lambda: 1.0
+            schedule = PollSchedule(senders, 5.0 * wait, 1, False, longest_pause(wait, GRACE_MS))
+            schedule.chance = lambda: 1.0
             for _ in range(20):
-                assert 0.0 < asking.again() + GRACE + wait + GRACE <= TOLD
-                asking.refused()
-            assert asking.first() <= TOLD - wait - 2.0 * GRACE
-        assert wait + 2.0 * GRACE + 100.0 + 2.0 * GRACE + 100.0 <= TOLD, "a long poll that gets no answer"
+                assert 0.0 < schedule.again() + GRACE_MS + wait + GRACE_MS <= TOLD
+                schedule.refused()
+            assert schedule.first() <= TOLD - wait - 2.0 * GRACE_MS
+        assert wait + 2.0 * GRACE_MS + 100.0 + 2.0 * GRACE_MS + 100.0 <= TOLD, (
+            "a long poll that gets no answer"
+        )
 
 
 def test_a_discovery_agent_that_answers_each_request_late_is_heard_in_time(loop):
@@ -509,21 +511,21 @@
     watch.wait(b"\r\n\r\n")
     idle = [client(courier.loop, courier.listen) for _ in range(250)]
     budget = created[0].budget
-    spin(courier.loop, lambda: created[0].open >= budget.clients + budget.porch)
+    spin(courier.loop, lambda: created[0].open >= budget.clients + budget.other_clients)
     for _ in range(20):
         courier.loop.once(courier.loop.now())
     assert (
-        created[0].open == budget.clients + budget.porch < 250
-        and created[0].open + budget.endpoints + budget.OWN <= 256
+        created[0].open == budget.clients + budget.other_clients < 250
+        and created[0].open + budget.endpoints + budget.RESERVED <= 256
     )
-    courier.loop.now.now += GRACE + 1.0
+    courier.loop.now.now += GRACE_MS + 1.0
     watch.wait_end()
     courier.loop.now.now += 100.0
     again = courier.platform.meet()
     again.wait(b"\r\n\r\n")
     again.say(answer(200, json.dumps(courier.known).encode()))
     spin(courier.loop, lambda: courier.runtime.current)
-    assert created[0].open == budget.clients + budget.porch, "all idle clients are still connected"
+    assert created[0].open == budget.clients + budget.other_clients, "all idle clients are still connected"
     courier.loop.now.now += NEW_CONNECTION_MIN_IDLE_MS
     spin(courier.loop, lambda: created[0].open < budget.clients)
     assert courier.post("a") == b"202"
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -18,7 +18,7 @@
 from calicopin.state.journal import Journal
 from calicopin.system import RETRY_LIMIT_MS, System, patiently
 from calicopin.system_errors import TRANSIENT_FILE_ERRORS
-from calicopin.wire.listfile import LOOK, ListFile
+from calicopin.wire.listfile import CHECK_INTERVAL_MS, ListFile
 from calicopin.wire.loop import AGAIN, Loop
 
 TRANSIENT = [errno.errorcode[code] for code in sorted(TRANSIENT_FILE_ERRORS)]
@@ -176,7 +176,7 @@
     path.unlink()
     path.write_text("newer")
     for _ in range(2):
-        loop.now.now += LOOK
+        loop.now.now += CHECK_INTERVAL_MS
         loop.once(loop.now())
     assert lists == [["newer"]]
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -232,21 +232,24 @@
     pool.answered(place("s-1"), 40.0)
     connection.idle_ms = 200.0
     assert (
-        not pool.gone(place("s-1"), connection, 41.0)
-        and not pool.gone(place("s-2"), connection, 1.0)
-        and pool.trust == 8000.0
+        not pool.was_closed_before(place("s-1"), connection, 41.0)
+        and not pool.was_closed_before(place("s-2"), connection, 1.0)
+        and pool.trusted_idle_ms == 8000.0
     )
-    assert pool.gone(place("s-1"), connection, 1.0) and pool.trust == 100.0
+    assert pool.was_closed_before(place("s-1"), connection, 1.0) and pool.trusted_idle_ms == 100.0
     pool.take(place("s-1"), 0.0)
     pool.keep(place("s-1"), connection, 0.0)
     assert pool.take(place("s-1"), 101.0) is None and connection.closed
     for _ in range(8):
         pool.sweep(0.0)
-    assert pool.trust == 8000.0
+    assert pool.trusted_idle_ms == 8000.0
     connection.idle_ms = 0.0
-    assert pool.gone(place("s-1"), connection, 1.0) and pool.trust == Lines.MIN_TRUST_MS
+    assert (
+        pool.was_closed_before(place("s-1"), connection, 1.0)
+        and pool.trusted_idle_ms == Lines.MIN_TRUSTED_IDLE_MS
+    )
     pool.list([place("s-2")])
-    assert not pool.fastest
+    assert not pool.fastest_answer_ms
 
 
 def test_ids_of_ended_texts_are_kept_for_the_retention_period():
@@ -263,7 +266,7 @@
 @pytest.mark.parametrize("descriptors", [24, 64, 256, 1024, 4096])
 def test_the_descriptor_budget_is_not_exceeded(descriptors):
     budget = Budget(descriptors, 40)
-    assert budget.endpoints + budget.clients + budget.porch + Budget.OWN <= descriptors
+    assert budget.endpoints + budget.clients + budget.other_clients + Budget.RESERVED <= descriptors
     assert budget.clients <= max(1, descriptors // 3) and budget.calls <= budget.endpoints
     assert min(budget.calls, budget.clients) >= 1
 
@@ -342,6 +345,6 @@
     for name, connection in (("a", closed_early), ("b", other)):
         assert pool.take(place(name), 0.0) is None
         pool.keep(place(name), connection, 0.0)
-    pool.give_back(place("a"))
-    pool.give_back(place("never called"))
+    pool.close_idle(place("a"))
+    pool.close_idle(place("never called"))
     assert closed_early.closed and not other.closed and pool.count == 1
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -11,7 +11,7 @@
 from calicopin.configuration.read import read
 from calicopin.lifecycle.renewal import Renewal
 from calicopin.lifecycle.start import posted
-from calicopin.wire.listfile import LOOK, ListFile
+from calicopin.wire.listfile import CHECK_INTERVAL_MS, ListFile
 from calicopin.wire.loop import Loop
 
 
@@ -142,7 +142,7 @@
         )
         assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
     (tmp_path / "list.toml").write_bytes(partner_list(1))
-    loop.now.now += LOOK + 1.0
+    loop.now.now += CHECK_INTERVAL_MS + 1.0
     spin(loop, lambda: len(runtime.facade.places) == 1)
     for _ in range(200):
         loop.now.now += 20.0
--- a/tests/test_wire_calls.py
+++ b/tests/test_wire_calls.py
@@ -69,10 +69,10 @@
         if gone is None:
             peer.say(answer(200))
             assert out.end().status == 200
-            loop.now.now += 700.0 if lines.trust > 1000.0 else 300.0
+            loop.now.now += 700.0 if lines.trusted_idle_ms > 1000.0 else 300.0
         else:
             peer.sock.close()
-            assert (out.end().far, out.answer.gone) == (Far.SENT, gone) and lines.trust == 350.0
+            assert (out.end().far, out.answer.gone) == (Far.SENT, gone) and lines.trusted_idle_ms == 350.0
     assert not lines.take(call(listener.address).place, loop.now())
 
 
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from calicopin.state.texts import Text
-from calicopin.wire.asking import Asking
+from calicopin.wire.asking import PollSchedule
 from calicopin.wire.discovery import Discovery
 from calicopin.wire.loop import Loop
 from calicopin.wire.notices import RECONNECT_INTERVAL_MS, Notices
@@ -19,14 +19,14 @@
 def test_an_exception_in_polling_closes_the_connection(loop, monkeypatch):
     """Restarted on the old connection in the middle of an exchange, polling would fail again for ever."""
     listener, received = Listener(loop), []
-    monkeypatch.setattr("calicopin.wire.discovery.read", None)
+    monkeypatch.setattr("calicopin.wire.discovery.decode_list", None)
     Discovery(loop, listener.address, 41, 5000.0, lambda places, whole: received.append(whole))
     whole = answer(200, b'{"version":42,"full":true,"servers":[]}')
     first = listener.meet()
     first.wait(b"\r\n\r\n")
     first.say(whole)
     spin(loop, lambda: loop.due and loop.due[0][0] == loop.now() + 100.0)
-    monkeypatch.setattr("calicopin.wire.discovery.read", lambda data: (42, True, []))
+    monkeypatch.setattr("calicopin.wire.discovery.decode_list", lambda data: (42, True, []))
     loop.now.now += 100.0
     second = listener.meet()
     first.wait_end()
@@ -57,7 +57,7 @@
     Discovery handles one call at a time, `work` ms each, including calls it has refused meanwhile. It queues
     `queue_limit` calls and refuses those it does not reach within `client_timeout` ms. Parked polls are free.
     """
-    schedules = [Asking(couriers, most, seed) for seed in range(couriers)]
+    schedules = [PollSchedule(couriers, most, seed) for seed in range(couriers)]
     calls = [(schedule.first(), number) for number, schedule in enumerate(schedules)]
     heapq.heapify(calls)
     free, served_at = 0.0, {}
@@ -93,11 +93,11 @@
 
 
 def test_delays_between_polls_grow_with_the_sender_count_and_refusals_and_shrink_with_silence():
-    schedule = Asking(40, 5000.0, 1)
+    schedule = PollSchedule(40, 5000.0, 1)
     assert schedule.again() == 100.0, "polling continues at once"
-    firsts = sorted(Asking(40, 10000.0, seed).first() for seed in range(400))
+    firsts = sorted(PollSchedule(40, 10000.0, seed).first() for seed in range(400))
     assert firsts[0] < 100.0 and 1900.0 < firsts[200] < 2100.0 and 3900.0 < firsts[-1] <= 4000.0
-    many = max(Asking(1024, 10000.0, seed).first() for seed in range(400))
+    many = max(PollSchedule(1024, 10000.0, seed).first() for seed in range(400))
     assert 3900.0 < many <= 4000.0, (
         "with the 2 s of a call it is answered within the 6 s after which couriers count as informed"
     )
@@ -108,7 +108,7 @@
     assert schedule.again() != 100.0
     schedule.silent()
     assert schedule.again() == 100.0
-    alone = Asking(1, 5000.0, 1)
+    alone = PollSchedule(1, 5000.0, 1)
     alone.refused()
     assert max(alone.again() for _ in range(400)) <= 200.0, "few couriers need no spread"
 
@@ -116,7 +116,7 @@
 def test_an_agent_that_has_the_list_is_polled_without_delay_at_any_sender_count():
     """Its list counts as known from the start; a random delay for 186 senders took up to 10 s."""
     for senders in (1, 3, 230, 1024):
-        schedule = Asking(senders, 10000.0, 1, pushed=True)
+        schedule = PollSchedule(senders, 10000.0, 1, pushed=True)
         assert schedule.first() == 0.0
         schedule.refused()
         schedule.refused()
@@ -140,8 +140,8 @@
         assert b"index=41&wait=2000" in peer.wait(b"\r\n\r\n")
         assert next_due() - loop.now() == 2250.0
         peer.say(answer(503))
-        refusals = discovery.asking.refusals
-        spin(loop, lambda before=refusals: discovery.asking.refusals == before + 1)
+        refusals = discovery.poll_schedule.refusals
+        spin(loop, lambda before=refusals: discovery.poll_schedule.refusals == before + 1)
 
 
 def test_polling_continues_after_broken_malformed_and_missing_answers(loop):
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -82,7 +82,7 @@
 
 def clients(loop, most=10):
     address, budget = free_address(), Budget(256, 8)
-    budget.clients, budget.porch = most, 1
+    budget.clients, budget.other_clients = most, 1
     return Clients(loop, address, {"notice": 0, "order": 1}, budget, Acceptor(loop)), address
 
 
