--- a/calicopin/handover/taker.py
+++ b/calicopin/handover/receiver.py
@@ -9,10 +9,10 @@
 import h11
 from loguru import logger
 
-from calicopin.handover.meeting import Channel, HandoverError
+from calicopin.handover.channel import Channel, HandoverError
 from calicopin.handover.state import FORM, restore
-from calicopin.wire.clients import Visit
-from calicopin.wire.endpoints import Flight
+from calicopin.wire.clients import ClientConnection
+from calicopin.wire.endpoints import OutstandingCall
 from calicopin.wire.http import Line
 
 ANSWER_TIMEOUT_S = 3.0  # longer than the other process's own time-out
@@ -24,26 +24,26 @@
     """A stop signal came before this process had taken anything over."""
 
 
-class Taker:
-    """Receives a handover. `told` is the state sent by the other process; nothing of it takes effect before
-    `take`.
+class HandoverReceiver:
+    """Receives a handover. `snapshot` is the state sent by the other process; nothing of it takes effect
+    before `complete`.
     """
 
-    def __init__(self, channel, told):
-        self.channel, self.told = channel, told
+    def __init__(self, channel, snapshot):
+        self.channel, self.snapshot = channel, snapshot
 
     @property
-    def flying(self):
+    def in_flight_ids(self):
         """Ids of texts whose calls are in flight."""
-        return {ident for call in self.told["calls"] for ident in call["open"]}
+        return {ident for call in self.snapshot["calls"] for ident in call["open"]}
 
-    def read(self, facade, journal, now):
+    def restore(self, facade, journal, now):
         """Restores the decisions into `facade`; returns the texts that only wait for a notice."""
         live = [text for text in journal.texts.values() if text.verdict is None]
-        self.calls = restore(facade, self.told, live, now)
+        self.calls = restore(facade, self.snapshot, live, now)
         return [text for text in journal.texts.values() if text.verdict is not None]
 
-    def take(self, loop, runtime, clients):
+    def complete(self, loop, runtime, clients):
         """Completes the handover: from here on this process decides.
 
         Returns the descriptor of the folder's lock. Raises HandoverError if the handover fails before that.
@@ -56,7 +56,7 @@
             fds[0],
             {"call": self.resume_call, "client": self.adopt_client, "idle": self.adopt_idle_connection},
         )
-        self.flights = dict(enumerate(self.calls))
+        self.outstanding_calls = dict(enumerate(self.calls))
         try:
             while True:
                 message, fds = self.channel.receive()
@@ -68,27 +68,33 @@
             logger.warning(
                 "the other process broke off the handover: {fault}", event="handover.broken", fault=fault
             )
-        for call in self.flights.values():
+        for call in self.outstanding_calls.values():
             runtime.lost(call)
         return lock
 
     def resume_call(self, loop, runtime, clients, connection, sock):
         """Resumes a call in flight with its connection and the bytes received on it."""
-        number, call = connection["call"], self.flights.pop(connection["call"])
+        number, call = connection["call"], self.outstanding_calls.pop(connection["call"])
         # older versions end the texts of a shared call one by one; here the first of them ends the call
-        deadlines = [end_at for end_at, shared_call, _ in self.told.get("due", ()) if shared_call == number]
-        flight = Flight(call, min([self.told["until"][number], *deadlines]))
-        flight.began = self.told["began"][number]
-        runtime.go_on(flight, Line(loop, sock, h11.CLIENT), base64.b64decode(connection["heard"]))
+        deadlines = [
+            end_at for end_at, shared_call, _ in self.snapshot.get("due", ()) if shared_call == number
+        ]
+        outstanding = OutstandingCall(call, min([self.snapshot["until"][number], *deadlines]))
+        outstanding.began = self.snapshot["began"][number]
+        runtime.adopt_call(outstanding, Line(loop, sock, h11.CLIENT), base64.b64decode(connection["heard"]))
 
     def adopt_client(self, loop, runtime, clients, connection, sock):
         """Goes on serving a client's connection with the bytes received of its request."""
         line = Line(loop, sock, h11.SERVER)
         if connection["heard"]:
-            line.hear(base64.b64decode(connection["heard"]))
-        visit = Visit(line, loop.now())
-        visit.fresh, visit.since, visit.until = connection["fresh"], connection["since"], connection["until"]
-        clients.receive(visit)
+            line.feed(base64.b64decode(connection["heard"]))
+        client = ClientConnection(line, loop.now())
+        client.fresh, client.since, client.until = (
+            connection["fresh"],
+            connection["since"],
+            connection["until"],
+        )
+        clients.receive(client)
 
     def adopt_idle_connection(self, loop, runtime, clients, connection, sock):
         """Adds an idle connection to an endpoint to the pool, with the time since which it has been idle."""
@@ -97,9 +103,9 @@
         )
 
 
-def begin(place, folder, signal_reader, system):
-    """(the folder's lock, None) once no other process holds it, or (None, a Taker) once the process that
-    holds it has sent its state. Raises StoppedError if a stop signal comes first.
+def begin(handover_socket, folder, signal_reader, system):
+    """(the folder's lock, None) once no other process holds it, or (None, a HandoverReceiver) once the
+    process that holds it has sent its state. Raises StoppedError if a stop signal comes first.
     """
     logged_at = -LOG_INTERVAL_S
     while True:
@@ -107,9 +113,9 @@
             return system.lock(folder), None
         except BlockingIOError:
             pass
-        taker = request_handover(place)
-        if taker:
-            return None, taker
+        receiver = request_handover(handover_socket)
+        if receiver:
+            return None, receiver
         if time.monotonic() >= logged_at + LOG_INTERVAL_S:
             logger.info(
                 "another process holds the folder and offers no handover yet; waiting",
@@ -121,10 +127,10 @@
         time.sleep(POLL_INTERVAL_S)
 
 
-def request_handover(place):
-    """A Taker with the state of the serving process; None if there is none or it refuses now."""
+def request_handover(handover_socket):
+    """A HandoverReceiver with the state of the serving process; None if there is none or it refuses now."""
     try:
-        sock = place.connect()
+        sock = handover_socket.connect()
     except OSError:
         return None
     channel = Channel(sock, ANSWER_TIMEOUT_S)
@@ -133,7 +139,7 @@
         sent_state, _ = channel.receive()
         if sent_state.get("form") != FORM:
             raise HandoverError(f"the other process uses form {sent_state.get('form')!r}, this one {FORM}")
-        return Taker(channel, sent_state)
+        return HandoverReceiver(channel, sent_state)
     except OSError as fault:
         logger.warning("handover not possible: {fault}", event="handover.refused", fault=fault)
         channel.close()
--- a/calicopin/scale/measures.py
+++ b/calicopin/scale/measures.py
@@ -18,7 +18,7 @@
 from calicopin.scale.list_source import ListSize, encode, entries
 from calicopin.state.journal import Journal
 from calicopin.state.texts import Text
-from calicopin.wire.discovery import read
+from calicopin.wire.discovery import decode_list
 
 TIMED_CHANGES = 15  # single changes timed in one process
 WARM_UP_CHANGES = 3  # additional changes at the start, not counted
@@ -56,7 +56,7 @@
 def places(destinations: int, seed: int) -> list[Place]:
     """A whole list of this many destinations, as parsed by the discovery reader."""
     servers = list(entries(ListSize(destinations), seed))
-    return read({"full": True, "version": 1, "servers": servers})[2]
+    return decode_list({"full": True, "version": 1, "servers": servers})[2]
 
 
 def copy_places(originals: list[Place]) -> list[Place]:
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -25,7 +25,7 @@
 from calicopin.subscription.nodes import NodeChoice
 from calicopin.subscription.session import AnswerContent, OutgoingRequest, Session, Standing
 from calicopin.wire.agent import Agent
-from calicopin.wire.discovery import read
+from calicopin.wire.discovery import decode_list
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import READ, Event, Until
 
@@ -153,7 +153,7 @@
             self.session.resyncs,
             self.nodes.switches,
             self._sent,
-            self._received + (len(self.line.heard) if self.line else 0),
+            self._received + (len(self.line.received) if self.line else 0),
         )
 
     def move(self, nodes: list[str]) -> None:
@@ -292,7 +292,7 @@
             raise MessageError("answer", f"is over {MAX_ANSWER_BYTES >> 20} MiB")
         answer = decode_answer(reply.body)
         listing = dict(version=answer.version, full=answer.full, servers=answer.servers)
-        _, _, places = read(listing)
+        _, _, places = decode_list(listing)
         return self.session.answered(answer, places)
 
     def _apply(self, news: AnswerContent) -> None:
@@ -347,8 +347,8 @@
 
     def _count_received(self) -> None:
         """Adds up the bytes received on the connection since the last count."""
-        self._received += len(self.line.heard)
-        self.line.heard.clear()
+        self._received += len(self.line.received)
+        self.line.received.clear()
 
     def hang_up(self) -> None:
         """Closes the connection."""
