--- a/calicopin/admin/server.py
+++ b/calicopin/admin/server.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from calicopin.system import patiently
-from calicopin.wire.http import TOO_LONG, Line, accept_next
+from calicopin.wire.http import TOO_LONG, Connection, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
 READ_TIMEOUT_MS = 2000.0  # for a whole call; callers expect the answer to a complete one within 1 s
@@ -50,7 +50,7 @@
                     break
                 if len(self.connections) >= self.max_connections:
                     self.drop(next(iter(self.connections)))
-                connection = Line(self.loop, sock, h11.SERVER)
+                connection = Connection(self.loop, sock, h11.SERVER)
                 self.connections[connection] = self.loop.spawn(self.serve(connection), ahead=True)
             else:
                 yield Until(self.loop.now())
@@ -128,4 +128,4 @@
         except h11.LocalProtocolError:  # h11 permits no answer, as after bytes that are not HTTP
             return
         if (yield from connection.write(answer, until)) == len(answer):
-            yield from connection.linger(self.loop.now() + LINGER_TIMEOUT_MS)
+            yield from connection.lingering_close(self.loop.now() + LINGER_TIMEOUT_MS)
--- a/calicopin/discovery_node/server.py
+++ b/calicopin/discovery_node/server.py
@@ -38,7 +38,7 @@
     decode_request,
     encode_answer,
 )
-from calicopin.wire.http import TOO_LONG, Line, accept_next
+from calicopin.wire.http import TOO_LONG, Connection, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Loop, Until
 
 TARGETS_PATH = b"/api/targets"
@@ -74,7 +74,7 @@
 class ParkedRequest:
     """A waiting long-poll request."""
 
-    line: Line
+    connection: Connection
     event: Event
     woken: bool = False
     superseded: bool = False
@@ -85,13 +85,13 @@
         self.event.set()
 
 
-class Connection:
+class CourierConnection:
     """A connection from a courier."""
 
     __slots__ = ("line", "task", "idle")
 
-    def __init__(self, line: Line):
-        self.line, self.task, self.idle = line, None, False
+    def __init__(self, connection: Connection):
+        self.line, self.task, self.idle = connection, None, False
 
 
 class NodeServer:
@@ -103,7 +103,7 @@
         self.upstream: Upstream | None = None  # set if the source is a copy of another node's
         self.max_body_bytes = REQUEST_BASE_BYTES + REQUEST_BYTES_PER_DESTINATION * table.bounds.destinations
         self.max_wait_ms = table.bounds.lease_ms / 2.0
-        self.connections: dict[Connection, None] = {}
+        self.connections: dict[CourierConnection, None] = {}
         self.parked: dict[str, ParkedRequest] = {}
         self.refused: Counter[Reason] = Counter()
         self.reserved_body_bytes = 0  # maximum total size of the bodies being read
@@ -144,11 +144,14 @@
         """Answers all parked requests, with one shared response as there may be thousands, and closes idle
         connections."""
         refusal = self._not_ready_refusal()
-        data, waiting = encode_refusal_response(refusal), {parked.line for parked in self.parked.values()}
+        data, waiting = (
+            encode_refusal_response(refusal),
+            {parked.connection for parked in self.parked.values()},
+        )
         self.refused[refusal.reason] += len(waiting)
         for connection in list(self.connections):
             if connection.line in waiting:
-                connection.line.part(data)
+                connection.line.finish_without_waiting(data)
             if connection.idle or connection.line in waiting:
                 self._close_connection(connection)
 
@@ -170,37 +173,39 @@
             sock = accept_next(self.listener)
             if sock is None:
                 return False
-            self._admit(Line(self.loop, sock, h11.SERVER))
+            self._admit(Connection(self.loop, sock, h11.SERVER))
         return True
 
-    def _admit(self, line: Line) -> None:
+    def _admit(self, line: Connection) -> None:
         """Serves the connection. At the connection limit the longest idle one is closed; if none is idle, the
         new one is rejected."""
         if len(self.connections) >= self.bounds.connections:
-            idle = next((other for other in self.connections if other.idle and other.line.quiet()), None)
+            idle = next(
+                (other for other in self.connections if other.idle and other.line.open_without_data()), None
+            )
             if idle is not None:
                 self._close_connection(idle)
-        connection = Connection(line)
+        connection = CourierConnection(line)
         if len(self.connections) < self.bounds.connections:
             self.connections[connection] = None
             connection.task = self.loop.spawn(self._serve(connection))
             return
         self._reject_connection(line)
 
-    def _reject_connection(self, line: Line) -> None:
+    def _reject_connection(self, connection: Connection) -> None:
         """Refuses the connection without reading from it or starting a coroutine."""
         refusal = Refusal(Reason.TOO_MANY, "no room for another connection", OVERLOAD_RETRY_MS)
         self._log_refusal(refusal)
-        line.part(encode_refusal_response(refusal))
-        line.close()
+        connection.finish_without_waiting(encode_refusal_response(refusal))
+        connection.close()
 
-    def _close_connection(self, connection: Connection) -> None:
+    def _close_connection(self, connection: CourierConnection) -> None:
         """Closes the connection here too: a coroutine cancelled before its first step runs no `finally`."""
         self.connections.pop(connection, None)
         self.loop.cancel(connection.task)
         connection.line.close()
 
-    def _serve(self, connection: Connection) -> Iterator[Until]:
+    def _serve(self, connection: CourierConnection) -> Iterator[Until]:
         line = connection.line
         try:
             more = True
@@ -208,13 +213,13 @@
                 more = yield from self._exchange(connection)
                 # a client that sends requests without a pause must not block the others
                 yield Until(self.loop.now())
-            if not line.ended and line.h11.our_state is not h11.IDLE:
-                yield from line.linger(self.loop.now() + LAST_ANSWER_READ_MS)
+            if not line.at_eof and line.h11.our_state is not h11.IDLE:
+                yield from line.lingering_close(self.loop.now() + LAST_ANSWER_READ_MS)
         finally:
             self.connections.pop(connection, None)
             line.close()
 
-    def _exchange(self, connection: Connection) -> Iterator[Until]:
+    def _exchange(self, connection: CourierConnection) -> Iterator[Until]:
         """Handles one request. Returns False if the connection ends."""
         line = connection.line
         if not (yield from self._wait_for_request(connection)):
@@ -228,13 +233,13 @@
             return False
         return (yield from self._send_reply(line, reply))
 
-    def _wait_for_request(self, connection: Connection) -> Iterator[Until]:
+    def _wait_for_request(self, connection: CourierConnection) -> Iterator[Until]:
         """Waits for a request. Returns False if the idle time-out passes or the connection ends."""
         line = connection.line
         if self.stopping:
             return False
-        if line.unread() or line.peek() is not None:
-            return not line.left() or bool(line.unread())
+        if line.unparsed() or line.peek() is not None:
+            return not line.peer_closed() or bool(line.unparsed())
         connection.idle = True
         del self.connections[connection]  # keeps the longest idle connection first
         self.connections[connection] = None
@@ -243,15 +248,15 @@
         return readable
 
     @staticmethod
-    def _head_error_reply(line: Line, head) -> Reply | None:
+    def _head_error_reply(connection: Connection, head) -> Reply | None:
         """The reply if a request head is incomplete or invalid, else None."""
-        if head is None and line.unread():
+        if head is None and connection.unparsed():
             return unreadable_reply("a head that does not come", 408)
         if isinstance(head, h11.RemoteProtocolError):
             return unreadable_reply(str(head), head.error_status_hint or 400)
         return None
 
-    def _read_request(self, line: Line, head: h11.Request, until: float) -> Iterator[Until]:
+    def _read_request(self, connection: Connection, head: h11.Request, until: float) -> Iterator[Until]:
         """Reads the body and returns the reply; None if the client has left."""
         lengths = dict(head.headers)
         if b"content-length" in lengths and b"transfer-encoding" in lengths:
@@ -265,18 +270,18 @@
             return refusal_reply(Refusal(Reason.TOO_MANY, message, OVERLOAD_RETRY_MS), last=True)
         self.reserved_body_bytes += expected
         try:
-            body = yield from line.body(self.max_body_bytes, until)
+            body = yield from connection.body(self.max_body_bytes, until)
         finally:
             self.reserved_body_bytes -= expected
         if body is TOO_LONG:
             return self._too_large_reply()
         if body is None:
-            return self._body_error_reply(line, until)
-        return (yield from self._route(line, head, body))
+            return self._body_error_reply(connection, until)
+        return (yield from self._route(connection, head, body))
 
-    def _body_error_reply(self, line: Line, until: float) -> Reply | None:
+    def _body_error_reply(self, connection: Connection, until: float) -> Reply | None:
         """The reply to an incomplete or invalid body; None if the client has left."""
-        if line.ended:
+        if connection.at_eof:
             return None
         if self.loop.now() >= until:
             return unreadable_reply("a body that does not come", 408)
@@ -285,7 +290,7 @@
     def _too_large_reply(self) -> Reply:
         return refusal_reply(Refusal(Reason.TOO_LARGE, f"a body over {self.max_body_bytes} bytes"), last=True)
 
-    def _route(self, line: Line, head: h11.Request, body: bytes) -> Iterator[Until]:
+    def _route(self, connection: Connection, head: h11.Request, body: bytes) -> Iterator[Until]:
         path = head.target.partition(b"?")[0]
         methods = {TARGETS_PATH: b"POST", LOG_TARGET: b"GET", STATUS_PATH: b"GET", READY_PATH: b"GET"}
         if path not in methods:
@@ -300,7 +305,7 @@
             return self._not_ready_reply()
         if path == LOG_TARGET:
             return self._log_chunk_reply(head.target)
-        return (yield from self._subscribe(line, head.target, body))
+        return (yield from self._subscribe(connection, head.target, body))
 
     def _log_chunk_reply(self, target: bytes) -> Reply:
         """A chunk of the source file for a node that uses this one as its upstream."""
@@ -313,33 +318,33 @@
 
     # Subscriptions.
 
-    def _subscribe(self, line: Line, target: bytes, body: bytes) -> Iterator[Until]:
+    def _subscribe(self, connection: Connection, target: bytes, body: bytes) -> Iterator[Until]:
         try:
             poll = read_poll(target, self.max_wait_ms)
             request = decode_request(body)
         except MessageError as fault:
             return unreadable_reply(str(fault), last=False)
-        if line.left():  # the answer would be lost but count as sent
+        if connection.peer_closed():  # the answer would be lost but count as sent
             return None
-        return (yield from self._decide(line, request, poll))
+        return (yield from self._decide(connection, request, poll))
 
-    def _decide(self, line: Line, request: SubscribeRequest, poll: Poll) -> Iterator[Until]:
+    def _decide(self, connection: Connection, request: SubscribeRequest, poll: Poll) -> Iterator[Until]:
         if request.lease in self.parked:
             self._supersede(request.lease)
         decision = self.table.request(self.loop.now(), request, poll.index)
         self._wake_ended()
         if isinstance(decision, Wait):
-            return (yield from self._park(line, decision.lease, poll.wait))
+            return (yield from self._park(connection, decision.lease, poll.wait))
         return (yield from self._build_reply(decision))
 
-    def _park(self, line: Line, lease: str, wait: float) -> Iterator[Until]:
+    def _park(self, connection: Connection, lease: str, wait: float) -> Iterator[Until]:
         """Waits for a change of the lease; None if the client leaves meanwhile."""
         if wait > 0.0 and len(self.parked) >= self.bounds.parked:
             message = "no room for another request that waits"
             return refusal_reply(Refusal(Reason.TOO_MANY, message, OVERLOAD_RETRY_MS))
-        parked = self.parked[lease] = ParkedRequest(line, Event(self.loop))
+        parked = self.parked[lease] = ParkedRequest(connection, Event(self.loop))
         try:
-            answerable = yield from self._wait_parked(line, parked, self.loop.now() + wait)
+            answerable = yield from self._wait_parked(connection, parked, self.loop.now() + wait)
         finally:
             if self.parked.get(lease) is parked:
                 del self.parked[lease]
@@ -350,13 +355,13 @@
         )
         return (yield from self._build_reply(update))
 
-    def _wait_parked(self, line: Line, parked: ParkedRequest, until: float) -> Iterator[Until]:
+    def _wait_parked(self, connection: Connection, parked: ParkedRequest, until: float) -> Iterator[Until]:
         """Waits until the request is woken or times out. Returns False if the client leaves before."""
-        descriptor = line.sock.fileno()
+        descriptor = connection.sock.fileno()
         while not parked.woken:
             if not (yield Until(until, descriptor, READ, parked.event)):
                 break
-            if not parked.woken and line.left():
+            if not parked.woken and connection.peer_closed():
                 return False
             descriptor = -1  # a pipelined request is already readable: it is served after this answer
         return True
@@ -432,7 +437,7 @@
 
     # Answers.
 
-    def _send_reply(self, line: Line, reply: Reply) -> Iterator[Until]:
+    def _send_reply(self, connection: Connection, reply: Reply) -> Iterator[Until]:
         """Sends the reply. Returns whether the connection can serve another request."""
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(reply.body)))]
         if reply.refusal:
@@ -440,13 +445,13 @@
             if reply.refusal.retry_ms:
                 headers.append(("Retry-After", str(retry_seconds(reply.refusal))))
         if reply.last or self.stopping:
-            headers.append(("Connection", "close"))
+            headers.append(("CourierConnection", "close"))
         try:
-            data = line.encode(h11.Response(status_code=reply.status, headers=headers), reply.body)
+            data = connection.encode(h11.Response(status_code=reply.status, headers=headers), reply.body)
         except h11.LocalProtocolError:  # the client did not use HTTP, or has left
             return False
-        done = yield from line.write(data, self.loop.now() + REQUEST_TIMEOUT_MS)
-        return done == len(data) and line.again()
+        done = yield from connection.write(data, self.loop.now() + REQUEST_TIMEOUT_MS)
+        return done == len(data) and connection.prepare_next_message()
 
     def _log_refusal(self, refusal: Refusal) -> None:
         """Counts the refusal, and logs at most one line per REFUSAL_LOG_INTERVAL_MS."""
--- a/calicopin/discovery_node/upstream.py
+++ b/calicopin/discovery_node/upstream.py
@@ -72,16 +72,18 @@
     def _request_chunk(self) -> Iterator[Until]:
         """The next chunk, or None if the request failed."""
         until = self.loop.now() + ANSWER_TIMEOUT_MS
-        line = yield from self.connect(until)
-        if not line:
+        connection = yield from self.connect(until)
+        if not connection:
             return None
         target = f"{LOG_PATH}?offset={self._offset}"
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        status, body = (yield from line.ask(request, b"", LOG_CHUNK_BYTES + MAX_IDENTITY_BYTES, until)) or (
+        status, body = (
+            yield from connection.exchange(request, b"", LOG_CHUNK_BYTES + MAX_IDENTITY_BYTES, until)
+        ) or (
             0,
             b"",
         )
-        if not (status and line.again()):
+        if not (status and connection.prepare_next_message()):
             self.hang_up()
         return body if status == 200 else None
 
--- a/calicopin/handover/receiver.py
+++ b/calicopin/handover/receiver.py
@@ -13,7 +13,7 @@
 from calicopin.handover.state import FORM, restore
 from calicopin.wire.clients import ClientConnection
 from calicopin.wire.endpoints import OutstandingCall
-from calicopin.wire.http import Line
+from calicopin.wire.http import Connection
 
 ANSWER_TIMEOUT_S = 3.0  # longer than the other process's own time-out
 POLL_INTERVAL_S = 0.05
@@ -81,11 +81,13 @@
         ]
         outstanding = OutstandingCall(call, min([self.snapshot["until"][number], *deadlines]))
         outstanding.began = self.snapshot["began"][number]
-        runtime.adopt_call(outstanding, Line(loop, sock, h11.CLIENT), base64.b64decode(connection["heard"]))
+        runtime.adopt_call(
+            outstanding, Connection(loop, sock, h11.CLIENT), base64.b64decode(connection["heard"])
+        )
 
     def adopt_client(self, loop, runtime, clients, connection, sock):
         """Goes on serving a client's connection with the bytes received of its request."""
-        line = Line(loop, sock, h11.SERVER)
+        line = Connection(loop, sock, h11.SERVER)
         if connection["heard"]:
             line.feed(base64.b64decode(connection["heard"]))
         client = ClientConnection(line, loop.now())
@@ -99,7 +101,7 @@
     def adopt_idle_connection(self, loop, runtime, clients, connection, sock):
         """Adds an idle connection to an endpoint to the pool, with the time since which it has been idle."""
         runtime.lines.idle.setdefault(tuple(connection["shelf"]), []).append(
-            (Line(loop, sock, h11.CLIENT), connection["since"])
+            (Connection(loop, sock, h11.CLIENT), connection["since"])
         )
 
 
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -169,7 +169,11 @@
         for number, outstanding in enumerate(outstanding_calls):
             outstanding.handed_over = True
             connections.append(
-                ("call", dict(call=number, heard=encode_base64(outstanding.line.received)), outstanding.line)
+                (
+                    "call",
+                    dict(call=number, heard=encode_base64(outstanding.connection.received)),
+                    outstanding.connection,
+                )
             )
             self.loop.cancel(outstanding.task)
         for outstanding in list(
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -351,12 +351,12 @@
         )
         return True
 
-    def adopt_call(self, outstanding, line, received):
+    def adopt_call(self, outstanding, connection, received):
         """Continues a call that another process began, with the bytes `received` so far."""
         self.spawn_call(
             outstanding,
             lambda on_written, report: resume_call(
-                self.loop, self.lines, outstanding, line, received, report
+                self.loop, self.lines, outstanding, connection, received, report
             ),
         )
 
--- a/calicopin/state/connections.py
+++ b/calicopin/state/connections.py
@@ -57,7 +57,7 @@
 
     def is_usable(self, connection, since, now):
         """Whether a connection that is idle since `since` (ms) may still be used."""
-        return now - since < self.trusted_idle_ms and connection.quiet()
+        return now - since < self.trusted_idle_ms and connection.open_without_data()
 
     def take(self, place, now):
         """A usable idle connection; None where the caller has to open a new one, for which room was made."""
--- a/calicopin/wire/agent.py
+++ b/calicopin/wire/agent.py
@@ -10,7 +10,7 @@
     """
 
     def __init__(self, loop, address):
-        self.loop, self.address, self.line = loop, address, None
+        self.loop, self.address, self.connection = loop, address, None
         self.task = loop.keep(self.talk)
 
     def move(self, address):
@@ -25,12 +25,12 @@
 
     def hang_up(self):
         """Closes the connection, if there is one."""
-        line, self.line = self.line, None
-        if line:
-            line.close()
+        connection, self.connection = self.connection, None
+        if connection:
+            connection.close()
 
     def connect(self, until):
         """The open connection or a new one; None if it could not be opened by `until` (ms)."""
-        if self.line is None:
-            self.line = (yield from open_connection(self.loop, self.address, until)) or None
-        return self.line
+        if self.connection is None:
+            self.connection = (yield from open_connection(self.loop, self.address, until)) or None
+        return self.connection
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -12,7 +12,7 @@
 
 from calicopin.state.texts import Text
 from calicopin.system import patiently
-from calicopin.wire.http import TOO_LONG, Line, accept_next
+from calicopin.wire.http import TOO_LONG, Connection, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Until
 
 MAX_BODY_BYTES = 65536
@@ -90,7 +90,7 @@
     """A connection of a client and its state."""
 
     __slots__ = (
-        "line",
+        "connection",
         "task",
         "since",
         "until",
@@ -101,8 +101,8 @@
         "asked",
     )
 
-    def __init__(self, line, now):
-        self.line, self.task, self.since, self.until = line, None, now, now + REQUEST_TIMEOUT_MS
+    def __init__(self, connection, now):
+        self.connection, self.task, self.since, self.until = connection, None, now, now + REQUEST_TIMEOUT_MS
         self.fresh, self.delay = True, 0.0  # no request read yet; ms until the next one is read
         self.asked = ""  # method and target of the last request
         # answer_pending: a request was read completely, or cannot be, and its answer is not sent yet
@@ -173,10 +173,10 @@
             sock = accept_next(self.listener)
             if sock is None:
                 return False
-            self.admit(Line(self.loop, sock, h11.SERVER))
+            self.admit(Connection(self.loop, sock, h11.SERVER))
         return True
 
-    def admit(self, line):
+    def admit(self, connection):
         """Serves a new connection, or answers it with 503 at once if no descriptor is left."""
         if (
             self.open >= self.budget.clients
@@ -185,15 +185,22 @@
             self.free_descriptors()
         limit = self.budget.clients + self.budget.other_clients
         if self.open >= limit:  # close one that is idle between requests, however briefly
-            client = next((client for client in self.idle if not client.fresh and client.line.quiet()), None)
+            client = next(
+                (
+                    client
+                    for client in self.idle
+                    if not client.fresh and client.connection.open_without_data()
+                ),
+                None,
+            )
             if client:
                 self.loop.cancel(client.task)
         if self.open < limit:
-            self.receive(ClientConnection(line, self.loop.now()))
+            self.receive(ClientConnection(connection, self.loop.now()))
             return
         self.log_refusal(503, "no descriptor left for a client")
-        line.part(REFUSAL_RESPONSE)
-        line.close()
+        connection.finish_without_waiting(REFUSAL_RESPONSE)
+        connection.close()
 
     def receive(self, client):
         """Serves a connection in a coroutine of its own."""
@@ -205,14 +212,19 @@
 
         None if its state cannot be rebuilt from the bytes received on it: then it stays here.
         """
-        line = client.line
-        if client.answer_pending or line.ended or line in self.lingering or client not in self.visits:
+        connection = client.connection
+        if (
+            client.answer_pending
+            or connection.at_eof
+            or connection in self.lingering
+            or client not in self.visits
+        ):
             return None
         task, client.handed_over = self.visits.pop(client), True
         if not task.started():  # its `finally` block, which counts down, will not run
             self.open -= 1
         self.loop.cancel(task)
-        return line
+        return connection
 
     def free_descriptors(self):
         """Closes connections until fewer than `budget.clients` are open.
@@ -233,7 +245,7 @@
             for client in list(self.idle) if self.open >= limit else ():
                 if self.open < limit or now - client.since < min_idle:
                     break
-                if client.fresh is fresh and client.line.quiet():
+                if client.fresh is fresh and client.connection.open_without_data():
                     self.loop.cancel(client.task)
 
     def free_descriptors_periodically(self):
@@ -244,7 +256,7 @@
 
     def serve(self, client):
         """A coroutine that serves one connection until it is closed."""
-        line, collected = client.line, False
+        connection, collected = client.connection, False
         try:
             keep_alive = True
             while keep_alive:
@@ -252,13 +264,13 @@
                 client.fresh = client.answer_pending = False
                 # yields between requests, so that pipelined requests of one client do not delay others
                 yield Until(self.loop.now() + client.delay)
-            yield from self.close_gracefully(line)
+            yield from self.close_gracefully(connection)
         except Exception as fault:  # the process goes on, and the client still gets an answer
             self.loop.faults.tell(
                 "request.fault", "a client's request failed by an unexpected exception", fault
             )
-            yield from self.refuse_request(line, 500, "a fault of the courier")
-            yield from self.close_gracefully(line)
+            yield from self.refuse_request(connection, 500, "a fault of the courier")
+            yield from self.close_gracefully(connection)
         except GeneratorExit:  # cancelled, or garbage-collected with its loop
             collected = not self.visits[client].finished if client in self.visits else False
             raise
@@ -266,88 +278,90 @@
             if not (collected or client.handed_over):
                 self.report_unanswered(client)
             self.idle.pop(client, None)
-            self.lingering.pop(line, None)
+            self.lingering.pop(connection, None)
             self.visits.pop(client, None)
             if not client.handed_over:
-                line.close()
+                connection.close()
             self.open -= 1
 
     def report_unanswered(self, client):
         """Reports a request that was read and not answered on a connection about to be closed."""
-        if client.line.h11.our_state is h11.SEND_RESPONSE and not client.line.left():
+        if client.connection.h11.our_state is h11.SEND_RESPONSE and not client.connection.peer_closed():
             self.acceptor.unanswered(client.asked)
 
     def request(self, client):
         """Serves one request; returns whether the connection may serve another."""
-        line, client.delay, client.answer_pending = client.line, 0.0, False
+        connection, client.delay, client.answer_pending = client.connection, 0.0, False
         head = yield from self.next_head(client)
         client.answer_pending = not isinstance(head, h11.Request)
         if not isinstance(head, h11.Request):
-            if head is None and line.unread():
-                yield from self.refuse_request(line, 408, "a head that does not come")
+            if head is None and connection.unparsed():
+                yield from self.refuse_request(connection, 408, "a head that does not come")
             if isinstance(head, h11.RemoteProtocolError):
-                yield from self.refuse_request(line, head.error_status_hint or 400, str(head))
+                yield from self.refuse_request(connection, head.error_status_hint or 400, str(head))
             return False
         path, until = head.target.split(b"?")[0], client.until
         client.asked = f"{head.method.decode()} {head.target.decode('latin-1')[:100]}"
         error = framing_error(head)
         if error is None and head.method not in (b"GET", b"HEAD", b"POST"):
             error = 405, f"no {head.method[:20]!r}"
-        body = None if error else (yield from line.body(MAX_BODY_BYTES, until))
+        body = None if error else (yield from connection.body(MAX_BODY_BYTES, until))
         client.answer_pending = True
         if body is TOO_LONG:
             error = 413, "a body over 64 KiB"
         elif body is None and not error:
             if self.loop.now() >= until:
                 error = 408, "a body that does not come"
-            elif line.h11.their_state is h11.ERROR and not line.ended:
+            elif connection.h11.their_state is h11.ERROR and not connection.at_eof:
                 error = 400, "a body that cannot be read"
         if error:
-            yield from self.refuse_request(line, *error)
+            yield from self.refuse_request(connection, *error)
         if error or body is None:
             return False
         if head.method != b"POST":
             if path == b"/-/status" and self.status:
                 return (
-                    yield from self.reply(line, 200, self.status(), [("Content-Type", "application/json")])
+                    yield from self.reply(
+                        connection, 200, self.status(), [("Content-Type", "application/json")]
+                    )
                 )
             status = {b"/-/ready": 503 if self.leaving else 200, b"/-/healthy": 200}.get(path, 404)
-            return (yield from self.reply(line, status))
+            return (yield from self.reply(connection, status))
         try:
             text = read_text(head, body, self.products, self.loop.now())
         except RequestRefusedError as fault:
             client.delay = REFUSAL_DELAY_MS
             self.log_refusal(fault.status, fault)
-            return (yield from self.reply(line, fault.status, str(fault).encode()))
-        yield from self.wait_for_destination(line, text)
-        if line.left():  # it may submit the text elsewhere now; if not, refusing does no harm
-            return (yield from self.reply(line, 503))
+            return (yield from self.reply(connection, fault.status, str(fault).encode()))
+        yield from self.wait_for_destination(connection, text)
+        if connection.peer_closed():  # it may submit the text elsewhere now; if not, refusing does no harm
+            return (yield from self.reply(connection, 503))
         refusal = self.acceptor.take(text)
         if refusal is not None:
             status, wait = refusal
             if status != 503:
                 client.delay = REFUSAL_DELAY_MS
                 self.log_refusal(status, f"dest {text.dest}, id {text.ident[:40]!r}")
-            return (yield from self.reply(line, status, b"", retry_after(wait)))
+            return (yield from self.reply(connection, status, b"", retry_after(wait)))
         kept = self.acceptor.kept(text)
         yield Until(event=kept)
         if kept.refused:
             self.log_refusal(503, "the journal cannot be written")
-            return (yield from self.reply(line, 503, b"", retry_after(kept.wait)))
-        return bool((yield from self.confirm_taken_on(line, text)))
+            return (yield from self.reply(connection, 503, b"", retry_after(kept.wait)))
+        return bool((yield from self.confirm_taken_on(connection, text)))
 
-    def confirm_taken_on(self, line, text):
+    def confirm_taken_on(self, connection, text):
         """Answers 202 and returns the result of `reply`; withdraws the text if the answer cannot be sent."""
         keep_alive = None
         try:
-            keep_alive = yield from self.reply(line, 202)
+            keep_alive = yield from self.reply(connection, 202)
         except Exception:
             self.acceptor.withdraw(text)
             raise
         (self.acceptor.withdraw if keep_alive is None else self.acceptor.answered)(text)
         return keep_alive
 
-    def wait_for_destination(self, line, text):
+    def wait_for_destination(self, connection, text):
         """Waits while the text's destination is unknown.
 
         Ends with the first answer on the destination, shortly before the end of the text's validity period,
@@ -356,10 +370,12 @@
         event = self.acceptor.first_answer(text)
         if event is None:
             return
-        until, fd = text.until - ANSWER_MARGIN_MS, line.sock.fileno()
+        until, fd = text.until - ANSWER_MARGIN_MS, connection.sock.fileno()
         try:
-            while not event.came and self.loop.now() < until and not line.left():
-                if not line.quiet():  # a pipelined request, which has to wait and hides a close
+            while not event.came and self.loop.now() < until and not connection.peer_closed():
+                if (
+                    not connection.open_without_data()
+                ):  # a pipelined request, which has to wait and hides a close
                     fd = -1
                 yield Until(until, fd, READ if fd >= 0 else 0, event)
         finally:
@@ -367,36 +383,36 @@
 
     def next_head(self, client):
         """Waits for the head of the next request; only in this wait may the courier close the connection."""
-        line = client.line
-        if not self.closing and not line.has_extra_data():
+        connection = client.connection
+        if not self.closing and not connection.has_extra_data():
             client.task = self.loop.current
             if not client.fresh:
                 client.since, client.until = self.loop.now(), FOREVER
             self.idle[client] = True
-            yield Until(client.until, line.sock.fileno(), READ)
+            yield Until(client.until, connection.sock.fileno(), READ)
             self.idle.pop(client, None)
         if not client.fresh:
             client.until = self.loop.now() + REQUEST_TIMEOUT_MS
         elif self.closing:  # a silent connection must not delay the stop
             client.until = min(client.until, self.loop.now() + NEW_CONNECTION_MIN_IDLE_MS)
-        return (yield from line.event(client.until))
+        return (yield from connection.event(client.until))
 
-    def refuse_request(self, line, status, why):
+    def refuse_request(self, connection, status, why):
         """Answers a request with an error status and the reason, then the connection is closed."""
         self.log_refusal(status, why)
-        yield from self.reply(line, status, why.encode("latin-1", "replace"), [("Connection", "close")])
+        yield from self.reply(connection, status, why.encode("latin-1", "replace"), [("Connection", "close")])
 
-    def close_gracefully(self, line):
+    def close_gracefully(self, connection):
         """Gives the client `LINGER_MS` to read the last answer and to close the connection.
 
         If descriptors are short, only where unread data would make the close reset the connection, by which
         the answer could be lost.
         """
-        if line.ended or line.h11.our_state is h11.IDLE:
+        if connection.at_eof or connection.h11.our_state is h11.IDLE:
             return
-        if self.open < self.budget.clients or not line.quiet():
-            self.lingering[line] = self.loop.current
-            yield from line.linger(self.loop.now() + LINGER_MS)
+        if self.open < self.budget.clients or not connection.open_without_data():
+            self.lingering[connection] = self.loop.current
+            yield from connection.lingering_close(self.loop.now() + LINGER_MS)
 
     def log_refusal(self, status, why):
         """Logs refused requests, one line a second at most; the others are counted in it."""
@@ -412,18 +428,18 @@
             )
             self.unlogged_refusals, self.refusal_logged_at = 0, now
 
-    def reply(self, line, status, body=b"", extra=()):
+    def reply(self, connection, status, body=b"", extra=()):
         """Sends an answer: whether the connection may serve another request; None if it was not sent."""
         if self.closing or self.open >= self.budget.clients:  # the client's descriptor is needed
             extra = [*extra, ("Connection", "close")]
         try:
-            data = line.encode(
+            data = connection.encode(
                 h11.Response(status_code=status, headers=[*extra, ("Content-Length", str(len(body)))]), body
             )
         except h11.LocalProtocolError:  # already answered, or the peer is gone
             return None
-        done = yield from line.write(data, self.loop.now() + REQUEST_TIMEOUT_MS)
-        return None if done < len(data) else line.again()
+        done = yield from connection.write(data, self.loop.now() + REQUEST_TIMEOUT_MS)
+        return None if done < len(data) else connection.prepare_next_message()
 
     def stop_listening(self):
         """Closes the listener after accepting all pending connections, which are still served.
@@ -448,11 +464,17 @@
         """
         unsent = {}
         for client in self.visits:
-            line = client.line
-            if not line.ended and line.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                unsent[line] = REFUSAL_RESPONSE if client not in self.idle or not line.quiet() else b""
+            connection = client.connection
+            if not connection.at_eof and connection.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+                unsent[connection] = (
+                    REFUSAL_RESPONSE if client not in self.idle or not connection.open_without_data() else b""
+                )
         for tries_left in reversed(range(FINAL_ANSWER_TRIES)):
-            unsent = {line: remaining for line, answer in unsent.items() if (remaining := line.part(answer))}
+            unsent = {
+                connection: remaining
+                for connection, answer in unsent.items()
+                if (remaining := connection.finish_without_waiting(answer))
+            }
             if not unsent:
                 return
             if tries_left:
@@ -464,5 +486,5 @@
     def close_between_requests(self):
         """Closes idle connections now, the others with their next answer."""
         self.closing = True
-        for client in [client for client in self.idle if client.line.quiet()]:
+        for client in [client for client in self.idle if client.connection.open_without_data()]:
             self.loop.cancel(client.task)
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -94,9 +94,9 @@
             self.refused = False
             try:
                 until = self.loop.now() + GRACE_MS
-                line = yield from self.connect(until)
-                self.refused = not line and self.loop.now() < until
-                update = (yield from self.request_list(line)) if line else None
+                connection = yield from self.connect(until)
+                self.refused = not connection and self.loop.now() < until
+                update = (yield from self.request_list(connection)) if connection else None
             except (ValueError, RecursionError) as fault:
                 if self.logged_fault != str(fault):
                     logger.warning(
@@ -108,7 +108,7 @@
             finally:
                 self.tried = True
             self.answered = self.answered or self.refused or update is not None
-            if update is None or not line.again():
+            if update is None or not connection.prepare_next_message():
                 self.hang_up()
             self.silent_calls = self.silent_calls + 1 if update is None and not self.refused else 0
             if update is None:
@@ -142,7 +142,7 @@
             return GRACE_MS
         return min(self.wait + GRACE_MS, GRACE_MS * 4.0 ** min(self.silent_calls - 1, MAX_BACKOFF_EXPONENT))
 
-    def request_list(self, line):
+    def request_list(self, connection):
         """One call: the decoded list, or None if it was not answered with one in time."""
         wait, target = 0.0, "/api/targets"
         if self.version is not None:
@@ -150,7 +150,7 @@
             target = f"{target}?index={self.version}&wait={wait:.0f}"
         until = self.loop.now() + wait + self.answer_grace()
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        status, body = (yield from line.ask(request, b"", MAX_LIST_BYTES, until)) or (0, b"")
+        status, body = (yield from connection.exchange(request, b"", MAX_LIST_BYTES, until)) or (0, b"")
         self.refused = status in (429, 503)
         if body is TOO_LONG:
             raise ValueError(f"the list is over {MAX_LIST_BYTES >> 20} MiB")
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -101,10 +101,10 @@
 class OutstandingCall:
     """A call under way and its progress, with which it can be cancelled or continued in another process."""
 
-    __slots__ = ("call", "line", "until", "began", "task", "progress", "handed_over")
+    __slots__ = ("call", "connection", "until", "began", "task", "progress", "handed_over")
 
     def __init__(self, call, until):
-        self.call, self.until, self.line, self.began, self.task = call, until, None, 0.0, None
+        self.call, self.until, self.connection, self.began, self.task = call, until, None, 0.0, None
         # progress: the outcome if it were cancelled now
         self.progress, self.handed_over = Far.CALLED_OFF, False
 
@@ -118,53 +118,55 @@
     connections.
     """
     call, until, place = outstanding.call, outstanding.until, outstanding.call.place
-    line, reusable = pool.take(place, loop.now()), False
+    connection, reusable = pool.take(place, loop.now()), False
     try:
-        while not line:
-            line = yield from open_connection(loop, place.address, min(until, loop.now() + connect_timeout))
-            if line is NO_RESOURCES and loop.now() + AGAIN < until:
+        while not connection:
+            connection = yield from open_connection(
+                loop, place.address, min(until, loop.now() + connect_timeout)
+            )
+            if connection is NO_RESOURCES and loop.now() + AGAIN < until:
                 yield Until(loop.now() + AGAIN)
                 continue
-            if not line:
-                return Answer(Far.CALLED_OFF if line is NO_RESOURCES else Far.UNCONNECTED)
+            if not connection:
+                return Answer(Far.CALLED_OFF if connection is NO_RESOURCES else Far.UNCONNECTED)
             if not still_wanted(call, loop.now()):
                 return Answer(Far.CALLED_OFF)
-        outstanding.line, outstanding.began = line, loop.now()
+        outstanding.connection, outstanding.began = connection, loop.now()
         head, body = encode(call, max(1.0, until - loop.now()))
-        data = line.encode(head, body)
-        done = yield from line.write(data, until, stop_on_answer=True)
+        data = connection.encode(head, body)
+        done = yield from connection.write(data, until, stop_on_answer=True)
         if done < len(data):
-            return (yield from read_unsent_outcome(line, call, until))
+            return (yield from read_unsent_outcome(connection, call, until))
         on_written()
         outcome, reusable = yield from receive_outcome(loop, pool, outstanding, report)
         return outcome
     finally:
-        release_connection(loop, pool, outstanding, line, reusable)
+        release_connection(loop, pool, outstanding, connection, reusable)
 
 
-def resume_call(loop, pool, outstanding, line, heard, report):
+def resume_call(loop, pool, outstanding, connection, heard, report):
     """Continues a call that another process sent completely, and returns its outcome.
 
     `heard` holds the bytes of the answer that were received so far.
     """
     pool.used, reusable = pool.used + 1, False
     try:
-        line.encode(*encode(outstanding.call, 1.0))  # puts h11 into the state after a complete request
+        connection.encode(*encode(outstanding.call, 1.0))  # puts h11 into the state after a complete request
         if heard:  # to h11, b"" would mean the end of stream
-            line.feed(heard)
-        outstanding.line = line
+            connection.feed(heard)
+        outstanding.connection = connection
         outcome, reusable = yield from receive_outcome(loop, pool, outstanding, report)
         return outcome
     finally:
-        release_connection(loop, pool, outstanding, line, reusable)
+        release_connection(loop, pool, outstanding, connection, reusable)
 
 
-def release_connection(loop, pool, outstanding, line, reusable):
+def release_connection(loop, pool, outstanding, connection, reusable):
     """Returns the connection of a call to the pool, or closes it unless another process has taken it over."""
     if reusable:
-        pool.keep(outstanding.call.place, line, loop.now())
+        pool.keep(outstanding.call.place, connection, loop.now())
     else:
-        pool.drop(None if outstanding.handed_over else line, outstanding.call.place.ident)
+        pool.drop(None if outstanding.handed_over else connection, outstanding.call.place.ident)
 
 
 def receive_outcome(loop, pool, outstanding, report):
@@ -174,77 +176,80 @@
     all the same. If this process was suspended and reads such an answer only after that time, the call may or
     may not have been executed: it counts as sent, and not as a failure of the endpoint.
     """
-    line, outstanding.progress, call = outstanding.line, Far.SENT, outstanding.call
+    connection, outstanding.progress, call = outstanding.connection, Far.SENT, outstanding.call
 
     def report_in_time(partial):
         if loop.now() < call.valid_until:
             report(partial)
 
-    outcome, complete = yield from read_outcome(line, call, outstanding.until, report_in_time)
+    outcome, complete = yield from read_outcome(connection, call, outstanding.until, report_in_time)
     if outcome.far == Far.ANSWERED:
         pool.answered(call.place, loop.now() - outstanding.began)
         if outcome.status == 200 and loop.now() >= call.valid_until:
             outcome = Answer(Far.SENT, gone=True, wait=outcome.wait, load=outcome.load)
-    elif outcome.far == Far.SENT and line.ended and not line.unread():
-        outcome.gone = pool.was_closed_before(call.place, line, loop.now() - outstanding.began)
-    return outcome, complete and line.again() and not line.has_extra_data()
+    elif outcome.far == Far.SENT and connection.at_eof and not connection.unparsed():
+        outcome.gone = pool.was_closed_before(call.place, connection, loop.now() - outstanding.began)
+    return outcome, complete and connection.prepare_next_message() and not connection.has_extra_data()
 
 
-def read_outcome(line, call, until, report):
+def read_outcome(connection, call, until, report):
     """(outcome, whether the answer was read completely)."""
     for _ in range(MAX_INTERIM_ANSWERS):
-        while (status := parse_status(line.unread())) is None and not line.ended:
-            if not (yield from line.read_more(until)):
+        while (status := parse_status(connection.unparsed())) is None and not connection.at_eof:
+            if not (yield from connection.read_more(until)):
                 return Answer(Far.SENT, late=True), False
         if not status or status >= 200:
             break
-        if not isinstance((yield from line.event(until)), h11.InformationalResponse):
+        if not isinstance((yield from connection.event(until)), h11.InformationalResponse):
             return Answer(Far.SENT), False
     if status == 200 and len(call.texts) == 1:
-        return (yield from read_delivered(line, until, report))
-    return (yield from read_complete_answer(line, call, until)) if status else (Answer(Far.SENT), False)
+        return (yield from read_delivered(connection, until, report))
+    return (yield from read_complete_answer(connection, call, until)) if status else (Answer(Far.SENT), False)
 
 
-def read_delivered(line, until, report):
+def read_delivered(connection, until, report):
     """As `read_outcome` after status 200 to a single text: delivered, whatever follows the status line."""
-    outcome, deadline = Answer(Far.ANSWERED, status=200), min(until, line.loop.now() + ANSWER_REMAINDER_MS)
-    event = line.parse()
+    outcome, deadline = (
+        Answer(Far.ANSWERED, status=200),
+        min(until, connection.loop.now() + ANSWER_REMAINDER_MS),
+    )
+    event = connection.parse()
     if event is h11.NEED_DATA:
         report(outcome)
-        event = yield from line.event(deadline)
+        event = yield from connection.event(deadline)
     if not isinstance(event, h11.Response):
         return outcome, False
     outcome = answer(event)
     report(outcome)
-    body = yield from line.body(MAX_ANSWER_BYTES, deadline)
+    body = yield from connection.body(MAX_ANSWER_BYTES, deadline)
     return outcome, body is not None and body is not TOO_LONG
 
 
-def read_unsent_outcome(line, call, until):
+def read_unsent_outcome(connection, call, until):
     """The outcome of a call that was not sent completely.
 
     It has not been executed, but the endpoint may have answered, and a wait in its answer is heeded.
     """
-    if not line.peek():
+    if not connection.peek():
         return Answer(Far.UNSENT)
-    outcome, _ = yield from read_complete_answer(line, call, until)
+    outcome, _ = yield from read_complete_answer(connection, call, until)
     if outcome.far == Far.ANSWERED and (outcome.status in NOT_EXECUTED_STATUSES or outcome.status == 200):
         return outcome
     return Answer(Far.UNSENT, wait=outcome.wait)
 
 
-def read_complete_answer(line, call, until):
+def read_complete_answer(connection, call, until):
     """As `read_outcome` for other answers, which count only if complete and well-formed.
 
     After any other the call may have been executed; a wait in its head is heeded all the same.
     """
-    deadline = min(until, line.loop.now() + ANSWER_REMAINDER_MS)
-    event = yield from line.event(deadline)
+    deadline = min(until, connection.loop.now() + ANSWER_REMAINDER_MS)
+    event = yield from connection.event(deadline)
     if not isinstance(event, h11.Response):
-        return Answer(Far.SENT, late=line.loop.now() >= until), False
-    outcome, body = answer(event), (yield from line.body(MAX_ANSWER_BYTES, deadline))
+        return Answer(Far.SENT, late=connection.loop.now() >= until), False
+    outcome, body = answer(event), (yield from connection.body(MAX_ANSWER_BYTES, deadline))
     if body is None or body is TOO_LONG:
-        return Answer(Far.SENT, late=line.loop.now() >= until, wait=outcome.wait), False
+        return Answer(Far.SENT, late=connection.loop.now() >= until, wait=outcome.wait), False
     if len(call.texts) > 1 and outcome.status == 200:
         outcome.ends = ends(body)
         if outcome.ends is None:  # any of the texts may have been executed
--- a/calicopin/wire/http.py
+++ b/calicopin/wire/http.py
@@ -27,12 +27,12 @@
 NO_RESOURCES = NoResources()
 
 
-class Line:
+class Connection:
     """One connection. Its errors are returned as values, never raised."""
 
     def __init__(self, loop, sock, role):
         self.loop, self.sock, self.h11 = loop, sock, h11.Connection(role)
-        self.ended, self.idle_ms = False, None  # end of stream read; ms it was idle before its last reuse
+        self.at_eof, self.idle_ms = False, None  # end of stream read; ms it was idle before its last reuse
         self.received = bytearray()  # received since the last message ended; handed over with the connection
         sock.setblocking(False)
         try:
@@ -49,14 +49,14 @@
         try:
             return self.h11.next_event()
         except h11.RemoteProtocolError as fault:
-            return h11.ConnectionClosed() if self.ended else fault
+            return h11.ConnectionClosed() if self.at_eof else fault
 
     def read_more(self, until):
         """Reads once; False when the time `until` comes first."""
         data = yield from self._read(until)
         if data is None:
             return False
-        self.ended = not data
+        self.at_eof = not data
         self.feed(data)
         return True
 
@@ -68,7 +68,7 @@
         except h11.RemoteProtocolError:  # data after the end of stream: `parse` reports it
             pass
 
-    def unread(self):
+    def unparsed(self):
         """The data that was received but not parsed yet."""
         return self.h11.trailing_data[0]
 
@@ -154,7 +154,7 @@
             else:
                 return None
 
-    def ask(self, request, body, max_size, until):
+    def exchange(self, request, body, max_size, until):
         """One exchange as a client: (status, body), or None without a complete answer in time."""
         data = self.encode(request, body)
         if (yield from self.write(data, until)) < len(data):
@@ -165,7 +165,7 @@
         content = yield from self.body(max_size, until)
         return None if content is None else (head.status_code, content)
 
-    def linger(self, until):
+    def lingering_close(self, until):
         """Lingering close: shuts down the sending side and discards what still arrives, until `until`.
 
         Closing a socket with unread data resets the connection, and the peer may lose an answer that it has
@@ -182,8 +182,9 @@
             if not data or remaining <= 0:
                 break
 
-    def part(self, answer):
-        """Sends a last answer without waiting, then shuts down and discards unread data as `linger` does.
+    def finish_without_waiting(self, answer):
+        """Sends a last answer without waiting, then shuts down and discards unread data as
+        `lingering_close` does.
 
         Returns the part that could not be sent for lack of system resources; b"" otherwise, also when the
         peer is gone.
@@ -232,19 +233,19 @@
         except OSError as fault:
             return UNKNOWN if is_transient(fault) else b""
 
-    def quiet(self):
+    def open_without_data(self):
         """Whether an idle connection is open with nothing to read."""
         return self.peek() is None
 
-    def left(self):
+    def peer_closed(self):
         """Whether the peer has closed its sending side."""
-        return self.ended or self.peek() == b""
+        return self.at_eof or self.peek() == b""
 
-    def again(self):
+    def prepare_next_message(self):
         """Prepares for the next message; False if this connection cannot be reused."""
         if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
             self.h11.start_next_cycle()
-            self.received[:] = self.unread()
+            self.received[:] = self.unparsed()
             return True
         return False
 
@@ -253,7 +254,7 @@
 
         Such data cannot be attributed to any request, so the connection must not be reused.
         """
-        return bool(self.unread()) or not self.quiet()
+        return bool(self.unparsed()) or not self.open_without_data()
 
     def close(self):
         """Closes the socket; coroutines that wait for it are not resumed by it."""
@@ -281,13 +282,13 @@
 def open_connection(loop, address, until):
     """A coroutine that opens a connection as a client until `until` (ms).
 
-    Returns the `Line`, None if it could not be established, or NO_RESOURCES if this machine lacked the
+    Returns the `Connection`, None if it could not be established, or NO_RESOURCES if this machine lacked the
     resources. Retries while there is no route to the address.
     """
     while True:
         code, sock = yield from _try_connect(loop, address, until)
         if sock:
-            return Line(loop, sock, h11.CLIENT)
+            return Connection(loop, sock, h11.CLIENT)
         if lacks_local_resources(code):
             return NO_RESOURCES
         if not no_route(code) or loop.now() + AGAIN >= until:
--- a/calicopin/wire/notices.py
+++ b/calicopin/wire/notices.py
@@ -29,7 +29,7 @@
 class NoticeLog:
     """Replaces `Notices` where no platform is configured: each notice is a log line and counts as sent."""
 
-    line, address = None, ""
+    connection, address = None, ""
 
     def __init__(self, loop, heard):
         self.loop, self.heard, self.owed, self.event = loop, heard, [], Event(loop)
@@ -92,11 +92,13 @@
                 yield from self.maintain_connection()
             batch = self.owed[:MAX_NOTICES_PER_REQUEST]
             until = self.loop.now() + self.answer_timeout
-            if self.line is not None and not self.line.quiet():
+            if self.connection is not None and not self.connection.open_without_data():
                 self.hang_up()
-            line = yield from self.connect(until)
-            status = (yield from self.post(line, b"".join(map(encode, batch)), until)) if line else 0
-            if line and not (status and line.again()):
+            connection = yield from self.connect(until)
+            status = (
+                (yield from self.post(connection, b"".join(map(encode, batch)), until)) if connection else 0
+            )
+            if connection and not (status and connection.prepare_next_message()):
                 self.hang_up()
             if status in (200, 204, 400):
                 if status == 400:
@@ -116,7 +118,11 @@
                         "{texts} notices were not acknowledged: {what}",
                         event="notices.unheard",
                         texts=len(batch),
-                        what=f"status {status}" if status else "no connection" if not line else "no answer",
+                        what=f"status {status}"
+                        if status
+                        else "no connection"
+                        if not connection
+                        else "no answer",
                     )
                 timed_out = self.loop.now() >= until
                 self.answer_timeout = (
@@ -131,16 +137,16 @@
 
         Without it, a notice would fail whenever this machine cannot open a connection just then.
         """
-        if self.line is not None:
-            yield Until(fd=self.line.sock.fileno(), mask=READ, event=self.event)
-            if not self.line.quiet():  # closed by the agent
+        if self.connection is not None:
+            yield Until(fd=self.connection.sock.fileno(), mask=READ, event=self.event)
+            if not self.connection.open_without_data():  # closed by the agent
                 self.hang_up()
             return
         yield Until(self.loop.now() + RECONNECT_INTERVAL_MS, event=self.event)
         if not self.owed:
             yield from self.connect(self.loop.now() + ANSWER_TIMEOUT_MS)
 
-    def post(self, line, body, until):
+    def post(self, connection, body, until):
         """Sends notices: the status, or 0 without a complete answer by `until` (ms)."""
         head = h11.Request(
             method="POST",
@@ -151,5 +157,5 @@
                 ("Content-Length", str(len(body))),
             ],
         )
-        status, _ = (yield from line.ask(head, body, MAX_ANSWER_BYTES, until)) or (0, b"")
+        status, _ = (yield from connection.exchange(head, body, MAX_ANSWER_BYTES, until)) or (0, b"")
         return status
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -153,7 +153,7 @@
             self.session.resyncs,
             self.nodes.switches,
             self._sent,
-            self._received + (len(self.line.received) if self.line else 0),
+            self._received + (len(self.connection.received) if self.connection else 0),
         )
 
     def move(self, nodes: list[str]) -> None:
@@ -207,7 +207,7 @@
     def _exchange(self, ask: OutgoingRequest, wait: float):
         """The `Reply` or the `End` of one request. A reused connection may have been closed by the node
         meanwhile: then the request is sent once more on a new one."""
-        reused = self.line is not None
+        reused = self.connection is not None
         end = yield from self._attempt(ask, wait)
         if reused and end is End.BROKEN:
             self.hang_up()
@@ -215,18 +215,18 @@
         return end
 
     def _attempt(self, ask: OutgoingRequest, wait: float):
-        line = yield from self.connect(self.loop.now() + CONNECT)
-        if not line:
+        connection = yield from self.connect(self.loop.now() + CONNECT)
+        if not connection:
             return End.UNCONNECTED
         self._calls += 1
         until = self.loop.now() + self._answer_timeout(ask, wait)
-        data = line.encode(*self._encode(ask, wait))
-        done = yield from line.write(data, until)
+        data = connection.encode(*self._encode(ask, wait))
+        done = yield from connection.write(data, until)
         self._sent += done
         if done == len(data):
-            if not ask.answered_immediately and (yield from self._await_answer(line, until)):
+            if not ask.answered_immediately and (yield from self._await_answer(connection, until)):
                 return End.INTERRUPTED
-            if (reply := (yield from self._read(line, until))) is not None:
+            if (reply := (yield from self._read(connection, until))) is not None:
                 return reply
         return End.BROKEN if self.loop.now() < until else End.SILENT
 
@@ -248,21 +248,21 @@
         ]
         return h11.Request(method="POST", target=target, headers=headers), body
 
-    def _await_answer(self, line, until: float):
+    def _await_answer(self, connection, until: float):
         """Waits for the answer to begin; returns whether a new subscription came first."""
-        while line.quiet():
+        while connection.open_without_data():
             if self.session.has_unsent_subscriptions:
                 return True
-            if not (yield Until(until, line.sock.fileno(), READ, self._wake)):
+            if not (yield Until(until, connection.sock.fileno(), READ, self._wake)):
                 return False
         return False
 
-    def _read(self, line, until: float):
+    def _read(self, connection, until: float):
         """The reply, or None if it is incomplete."""
-        head = yield from line.event(until)
+        head = yield from connection.event(until)
         if not isinstance(head, h11.Response):
             return None
-        body = yield from line.body(MAX_ANSWER_BYTES, until)
+        body = yield from connection.body(MAX_ANSWER_BYTES, until)
         return None if body is None else Reply(head.status_code, body)
 
     def _handle_reply(self, reply: Reply) -> bool:
@@ -271,7 +271,7 @@
         After a malformed one the known state stays in use and another node is asked.
         """
         self._count_received()
-        if reply.body is TOO_LONG or not self.line.again():
+        if reply.body is TOO_LONG or not self.connection.prepare_next_message():
             self.hang_up()
         try:
             news = self._decode(reply) if reply.status == 200 else _refusal(reply)
@@ -347,12 +347,12 @@
 
     def _count_received(self) -> None:
         """Adds up the bytes received on the connection since the last count."""
-        self._received += len(self.line.received)
-        self.line.received.clear()
+        self._received += len(self.connection.received)
+        self.connection.received.clear()
 
     def hang_up(self) -> None:
         """Closes the connection."""
-        if self.line:
+        if self.connection:
             self._count_received()
         super().hang_up()
 
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -908,8 +908,10 @@
     courier.subscribe(1)
     courier.poll(wait=1000)
     node.wait_parked(1)
-    looks, left = [], server_module.Line.left
-    monkeypatch.setattr(server_module.Line, "left", lambda line: looks.append(line) or left(line))
+    looks, left = [], server_module.Connection.peer_closed
+    monkeypatch.setattr(
+        server_module.Connection, "peer_closed", lambda line: looks.append(line) or left(line)
+    )
     courier.peer.say(b"GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n")
     spin(node.loop, lambda: looks)
     for _ in range(50):
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -211,7 +211,7 @@
     system.told[call].extend([error] * 5)
     server.refuse_outstanding_requests()
     for connection in server.visits:
-        connection.line.sock.close()  # as at the end of the process
+        connection.connection.sock.close()  # as at the end of the process
     assert system.met[call] == 5
     assert half.wait_end() == REFUSAL_RESPONSE and not half.reset
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -168,7 +168,7 @@
     def __init__(self):
         self.closed, self.is_quiet = False, True
 
-    def quiet(self):
+    def open_without_data(self):
         return self.is_quiet
 
     def close(self):
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -292,7 +292,7 @@
     loop.once(loop.now())
     loop.now.now += RECONNECT_INTERVAL_MS
     peer = listener.meet()
-    spin(loop, lambda: notices.line is not None)
+    spin(loop, lambda: notices.connection is not None)
     system.always[call] = error
     notices.owe(undelivered_text())
     assert b'"dead"' in peer.wait(b"dead")
@@ -308,12 +308,12 @@
     for _ in range(3):
         loop.now.now += RECONNECT_INTERVAL_MS
         peer = listener.meet()
-        spin(loop, lambda: notices.line is not None)
+        spin(loop, lambda: notices.connection is not None)
         peer.sock.close()
-        spin(loop, lambda: notices.line is None)
+        spin(loop, lambda: notices.connection is None)
         for _ in range(5):
             loop.once(loop.now())
-        assert notices.line is None and loop.due[0][0] == loop.now() + RECONNECT_INTERVAL_MS, (
+        assert notices.connection is None and loop.due[0][0] == loop.now() + RECONNECT_INTERVAL_MS, (
             "it does not reconnect in a tight loop"
         )
     notices.owe(undelivered_text())  # no connection is open: sent at once on a new one
