--- a/calicopin/admin/server.py
+++ b/calicopin/admin/server.py
@@ -10,7 +10,7 @@
 
 from calicopin.system import patiently
 from calicopin.wire.http import TOO_LONG, Connection, accept_next
-from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
+from calicopin.wire.loop import FOREVER, READ, RETRY_DELAY_MS, Until
 
 READ_TIMEOUT_MS = 2000.0  # for a whole call; callers expect the answer to a complete one within 1 s
 LINGER_TIMEOUT_MS = 300.0  # for the caller to close its side after the answer
@@ -31,7 +31,7 @@
         host, _, port = address.rpartition(":")
         system = loop.system
         self.listener, self.last_refusal_logged = patiently(system, system.listen, host, int(port)), -FOREVER
-        self.accepting = loop.keep(self.accept, ahead=True)
+        self.accepting = loop.spawn_restarting(self.accept, urgent=True)
 
     def accept(self):
         """A coroutine that accepts connections and starts a coroutine for each; it never returns."""
@@ -43,7 +43,7 @@
                     logger.warning(
                         "accept at the admin address failed: {fault}", event="accept.failed", fault=fault
                     )
-                    yield Until(self.loop.now() + AGAIN)
+                    yield Until(self.loop.now() + RETRY_DELAY_MS)
                     break
                 if sock is None:
                     yield Until(FOREVER, self.listener.fileno(), READ)
@@ -51,7 +51,7 @@
                 if len(self.connections) >= self.max_connections:
                     self.drop(next(iter(self.connections)))
                 connection = Connection(self.loop, sock, h11.SERVER)
-                self.connections[connection] = self.loop.spawn(self.serve(connection), ahead=True)
+                self.connections[connection] = self.loop.spawn(self.serve(connection), urgent=True)
             else:
                 yield Until(self.loop.now())
 
--- a/calicopin/discovery_node/node.py
+++ b/calicopin/discovery_node/node.py
@@ -67,7 +67,7 @@
 
     def stop_on_signal(self, signal_reader: SignalReader) -> None:
         """Stops the node on SIGTERM or SIGINT."""
-        self.loop.spawn(self._wait_for_stop(signal_reader), ahead=True)
+        self.loop.spawn(self._wait_for_stop(signal_reader), urgent=True)
 
     def _wait_for_stop(self, signal_reader: SignalReader) -> Iterator[Until]:
         while not signal_reader.heard().intersection(SignalReader.STOPS):
--- a/calicopin/discovery_node/server.py
+++ b/calicopin/discovery_node/server.py
@@ -39,7 +39,7 @@
     encode_answer,
 )
 from calicopin.wire.http import TOO_LONG, Connection, accept_next
-from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Loop, Until
+from calicopin.wire.loop import FOREVER, READ, RETRY_DELAY_MS, Event, Loop, Until
 
 TARGETS_PATH = b"/api/targets"
 STATUS_PATH = b"/-/status"
@@ -112,8 +112,8 @@
         # per answer being built: the destinations that changed meanwhile
         self._changes_during_lookups: list[set[int]] = []
         self._unlogged_refusals, self._refusal_logged_at = 0, -FOREVER
-        self.accepting = loop.keep(self._accept)
-        loop.keep(self._expire)
+        self.accepting = loop.spawn_restarting(self._accept)
+        loop.spawn_restarting(self._expire)
 
     def change(self, destinations: set[int]) -> None:
         """Answers the parked requests that subscribe to these changed destinations."""
@@ -163,7 +163,7 @@
                 more = self._accept_some()
             except OSError as fault:  # no descriptor or no memory left
                 logger.warning("accept failed: {fault}", event="accept.failed", fault=fault)
-                yield Until(self.loop.now() + AGAIN)
+                yield Until(self.loop.now() + RETRY_DELAY_MS)
                 continue
             yield Until(self.loop.now()) if more else Until(FOREVER, self.listener.fileno(), READ)
 
--- a/calicopin/discovery_node/source.py
+++ b/calicopin/discovery_node/source.py
@@ -193,7 +193,7 @@
         self._rejected_stamp: tuple | None = None  # the stat values of the file that was rejected last
         self._must_reload = False  # the offset into the followed file is no longer valid
         self._last_logged = ""  # the last message logged: a fault may recur at every poll
-        self.task = loop.keep(self.follow)
+        self.task = loop.spawn_restarting(self.follow)
 
     @property
     def offset(self) -> int:
--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -19,7 +19,7 @@
 from calicopin.state.texts import Text
 from calicopin.wire import clients, endpoints
 from calicopin.wire import notices as notices_module
-from calicopin.wire.clients import Clients, Kept
+from calicopin.wire.clients import Clients, JournalledEvent
 from calicopin.wire.notices import Notices
 
 FAULTS, SHOWN_BY = {}, {}
@@ -62,11 +62,11 @@
 @fault("ack-before-journal", "kills", ANSWER, 60)
 def _(change):
     def already_kept(runtime, text):
-        event = Kept(runtime.loop, text)
+        event = JournalledEvent(runtime.loop, text)
         event.set()
         return event
 
-    change(Runtime, "kept", already_kept)
+    change(Runtime, "journalled_event", already_kept)
 
 
 @fault("taken-not-journalled", "kills", ANSWER)
@@ -146,14 +146,14 @@
 
 @fault("wait-in-other-unit", "shut", WAIT)
 def _(change):
-    read = endpoints.answer
+    read = endpoints.decode_head
 
     def answer_in_seconds(head):
         told = read(head)
         told.wait /= 1000.0
         return told
 
-    change(endpoints, "answer", answer_in_seconds)
+    change(endpoints, "decode_head", answer_in_seconds)
 
 
 @fault("wait-ends-early", "shut", WAIT)
@@ -252,8 +252,8 @@
 
 @fault("bulk-answer-misread", "loss", ANSWER)
 def _(change):
-    read = endpoints.ends
-    change(endpoints, "ends", lambda body: dict.fromkeys(read(body) or {}, "delivered"))
+    read = endpoints.decode_bulk_states
+    change(endpoints, "decode_bulk_states", lambda body: dict.fromkeys(read(body) or {}, "delivered"))
 
 
 @fault("body-cut", "calm", EFFECT, 1)
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -12,7 +12,7 @@
 
 from calicopin.handover.channel import Channel, HandoverError, is_same_user
 from calicopin.handover.state import FORM, snapshot
-from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
+from calicopin.wire.loop import FOREVER, READ, RETRY_DELAY_MS, Until
 
 ANSWER_TIMEOUT_S = 2.0  # this process serves nothing while it waits
 HELLO_TIMEOUT_MS = 1000.0
@@ -42,7 +42,7 @@
             stop,
         )
         self.listener = handover_socket.listen()
-        self.task = loop.keep(self.accept_successors)
+        self.task = loop.spawn_restarting(self.accept_successors)
 
     def accept_successors(self):
         """A coroutine that accepts successors on the handover socket and begins a handover with each that is
@@ -56,7 +56,7 @@
                 continue
             except OSError as fault:
                 logger.warning("accepting a successor failed: {fault}", event="accept.failed", fault=fault)
-                yield Until(self.loop.now() + AGAIN)
+                yield Until(self.loop.now() + RETRY_DELAY_MS)
                 continue
             sock.setblocking(False)
             hello, deadline = b"", self.loop.now() + HELLO_TIMEOUT_MS
@@ -70,7 +70,7 @@
                 if not received:
                     break
                 hello += received
-            self.loop.close(sock) if not self.accepts(sock, hello) else self.loop.after.append(
+            self.loop.close(sock) if not self.accepts(sock, hello) else self.loop.deferred_calls.append(
                 lambda sock=sock: self.hand_over(sock)
             )
 
@@ -180,7 +180,7 @@
             runtime.outstanding_calls
         ):  # all its texts have ended, its answer is not needed
             self.loop.cancel(outstanding.task)
-        for client in list(clients.visits):
+        for client in list(clients.connections):
             if connection := clients.release_for_handover(client):
                 connections.append(
                     (
@@ -231,7 +231,7 @@
         self.stop.end_drain()
         self.clients.closing = self.clients.leaving = True
         sock.setblocking(False)
-        loop.keep(lambda: self.watch_successor(sock))
+        loop.spawn_restarting(lambda: self.watch_successor(sock))
 
     def watch_successor(self, sock):
         """A coroutine that ends with SIGTERM, or restarts this process if the successor dies."""
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -4,7 +4,7 @@
 
 from calicopin.state.connections import Budget
 from calicopin.wire.discovery import decode_list
-from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
+from calicopin.wire.loop import FOREVER, READ, RETRY_DELAY_MS, Until
 
 PATIENCE = 3000.0  # ms of retries: the platform relies on a new configuration 4 s after its signal
 
@@ -79,7 +79,7 @@
                 fault=fault,
             )
             if isinstance(fault, OSError) and self.loop.now() < self.retry_deadline:
-                self.retry_at = self.loop.now() + AGAIN
+                self.retry_at = self.loop.now() + RETRY_DELAY_MS
             return
         old, self.post, self.renewed = self.post, post, True
         logger.info(
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -9,7 +9,7 @@
 from calicopin.facade import Answer, Far
 from calicopin.lifecycle import call_log
 from calicopin.send_guard import SendGuard
-from calicopin.wire.clients import Kept
+from calicopin.wire.clients import JournalledEvent
 from calicopin.wire.endpoints import OutstandingCall, resume_call, submit
 from calicopin.wire.loop import FOREVER, Until
 
@@ -170,9 +170,9 @@
         """The milliseconds after which the client of a refused message may retry (0: no advice)."""
         return max(self.facade.advice(text), HOLD if self.stuck else 0.0)
 
-    def kept(self, text):
+    def journalled_event(self, text):
         """An event that is set once the message is in the journal or is refused."""
-        event = Kept(self.loop, text)
+        event = JournalledEvent(self.loop, text)
         self.unacknowledged.add(text.ident)
         self.waiting.append(event)
         return event
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -282,7 +282,7 @@
         stop.wait_for_request,
         renewal.wait,
     ):
-        loop.keep(coroutine)
+        loop.spawn_restarting(coroutine)
     return runtime
 
 
--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -100,7 +100,7 @@
     def begin_drain(self, began):
         """Runs the steps of a drain that was requested at `began`, in ms of the loop's clock."""
         self.drain, self.clients.leaving = StepSequence(DRAIN_STEPS, began), True
-        self.task = self.loop.keep(lambda: self.run_steps(self.drain))
+        self.task = self.loop.spawn_restarting(lambda: self.run_steps(self.drain))
 
     def resume(self):
         """Ends the drain at any step, if there is one; returns the status."""
--- a/calicopin/scale/simulated_couriers.py
+++ b/calicopin/scale/simulated_couriers.py
@@ -319,7 +319,7 @@
                 break
         loop.running = False
 
-    loop.spawn(serve_requests(), ahead=True)
+    loop.spawn(serve_requests(), urgent=True)
     loop.run()
 
 
--- a/calicopin/wire/agent.py
+++ b/calicopin/wire/agent.py
@@ -11,12 +11,12 @@
 
     def __init__(self, loop, address):
         self.loop, self.address, self.connection = loop, address, None
-        self.task = loop.keep(self.talk)
+        self.task = loop.spawn_restarting(self.talk)
 
     def move(self, address):
         """Continues at another address on a new connection."""
         self.retire()
-        self.address, self.task = address, self.loop.keep(self.talk)
+        self.address, self.task = address, self.loop.spawn_restarting(self.talk)
 
     def retire(self):
         """Stops the coroutine and closes the connection."""
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -13,7 +13,7 @@
 from calicopin.state.texts import Text
 from calicopin.system import patiently
 from calicopin.wire.http import TOO_LONG, Connection, accept_next
-from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Until
+from calicopin.wire.loop import FOREVER, READ, RETRY_DELAY_MS, Event, Until
 
 MAX_BODY_BYTES = 65536
 REQUEST_TIMEOUT_MS = 2500.0  # for a whole request, so that silent clients do not hold descriptors
@@ -98,18 +98,18 @@
         "delay",
         "answer_pending",
         "handed_over",
-        "asked",
+        "last_request",
     )
 
     def __init__(self, connection, now):
         self.connection, self.task, self.since, self.until = connection, None, now, now + REQUEST_TIMEOUT_MS
         self.fresh, self.delay = True, 0.0  # no request read yet; ms until the next one is read
-        self.asked = ""  # method and target of the last request
+        self.last_request = ""  # method and target of the last request
         # answer_pending: a request was read completely, or cannot be, and its answer is not sent yet
         self.answer_pending = self.handed_over = False
 
 
-class Kept(Event):
+class JournalledEvent(Event):
     """Set once a message that was taken on is in the journal, or could not be written there.
 
     In the second case `refused` is true, the message was withdrawn, and `wait` (ms) goes into `Retry-After`.
@@ -130,7 +130,7 @@
 
     The methods of `acceptor`:
     - `take(text)`: None if the text is taken on, else (status, advised wait in ms);
-    - `kept(text)`: a `Kept` event, set once the text is in the journal or refused;
+    - `journalled_event(text)`: a `JournalledEvent` event, set once the text is in the journal or refused;
     - `answered(text)` and `withdraw(text)`: its 202 was sent, or could not be sent;
     - `first_answer(text)`: an event to wait for while its destination is unknown, or None;
     - `waited(event)`: the wait for such an event has ended;
@@ -148,14 +148,14 @@
         )
         self.status = None  # returns the body of /-/status; None if it is not served
         self.idle, self.lingering, self.open, self.leaving, self.closing = {}, {}, 0, False, False
-        self.visits = {}  # open connections and their tasks
+        self.connections = {}  # open connections and their tasks
         self.unlogged_refusals, self.refusal_logged_at, self.cleaned_up_at = 0, -FOREVER, -FOREVER
-        self.accepting = loop.keep(self.accept)
+        self.accepting = loop.spawn_restarting(self.accept)
 
     def accept(self):
         """A coroutine that accepts connections until listening ends.
 
-        After an error of the system it frees descriptors and retries after `AGAIN` ms.
+        After an error of the system it frees descriptors and retries after `RETRY_DELAY_MS`.
         """
         while True:
             try:
@@ -163,7 +163,7 @@
             except OSError as fault:  # out of descriptors or memory
                 logger.warning("accept failed: {fault}", event="accept.failed", fault=fault)
                 self.free_descriptors()
-                yield Until(self.loop.now() + AGAIN)
+                yield Until(self.loop.now() + RETRY_DELAY_MS)
                 continue
             yield Until(self.loop.now()) if more else Until(FOREVER, self.listener.fileno(), READ)
 
@@ -205,7 +205,7 @@
     def receive(self, client):
         """Serves a connection in a coroutine of its own."""
         self.open += 1
-        self.visits[client] = self.loop.spawn(self.serve(client))
+        self.connections[client] = self.loop.spawn(self.serve(client))
 
     def release_for_handover(self, client):
         """Releases a connection for the handover to another process, and returns it.
@@ -217,10 +217,10 @@
             client.answer_pending
             or connection.at_eof
             or connection in self.lingering
-            or client not in self.visits
+            or client not in self.connections
         ):
             return None
-        task, client.handed_over = self.visits.pop(client), True
+        task, client.handed_over = self.connections.pop(client), True
         if not task.started():  # its `finally` block, which counts down, will not run
             self.open -= 1
         self.loop.cancel(task)
@@ -272,14 +272,14 @@
             yield from self.refuse_request(connection, 500, "a fault of the courier")
             yield from self.close_gracefully(connection)
         except GeneratorExit:  # cancelled, or garbage-collected with its loop
-            collected = not self.visits[client].finished if client in self.visits else False
+            collected = not self.connections[client].finished if client in self.connections else False
             raise
         finally:
             if not (collected or client.handed_over):
                 self.report_unanswered(client)
             self.idle.pop(client, None)
             self.lingering.pop(connection, None)
-            self.visits.pop(client, None)
+            self.connections.pop(client, None)
             if not client.handed_over:
                 connection.close()
             self.open -= 1
@@ -287,7 +287,7 @@
     def report_unanswered(self, client):
         """Reports a request that was read and not answered on a connection about to be closed."""
         if client.connection.h11.our_state is h11.SEND_RESPONSE and not client.connection.peer_closed():
-            self.acceptor.unanswered(client.asked)
+            self.acceptor.unanswered(client.last_request)
 
     def request(self, client):
         """Serves one request; returns whether the connection may serve another."""
@@ -301,7 +301,7 @@
                 yield from self.refuse_request(connection, head.error_status_hint or 400, str(head))
             return False
         path, until = head.target.split(b"?")[0], client.until
-        client.asked = f"{head.method.decode()} {head.target.decode('latin-1')[:100]}"
+        client.last_request = f"{head.method.decode()} {head.target.decode('latin-1')[:100]}"
         error = framing_error(head)
         if error is None and head.method not in (b"GET", b"HEAD", b"POST"):
             error = 405, f"no {head.method[:20]!r}"
@@ -343,11 +343,11 @@
                 client.delay = REFUSAL_DELAY_MS
                 self.log_refusal(status, f"dest {text.dest}, id {text.ident[:40]!r}")
             return (yield from self.reply(connection, status, b"", retry_after(wait)))
-        kept = self.acceptor.kept(text)
-        yield Until(event=kept)
-        if kept.refused:
+        journalled_event = self.acceptor.journalled_event(text)
+        yield Until(event=journalled_event)
+        if journalled_event.refused:
             self.log_refusal(503, "the journal cannot be written")
-            return (yield from self.reply(connection, 503, b"", retry_after(kept.wait)))
+            return (yield from self.reply(connection, 503, b"", retry_after(journalled_event.wait)))
         return bool((yield from self.confirm_taken_on(connection, text)))
 
     def confirm_taken_on(self, connection, text):
@@ -463,7 +463,7 @@
         No turn follows, so their messages are not in the journal and refusing them is safe.
         """
         unsent = {}
-        for client in self.visits:
+        for client in self.connections:
             connection = client.connection
             if not connection.at_eof and connection.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                 unsent[connection] = (
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -8,7 +8,7 @@
 
 from calicopin.facade import Answer, Far
 from calicopin.wire.http import NO_RESOURCES, TOO_LONG, open_connection
-from calicopin.wire.loop import AGAIN, Until
+from calicopin.wire.loop import RETRY_DELAY_MS, Until
 
 MAX_ANSWER_BYTES = 65536
 MAX_STATUS_LINE_BYTES = 1024
@@ -66,7 +66,7 @@
     return h11.Request(method="POST", target=target, headers=headers), body
 
 
-def ends(body):
+def decode_bulk_states(body):
     """The state of each text by its id in a bulk answer; None if it cannot be decoded."""
     try:
         return {line["id"]: line["state"] for line in json.loads(body)}
@@ -74,7 +74,7 @@
         return None
 
 
-def answer(head):
+def decode_head(head):
     """Decodes the head of an answer."""
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
     return Answer(
@@ -124,8 +124,8 @@
             connection = yield from open_connection(
                 loop, place.address, min(until, loop.now() + connect_timeout)
             )
-            if connection is NO_RESOURCES and loop.now() + AGAIN < until:
-                yield Until(loop.now() + AGAIN)
+            if connection is NO_RESOURCES and loop.now() + RETRY_DELAY_MS < until:
+                yield Until(loop.now() + RETRY_DELAY_MS)
                 continue
             if not connection:
                 return Answer(Far.CALLED_OFF if connection is NO_RESOURCES else Far.UNCONNECTED)
@@ -219,7 +219,7 @@
         event = yield from connection.event(deadline)
     if not isinstance(event, h11.Response):
         return outcome, False
-    outcome = answer(event)
+    outcome = decode_head(event)
     report(outcome)
     body = yield from connection.body(MAX_ANSWER_BYTES, deadline)
     return outcome, body is not None and body is not TOO_LONG
@@ -247,11 +247,11 @@
     event = yield from connection.event(deadline)
     if not isinstance(event, h11.Response):
         return Answer(Far.SENT, late=connection.loop.now() >= until), False
-    outcome, body = answer(event), (yield from connection.body(MAX_ANSWER_BYTES, deadline))
+    outcome, body = decode_head(event), (yield from connection.body(MAX_ANSWER_BYTES, deadline))
     if body is None or body is TOO_LONG:
         return Answer(Far.SENT, late=connection.loop.now() >= until, wait=outcome.wait), False
     if len(call.texts) > 1 and outcome.status == 200:
-        outcome.ends = ends(body)
+        outcome.ends = decode_bulk_states(body)
         if outcome.ends is None:  # any of the texts may have been executed
             return Answer(Far.SENT, wait=outcome.wait), False
     return outcome, True
--- a/calicopin/wire/http.py
+++ b/calicopin/wire/http.py
@@ -6,7 +6,7 @@
 import h11
 
 from calicopin.system_errors import concerns_one_connection, is_transient, lacks_local_resources, no_route
-from calicopin.wire.loop import AGAIN, READ, WRITE, Until
+from calicopin.wire.loop import READ, RETRY_DELAY_MS, WRITE, Until
 
 READ_SIZE = 65536
 MAX_ABORTED_ACCEPTS = 32  # skipped in one accept; more in a row point to a fault of this machine
@@ -122,10 +122,10 @@
         return done
 
     def _pause(self, until):
-        """Waits `AGAIN` ms after a system call that lacked resources; False if the time is up."""
+        """Waits `RETRY_DELAY_MS` after a system call that lacked resources; False if the time is up."""
         if self.loop.now() >= until:
             return False
-        yield Until(min(until, self.loop.now() + AGAIN))
+        yield Until(min(until, self.loop.now() + RETRY_DELAY_MS))
         return True
 
     def encode(self, head, body=b""):
@@ -291,9 +291,9 @@
             return Connection(loop, sock, h11.CLIENT)
         if lacks_local_resources(code):
             return NO_RESOURCES
-        if not no_route(code) or loop.now() + AGAIN >= until:
+        if not no_route(code) or loop.now() + RETRY_DELAY_MS >= until:
             return None
-        yield Until(loop.now() + AGAIN)
+        yield Until(loop.now() + RETRY_DELAY_MS)
 
 
 def _try_connect(loop, address, until):
--- a/calicopin/wire/listfile.py
+++ b/calicopin/wire/listfile.py
@@ -17,7 +17,7 @@
     def __init__(self, loop, path, load, heard):
         self.loop, self.path, self.load, self.heard = loop, path, load, heard
         self.stamp, self.places = loop.system.stamp(path), None
-        self.task = loop.keep(self.watch)
+        self.task = loop.spawn_restarting(self.watch)
 
     def retire(self):
         """Stops watching: another process does so now."""
--- a/calicopin/wire/loop.py
+++ b/calicopin/wire/loop.py
@@ -13,7 +13,7 @@
 READ = select.EPOLLIN | select.EPOLLRDHUP
 WRITE = select.EPOLLOUT
 FOREVER = float("inf")
-AGAIN = 100.0  # ms until a failed operation is retried
+RETRY_DELAY_MS = 100.0  # ms until a failed operation is retried
 OUT_OF_RESOURCES = (errno.ENOMEM, errno.ENOSPC)  # errors of epoll_ctl that leave the descriptor usable
 
 
@@ -47,10 +47,10 @@
 class Task:
     """A coroutine and what it is waiting for."""
 
-    __slots__ = ("gen", "wait", "wait_id", "finished", "ahead")
+    __slots__ = ("gen", "wait", "wait_id", "finished", "urgent")
 
-    def __init__(self, gen, ahead=False):
-        self.gen, self.wait, self.wait_id, self.finished, self.ahead = gen, None, 0, False, ahead
+    def __init__(self, gen, urgent=False):
+        self.gen, self.wait, self.wait_id, self.finished, self.urgent = gen, None, 0, False, urgent
 
     def started(self):
         """Whether it has run at all. If cancelled before that, not even its `finally` blocks run."""
@@ -67,22 +67,22 @@
     def __init__(self, turn=lambda: FOREVER, now=None, system=HERE):
         self.now, self.turn, self.system = now or system.now, turn, system
         self.epoll, self.fds, self.faults = system.poller(), {}, FaultLog(self.now)
-        # due: heap of (time, sequence number, task, wait id); ready: queue of (task, wait id, value)
-        self.due, self.sequence, self.ready, self.running = [], count(), deque(), True
+        # timers: heap of (time, sequence number, task, wait id); ready: queue of (task, wait id, value)
+        self.timers, self.sequence, self.ready, self.running = [], count(), deque(), True
         self.lateness, self.current = 0.0, None
-        self.after = []  # called once after the next turn, while no coroutine is running
+        self.deferred_calls = []  # called once after the next turn, while no coroutine is running
 
-    def spawn(self, gen, ahead=False):
-        """Starts a coroutine; with `ahead` it is resumed before all others that are ready."""
-        task = Task(gen, ahead)
+    def spawn(self, gen, urgent=False):
+        """Starts a coroutine; with `urgent` it is resumed before all others that are ready."""
+        task = Task(gen, urgent)
         self._enqueue(task, None)
         return task
 
     def _enqueue(self, task, value):
-        (self.ready.appendleft if task.ahead else self.ready.append)((task, task.wait_id, value))
+        (self.ready.appendleft if task.urgent else self.ready.append)((task, task.wait_id, value))
 
-    def keep(self, begin, ahead=False):
-        """Starts a coroutine that is restarted `AGAIN` ms after it ended by an exception."""
+    def spawn_restarting(self, begin, urgent=False):
+        """Starts a coroutine that is restarted `RETRY_DELAY_MS` after it ended by an exception."""
 
         def run():
             while True:
@@ -93,9 +93,9 @@
                     self.faults.tell(
                         "coroutine.again", "restarting a coroutine after an unexpected exception", fault
                     )
-                    yield Until(self.now() + AGAIN)
+                    yield Until(self.now() + RETRY_DELAY_MS)
 
-        return self.spawn(run(), ahead)
+        return self.spawn(run(), urgent)
 
     def resume(self, task, value):
         """Resumes a coroutine once per wait; later wake-ups for the same wait are ignored."""
@@ -172,18 +172,20 @@
                     self.resume(task, True)
                     return
                 # retried after a delay: resuming it at once would make it spin
-                heapq.heappush(self.due, (self.now() + AGAIN, next(self.sequence), task, task.wait_id))
+                heapq.heappush(
+                    self.timers, (self.now() + RETRY_DELAY_MS, next(self.sequence), task, task.wait_id)
+                )
         if wait.at < FOREVER:
-            heapq.heappush(self.due, (wait.at, next(self.sequence), task, task.wait_id))
+            heapq.heappush(self.timers, (wait.at, next(self.sequence), task, task.wait_id))
 
     def once(self, until=FOREVER):
         """One pass: waits for events, resumes coroutines until none is ready, then calls `turn`.
 
         Waits until `until` (ms) at most. Returns the time at which `turn` is due again.
         """
-        while self.due and (self.due[0][2].finished or self.due[0][2].wait_id != self.due[0][3]):
-            heapq.heappop(self.due)
-        at = min(until, self.due[0][0] if self.due else FOREVER)
+        while self.timers and (self.timers[0][2].finished or self.timers[0][2].wait_id != self.timers[0][3]):
+            heapq.heappop(self.timers)
+        at = min(until, self.timers[0][0] if self.timers else FOREVER)
         polled_at = self.now()
         wait = 0.0 if self.ready else min(1.0, max(0.0, (at - polled_at) / 1000.0))
         events = self.epoll.poll(wait)
@@ -196,15 +198,15 @@
         # next pass, which reads that data first. Else answers already received would count as time-outs.
         now = self.now()
         expired_until = min(now, max(polled_at, at) if wait and not events else polled_at)
-        while self.due and self.due[0][0] <= expired_until:
-            at, _, task, wait_id = heapq.heappop(self.due)
+        while self.timers and self.timers[0][0] <= expired_until:
+            at, _, task, wait_id = heapq.heappop(self.timers)
             if not task.finished and task.wait_id == wait_id:
                 self.lateness = max(self.lateness, now - at)
                 self.resume(task, task.wait.at > expired_until)  # True for a retry of epoll_ctl
         self.step()
         until = self.turn()
-        after, self.after = self.after, []
-        for callback in after:
+        deferred_calls, self.deferred_calls = self.deferred_calls, []
+        for callback in deferred_calls:
             callback()
         return until
 
--- a/calicopin/wire/notices.py
+++ b/calicopin/wire/notices.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from calicopin.wire.agent import Agent
-from calicopin.wire.loop import AGAIN, READ, Event, Until
+from calicopin.wire.loop import READ, RETRY_DELAY_MS, Event, Until
 
 # the platform answers at once; a longer wait on a dead connection would make the notice too late
 ANSWER_TIMEOUT_MS = 200.0
@@ -33,7 +33,7 @@
 
     def __init__(self, loop, heard):
         self.loop, self.heard, self.owed, self.event = loop, heard, [], Event(loop)
-        loop.keep(self.talk)
+        loop.spawn_restarting(self.talk)
 
     def owe(self, text):
         """Adds a text whose line is written in the next pass of the loop."""
@@ -130,7 +130,7 @@
                     if timed_out
                     else self.answer_timeout
                 )
-                yield Until(self.loop.now() + (0.0 if timed_out else AGAIN))
+                yield Until(self.loop.now() + (0.0 if timed_out else RETRY_DELAY_MS))
 
     def maintain_connection(self):
         """Waits for a notice and meanwhile keeps a connection open.
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -300,7 +300,7 @@
         os.kill(os.getpid(), signal.SIGTERM)
         spin(
             courier.loop,
-            lambda: any(at == courier.loop.now() + POLL_INTERVAL_MS for at, *_ in courier.loop.due),
+            lambda: any(at == courier.loop.now() + POLL_INTERVAL_MS for at, *_ in courier.loop.timers),
         )
     assert courier.loop.running and courier.post("b") == b"202", "new requests are still served"
     with pytest.raises(BlockingIOError):
@@ -324,7 +324,8 @@
     peer.wait(b"\xfe\xfe\xfe")
     os.kill(os.getpid(), signal.SIGTERM)
     spin(
-        courier.loop, lambda: any(at == courier.loop.now() + POLL_INTERVAL_MS for at, *_ in courier.loop.due)
+        courier.loop,
+        lambda: any(at == courier.loop.now() + POLL_INTERVAL_MS for at, *_ in courier.loop.timers),
     )
     assert courier.post("b") == b"202", "new requests are still served"
     ready_client = client(courier.loop, courier.listen)
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -72,7 +72,7 @@
     spin(loop, lambda: server.open and not server.idle)
     for _ in range(5):
         loop.once(loop.now())
-    task = next(task for connection, task in server.visits.items())
+    task = next(task for connection, task in server.connections.items())
     loop.now.now += REQUEST_TIMEOUT_MS + 1.0
     peer.say(request()[-1:])
     loop.resume(task, False)  # as the loop does if the bytes arrive after its poll
@@ -138,7 +138,8 @@
     spin(courier.loop, lambda: courier.clients.leaving)
     courier.loop.now.now += span
     spin(
-        courier.loop, lambda: any(at == courier.loop.now() + POLL_INTERVAL_MS for at, *_ in courier.loop.due)
+        courier.loop,
+        lambda: any(at == courier.loop.now() + POLL_INTERVAL_MS for at, *_ in courier.loop.timers),
     )
 
 
@@ -210,7 +211,7 @@
     half.say(request()[-1:] + request(X_Request_ID="behind"))
     system.told[call].extend([error] * 5)
     server.refuse_outstanding_requests()
-    for connection in server.visits:
+    for connection in server.connections:
         connection.connection.sock.close()  # as at the end of the process
     assert system.met[call] == 5
     assert half.wait_end() == REFUSAL_RESPONSE and not half.reset
--- a/tests/test_fault_log.py
+++ b/tests/test_fault_log.py
@@ -6,7 +6,7 @@
 from wire_helper import clients, request
 
 from calicopin.fault_log import LINE_INTERVAL_MS, MAX_KINDS, TRACEBACK_INTERVAL_MS, FaultLog
-from calicopin.wire.loop import AGAIN, Loop, Until
+from calicopin.wire.loop import RETRY_DELAY_MS, Loop, Until
 
 
 @pytest.fixture
@@ -64,9 +64,9 @@
 
     for _ in range(50):
         loop.spawn(failing())
-    loop.keep(failing)
+    loop.spawn_restarting(failing)
     for _ in range(20):
-        loop.now.now += AGAIN
+        loop.now.now += RETRY_DELAY_MS
         for _ in range(3):
             loop.once(loop.now())
     assert 2 <= len(records) <= 5
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -19,7 +19,7 @@
 from calicopin.system import RETRY_LIMIT_MS, System, patiently
 from calicopin.system_errors import TRANSIENT_FILE_ERRORS
 from calicopin.wire.listfile import CHECK_INTERVAL_MS, ListFile
-from calicopin.wire.loop import AGAIN, Loop
+from calicopin.wire.loop import RETRY_DELAY_MS, Loop
 
 TRANSIENT = [errno.errorcode[code] for code in sorted(TRANSIENT_FILE_ERRORS)]
 
@@ -135,7 +135,7 @@
     os.kill(os.getpid(), signal.SIGHUP)
     spin(courier.loop, lambda: len(refused) == 1)
     for _ in range(3):
-        courier.loop.now.now += AGAIN
+        courier.loop.now.now += RETRY_DELAY_MS
         for _ in range(3):
             courier.loop.once(courier.loop.now())
     assert not refused and courier.runtime.journal.most == 2 * limit
@@ -153,9 +153,13 @@
     os.kill(os.getpid(), signal.SIGHUP)
     spin(courier.loop, lambda: attempts)
     for _ in range(100):
-        courier.loop.now.now += AGAIN
+        courier.loop.now.now += RETRY_DELAY_MS
         courier.loop.once(courier.loop.now())
-    assert RELOAD_RETRY_LIMIT - AGAIN <= attempts[-1] - attempts[0] <= RELOAD_RETRY_LIMIT + AGAIN
+    assert (
+        RELOAD_RETRY_LIMIT - RETRY_DELAY_MS
+        <= attempts[-1] - attempts[0]
+        <= RELOAD_RETRY_LIMIT + RETRY_DELAY_MS
+    )
     before = len(attempts)
     os.kill(os.getpid(), signal.SIGHUP)
     spin(courier.loop, lambda: len(attempts) > before)
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -206,8 +206,8 @@
         b"X-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n"
     )
     spin(courier.loop, lambda: courier.runtime.waiting)
-    (visit,) = clients.visits
-    courier.loop.cancel(clients.visits[visit])
+    (connection,) = clients.connections
+    courier.loop.cancel(clients.connections[connection])
     assert courier.runtime.guard.counts[Invariant.ANSWERED] == 1
     spin(courier.loop, lambda: peer.hear() == b"" and peer.ended)
 
@@ -217,7 +217,13 @@
     assert courier.post("a") == b"202" and courier.post("b", dest=99) == b"404"
     peer = client(courier.loop, courier.listen)
     peer.say(b"POST /notice/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
-    spin(courier.loop, lambda: any(visit.asked == "POST /notice/k" for visit in clients.visits))
+    spin(
+        courier.loop,
+        lambda: any(connection.last_request == "POST /notice/k" for connection in clients.connections),
+    )
     peer.sock.close()
-    spin(courier.loop, lambda: not any(visit.asked == "POST /notice/k" for visit in clients.visits))
+    spin(
+        courier.loop,
+        lambda: not any(connection.last_request == "POST /notice/k" for connection in clients.connections),
+    )
     assert courier.runtime.guard.counts[Invariant.ANSWERED] == 0
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -148,7 +148,7 @@
     for peer in peers:
         peer.say(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     step = courier.loop._step
-    courier.loop._step = lambda task, value: (order.append(task.ahead), step(task, value))
+    courier.loop._step = lambda task, value: (order.append(task.urgent), step(task, value))
     courier.pass_time(0.0)
     assert True in order and False not in order[: order.index(True)]
 
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -12,7 +12,7 @@
 from helper import answer, spin
 
 from calicopin.system_errors import PASSING, SINGLE_CONNECTION_ERRORS
-from calicopin.wire.loop import AGAIN
+from calicopin.wire.loop import RETRY_DELAY_MS
 
 TRANSIENT = ("EINTR", "ENOBUFS", "ENOMEM")  # EINTR: where Python does not retry by itself
 
@@ -48,7 +48,7 @@
     system.told[call].extend([error] * 3)
     peer = courier.request(body=b"abc")
     spin(courier.loop, lambda: system.met[call] or b"202" in peer.hear())
-    courier.pass_time(5 * AGAIN)
+    courier.pass_time(5 * RETRY_DELAY_MS)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
     assert set(courier.runtime.journal.texts) == {"a"}
 
@@ -78,7 +78,7 @@
         courier.loop.once(courier.loop.now())
     assert system.met["accept"] < 40
     system.always.clear()
-    courier.pass_time(2 * AGAIN)
+    courier.pass_time(2 * RETRY_DELAY_MS)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
@@ -90,7 +90,7 @@
     for _ in range(20):
         courier.loop.once(courier.loop.now())
     assert system.met["accept"] == 1, "it does not spin"
-    courier.pass_time(2 * AGAIN)
+    courier.pass_time(2 * RETRY_DELAY_MS)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
@@ -124,7 +124,7 @@
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
     spin(courier.loop, lambda: system.met[call])
-    courier.pass_time(7 * AGAIN)
+    courier.pass_time(7 * RETRY_DELAY_MS)
     assert b"X-Request-ID: a" in courier.endpoint.meet().wait(b"\r\n\r\n")
     assert system.met[call] == 6 and modes(courier) == {"well"} and endpoint_failures(courier) == before
     assert courier.runtime.journal.texts["a"].tries == 1, "a connect without resources is not an attempt"
@@ -135,7 +135,7 @@
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
     spin(courier.loop, lambda: system.met["so_error"])
-    courier.pass_time(2 * AGAIN)
+    courier.pass_time(2 * RETRY_DELAY_MS)
     courier.endpoint.meet()
     assert (
         b"X-Request-ID: a" in courier.endpoint.meet().wait(b"\r\n\r\n")
@@ -149,7 +149,7 @@
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
     spin(courier.loop, lambda: system.met["connect"])
-    courier.pass_time(4 * AGAIN)
+    courier.pass_time(4 * RETRY_DELAY_MS)
     assert (
         b"X-Request-ID: a" in courier.endpoint.meet().wait(b"\r\n\r\n")
         and endpoint_failures(courier) == before
@@ -172,11 +172,11 @@
     assert courier.post("a", product="once") == b"202"
     peer = courier.endpoint.meet()
     spin(courier.loop, lambda: system.met[call] or b"\xfe\xfe\xfe" in peer.hear())
-    courier.pass_time(4 * AGAIN)
+    courier.pass_time(4 * RETRY_DELAY_MS)
     peer.wait(b"\xfe\xfe\xfe")
     peer.say(answer(200))
     spin(courier.loop, lambda: system.met[call] or courier.runtime.ledger.succeeded["once"])
-    courier.pass_time(4 * AGAIN)
+    courier.pass_time(4 * RETRY_DELAY_MS)
     assert courier.runtime.ledger.succeeded["once"] == 1 and endpoint_failures(courier) == before
 
 
@@ -193,9 +193,9 @@
     for _ in range(50):
         courier.loop.once(courier.loop.now())
     assert system.met["epoll_ctl"] < 20
-    courier.pass_time(5 * AGAIN)
+    courier.pass_time(5 * RETRY_DELAY_MS)
     system.always.clear()
-    courier.pass_time(5 * AGAIN)
+    courier.pass_time(5 * RETRY_DELAY_MS)
     assert second.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
@@ -222,7 +222,7 @@
     courier.pass_time(95.0)
     assert system.met["client_send"] and not peer.hear() and not courier.runtime.facade.texts
     assert not courier.runtime.notices.owed, "the message has ended, and its notice waits for the 202"
-    courier.pass_time(2 * AGAIN)
+    courier.pass_time(2 * RETRY_DELAY_MS)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
     assert courier.notice() == [{"ref": "a", "result": "bounced"}]
 
@@ -232,5 +232,5 @@
     peer = courier.request(left=0.03)
     courier.pass_time(95.0)
     peer.sock.close()
-    courier.pass_time(2 * AGAIN)
+    courier.pass_time(2 * RETRY_DELAY_MS)
     assert not courier.runtime.journal.texts and not courier.runtime.notices.owed
--- a/tests/test_wire_calls.py
+++ b/tests/test_wire_calls.py
@@ -174,7 +174,7 @@
 
     monkeypatch.setattr(socket, "socket", none_left)
     out, late = Out(loop, call(listener.address)), Out(loop, call(listener.address, timeout=150.0))
-    spin(loop, lambda: len(loop.due) == 2)
+    spin(loop, lambda: len(loop.timers) == 2)
     loop.now.now += 100.0
     assert late.end().far == Far.CALLED_OFF and not out.answer
     monkeypatch.setattr(socket, "socket", sock)
--- a/tests/test_wire_loop.py
+++ b/tests/test_wire_loop.py
@@ -37,9 +37,11 @@
         yield Until(0.0)
         raise RecursionError("raised by the test")
 
-    loop.keep(watch)
+    loop.spawn_restarting(watch)
     for times in (1, 2, 3):
-        spin(loop, lambda times=times: len(starts) == times and loop.due and loop.due[0][0] > loop.now())
+        spin(
+            loop, lambda times=times: len(starts) == times and loop.timers and loop.timers[0][0] > loop.now()
+        )
         loop.now.now += 100.0
 
 
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -25,7 +25,7 @@
     first = listener.meet()
     first.wait(b"\r\n\r\n")
     first.say(whole)
-    spin(loop, lambda: loop.due and loop.due[0][0] == loop.now() + 100.0)
+    spin(loop, lambda: loop.timers and loop.timers[0][0] == loop.now() + 100.0)
     monkeypatch.setattr("calicopin.wire.discovery.decode_list", lambda data: (42, True, []))
     loop.now.now += 100.0
     second = listener.meet()
@@ -131,7 +131,9 @@
 
     def next_due():
         loop.once(loop.now())
-        return min(at for at, _, task, wait_id in loop.due if not task.finished and task.wait_id == wait_id)
+        return min(
+            at for at, _, task, wait_id in loop.timers if not task.finished and task.wait_id == wait_id
+        )
 
     assert 0.0 < next_due() - began <= 4000.0
     for _ in range(3):
@@ -159,12 +161,12 @@
         lambda peer: setattr(loop.now, "now", loop.now.now + 5251.0),
     ):
         failure(peer)
-        spin(loop, lambda: loop.due and loop.due[0][0] <= loop.now() + 200.0)
+        spin(loop, lambda: loop.timers and loop.timers[0][0] <= loop.now() + 200.0)
         loop.now.now += 200.0
         peer = listener.meet()
         assert b"index=43&wait=0" in peer.wait(b"\r\n\r\n")
         loop.now.now += 251.0
-        spin(loop, lambda: loop.due and loop.due[0][0] == loop.now() + 100.0)
+        spin(loop, lambda: loop.timers and loop.timers[0][0] == loop.now() + 100.0)
         loop.now.now += 100.0
         peer = listener.meet()
         assert b"index=43&wait=0" in peer.wait(b"\r\n\r\n"), "polled three times a second without an answer"
@@ -202,7 +204,7 @@
                 loop.once(loop.now())
             except OSError:
                 break
-        spin(loop, lambda: loop.due and loop.due[0][0] == loop.now() + 100.0)
+        spin(loop, lambda: loop.timers and loop.timers[0][0] == loop.now() + 100.0)
         loop.now.now += 100.0
     logger.remove(sink)
     assert (
@@ -248,7 +250,7 @@
         {"ref": "b", "result": "bounced", "wait_ms": 500},
     ]
     peer.sock.close()
-    spin(loop, lambda: loop.due and loop.due[0][0] <= loop.now() + 200.0)
+    spin(loop, lambda: loop.timers and loop.timers[0][0] <= loop.now() + 200.0)
     loop.now.now += 200.0
     peer = listener.meet()
     peer.wait(b"500}\n")
@@ -313,7 +315,7 @@
         spin(loop, lambda: notices.connection is None)
         for _ in range(5):
             loop.once(loop.now())
-        assert notices.connection is None and loop.due[0][0] == loop.now() + RECONNECT_INTERVAL_MS, (
+        assert notices.connection is None and loop.timers[0][0] == loop.now() + RECONNECT_INTERVAL_MS, (
             "it does not reconnect in a tight loop"
         )
     notices.owe(undelivered_text())  # no connection is open: sent at once on a new one
@@ -332,7 +334,7 @@
     monkeypatch.setattr(loop.faults, "tell", lambda *message, **_: received.append(message))
     notices.owe(Text("a", 1, 0, None, None, 1.0, b"", verdict="dead"))
     for _ in range(3):
-        spin(loop, lambda: loop.due and loop.due[0][0] == loop.now() + 100.0)
+        spin(loop, lambda: loop.timers and loop.timers[0][0] == loop.now() + 100.0)
         loop.now.now += 100.0
     assert not received
     monkeypatch.setattr(socket, "socket", sock)
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -5,7 +5,7 @@
 from calicopin.facade import Call, Place
 from calicopin.state.connections import Budget, Lines
 from calicopin.state.texts import Text
-from calicopin.wire.clients import Clients, Kept
+from calicopin.wire.clients import Clients, JournalledEvent
 from calicopin.wire.endpoints import OutstandingCall, submit
 
 
@@ -61,8 +61,8 @@
             self.texts.append(text)
         return self.refusal
 
-    def kept(self, text):
-        self.events.append(Kept(self.loop, text))
+    def journalled_event(self, text):
+        self.events.append(JournalledEvent(self.loop, text))
         return self.events[-1]
 
     def withdraw(self, text):
