--- a/calicopin/capacity/faults.py
+++ b/calicopin/capacity/faults.py
@@ -11,8 +11,10 @@
 from calicopin.subscription import nodes
 from calicopin.wire import subscriber
 
-CONNECT_TIMEOUT_S = subscriber.CONNECT / 1000.0  # until a courier gives up connecting to a node
-SILENCE_TIMEOUT_S = (subscriber.WAIT + subscriber.SILENCE) / 1000.0  # until it leaves a silent node
+CONNECT_TIMEOUT_S = subscriber.CONNECT_TIMEOUT_MS / 1000.0  # until a courier gives up connecting to a node
+SILENCE_TIMEOUT_S = (
+    subscriber.MAX_WAIT_MS + subscriber.PARKED_GRACE_MS
+) / 1000.0  # until it leaves a silent node
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicopin/discovery_node/upstream.py
+++ b/calicopin/discovery_node/upstream.py
@@ -12,8 +12,8 @@
 from loguru import logger
 
 from calicopin.discovery_node.source import SourceError, open_source
-from calicopin.wire.agent import Agent
 from calicopin.wire.loop import Loop, Until
+from calicopin.wire.persistent_client import PersistentClient
 
 LOG_PATH = "/api/log"
 LOG_CHUNK_BYTES = 1 << 20  # maximum size of the log data in one answer
@@ -37,7 +37,7 @@
         done += os.pwrite(descriptor, data[done:], offset + done)
 
 
-class Upstream(Agent):
+class Upstream(PersistentClient):
     """Copies the log of the node at `address` to `path`. A list that exists there is served from the
     start."""
 
@@ -52,9 +52,9 @@
             os.close(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o644))
         super().__init__(loop, address)
 
-    def talk(self) -> Iterator[Until]:
+    def run(self) -> Iterator[Until]:
         """Sends one request after another on one connection, forever; reconnects after a failure."""
-        self.hang_up()
+        self.close_connection()
         while True:
             pause = POLL_INTERVAL_MS
             try:
@@ -84,7 +84,7 @@
             b"",
         )
         if not (status and connection.prepare_next_message()):
-            self.hang_up()
+            self.close_connection()
         return body if status == 200 else None
 
     def _append(self, chunk: bytes) -> bool:
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -214,7 +214,7 @@
         for task in (self.clients.accepting, self.task):
             loop.cancel(task)
         for client in filter(None, (self.discovery, runtime.notices)):
-            client.retire()
+            client.stop()
         loop.close(self.listener)
         loop.system.close(self.lock)
         if runtime.journal.file is not None:
@@ -227,7 +227,7 @@
         )
         runtime.refusing = self.stop.retired = True
         if runtime.subscribed is not None:
-            runtime.subscribed.retire()
+            runtime.subscribed.stop()
         self.stop.end_drain()
         self.clients.closing = self.clients.leaving = True
         sock.setblocking(False)
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -89,13 +89,13 @@
             notices=len(self.runtime.notices.owed),
         )
         if self.subscribes and post.nodes:
-            self.discovery.move(list(post.nodes))
+            self.discovery.change_address(list(post.nodes))
         if post.discovery and old.discovery:
             if not self.subscribes:
-                self.discovery.move(post.discovery)
-            self.runtime.notices.move(post.discovery)
+                self.discovery.change_address(post.discovery)
+            self.runtime.notices.change_address(post.discovery)
         elif post.notices and old.notices:
-            self.runtime.notices.move(post.notices)
+            self.runtime.notices.change_address(post.notices)
         if post.configuration and not (post.discovery or old.discovery or self.subscribes or post.nodes):
             self.apply_partner_list(post, old)
         if post.descriptors != old.descriptors:
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -20,12 +20,12 @@
 from calicopin.state.journal import Journal
 from calicopin.state.ledger import Ledger
 from calicopin.system import HERE, patiently
-from calicopin.wire.asking import longest_wait
 from calicopin.wire.clients import Clients
 from calicopin.wire.discovery import Discovery, decode_list
 from calicopin.wire.listfile import ListFile
 from calicopin.wire.loop import Loop
 from calicopin.wire.notices import NoticeLog, Notices
+from calicopin.wire.poll_schedule import longest_wait
 
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
--- a/calicopin/lifecycle/subscribed.py
+++ b/calicopin/lifecycle/subscribed.py
@@ -88,7 +88,7 @@
         self.task = self.loop.spawn_restarting(self.known_list.keep)
         return self.subscriber
 
-    def retire(self) -> None:
+    def stop(self) -> None:
         """Stops writing the list in the folder, which now belongs to another process."""
         self.loop.cancel(self.task)
         self.stop_waiting()
--- a/calicopin/scale/simulated_couriers.py
+++ b/calicopin/scale/simulated_couriers.py
@@ -291,7 +291,7 @@
     def _stop(self, numbers: Iterable[int]) -> ProcessFigures:
         before = self._figures()
         for number in numbers:
-            self.couriers.pop(number).subscriber.retire()
+            self.couriers.pop(number).subscriber.stop()
         return before
 
     def _figures(self) -> ProcessFigures:
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -7,10 +7,10 @@
 from loguru import logger
 
 from calicopin.facade import Place
-from calicopin.wire.agent import Agent
-from calicopin.wire.asking import PollSchedule, longest_pause
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import Until
+from calicopin.wire.persistent_client import PersistentClient
+from calicopin.wire.poll_schedule import PollSchedule, longest_pause
 
 # to connect, and for an answer beyond the wait of a long poll: the agent is on this machine
 GRACE_MS = 250.0
@@ -59,7 +59,7 @@
     return version, whole, places
 
 
-class Discovery(Agent):
+class Discovery(PersistentClient):
     """Polls the list of endpoints and passes each update to `heard(places, whole)`.
 
     `version` is that of the list known here; with None the complete list is requested. `senders`, `seed` and
@@ -79,14 +79,14 @@
         )
         super().__init__(loop, address)
 
-    def move(self, address):
+    def change_address(self, address):
         """Continues at another address with the complete list: versions of two agents are not comparable."""
         self.version = None
-        super().move(address)
+        super().change_address(address)
 
-    def talk(self):
+    def run(self):
         """A coroutine that polls for ever on one connection, and on a new one after an error."""
-        self.hang_up()
+        self.close_connection()
         if self.spread:
             self.spread = False
             yield Until(self.loop.now() + self.poll_schedule.first())
@@ -109,7 +109,7 @@
                 self.tried = True
             self.answered = self.answered or self.refused or update is not None
             if update is None or not connection.prepare_next_message():
-                self.hang_up()
+                self.close_connection()
             self.silent_calls = self.silent_calls + 1 if update is None and not self.refused else 0
             if update is None:
                 if self.refused:
@@ -133,7 +133,7 @@
 
         Grows with consecutive calls without an answer: an overloaded discovery that answers every call late
         would never be heard otherwise. The third such call allows as much as a whole poll, which still fits
-        into the 6 s of `asking.TOLD`.
+        into the 6 s of `poll_schedule.TOLD`.
         """
         # at a start, where many may start on a busy machine
         if self.poll_schedule.pushed and not self.answered:
--- a/calicopin/wire/listfile.py
+++ b/calicopin/wire/listfile.py
@@ -19,7 +19,7 @@
         self.stamp, self.places = loop.system.stamp(path), None
         self.task = loop.spawn_restarting(self.watch)
 
-    def retire(self):
+    def stop(self):
         """Stops watching: another process does so now."""
         self.loop.cancel(self.task)
 
--- a/calicopin/wire/notices.py
+++ b/calicopin/wire/notices.py
@@ -5,8 +5,8 @@
 import h11
 from loguru import logger
 
-from calicopin.wire.agent import Agent
 from calicopin.wire.loop import READ, RETRY_DELAY_MS, Event, Until
+from calicopin.wire.persistent_client import PersistentClient
 
 # the platform answers at once; a longer wait on a dead connection would make the notice too late
 ANSWER_TIMEOUT_MS = 200.0
@@ -33,20 +33,20 @@
 
     def __init__(self, loop, heard):
         self.loop, self.heard, self.owed, self.event = loop, heard, [], Event(loop)
-        loop.spawn_restarting(self.talk)
+        loop.spawn_restarting(self.run)
 
     def owe(self, text):
         """Adds a text whose line is written in the next pass of the loop."""
         self.owed.append(text)
         self.event.set()
 
-    def move(self, address):
+    def change_address(self, address):
         """Does nothing: there is no address."""
 
-    def retire(self):
+    def stop(self):
         """Does nothing: there is no connection."""
 
-    def talk(self):
+    def run(self):
         """A coroutine that writes a line for each text, for ever."""
         while True:
             while self.owed:
@@ -62,7 +62,7 @@
             yield Until(event=self.event)
 
 
-class Notices(Agent):
+class Notices(PersistentClient):
     """Sends notices in batches, one request at a time, and repeats them until acknowledged.
 
     `heard(text)` is called for each acknowledged notice. After a change of address, all notices that were not
@@ -84,22 +84,22 @@
         self.owed.append(text)
         self.event.set()
 
-    def talk(self):
+    def run(self):
         """A coroutine that sends notices for ever, on a new connection after an error."""
-        self.hang_up()
+        self.close_connection()
         while True:
             while not self.owed:
                 yield from self.maintain_connection()
             batch = self.owed[:MAX_NOTICES_PER_REQUEST]
             until = self.loop.now() + self.answer_timeout
             if self.connection is not None and not self.connection.open_without_data():
-                self.hang_up()
+                self.close_connection()
             connection = yield from self.connect(until)
             status = (
                 (yield from self.post(connection, b"".join(map(encode, batch)), until)) if connection else 0
             )
             if connection and not (status and connection.prepare_next_message()):
-                self.hang_up()
+                self.close_connection()
             if status in (200, 204, 400):
                 if status == 400:
                     logger.error(
@@ -140,7 +140,7 @@
         if self.connection is not None:
             yield Until(fd=self.connection.sock.fileno(), mask=READ, event=self.event)
             if not self.connection.open_without_data():  # closed by the agent
-                self.hang_up()
+                self.close_connection()
             return
         yield Until(self.loop.now() + RECONNECT_INTERVAL_MS, event=self.event)
         if not self.owed:
--- a/calicopin/wire/agent.py
+++ b/calicopin/wire/persistent_client.py
@@ -3,27 +3,27 @@
 from calicopin.wire.http import open_connection
 
 
-class Agent:
-    """A persistent connection, driven by the coroutine `talk`, which is restarted after an exception.
+class PersistentClient:
+    """A persistent connection, driven by the coroutine `run`, which is restarted after an exception.
 
-    `talk` has to begin with `hang_up`, so that it continues on a new connection.
+    `run` has to begin with `close_connection`, so that it continues on a new connection.
     """
 
     def __init__(self, loop, address):
         self.loop, self.address, self.connection = loop, address, None
-        self.task = loop.spawn_restarting(self.talk)
+        self.task = loop.spawn_restarting(self.run)
 
-    def move(self, address):
+    def change_address(self, address):
         """Continues at another address on a new connection."""
-        self.retire()
-        self.address, self.task = address, self.loop.spawn_restarting(self.talk)
+        self.stop()
+        self.address, self.task = address, self.loop.spawn_restarting(self.run)
 
-    def retire(self):
+    def stop(self):
         """Stops the coroutine and closes the connection."""
         self.loop.cancel(self.task)
-        self.hang_up()
+        self.close_connection()
 
-    def hang_up(self):
+    def close_connection(self):
         """Closes the connection, if there is one."""
         connection, self.connection = self.connection, None
         if connection:
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -24,15 +24,17 @@
 )
 from calicopin.subscription.nodes import NodeChoice
 from calicopin.subscription.session import AnswerContent, OutgoingRequest, Session, Standing
-from calicopin.wire.agent import Agent
 from calicopin.wire.discovery import decode_list
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import READ, Event, Until
-
-WAIT = 2000.0  # longest wait of a parked request; recovery after a silent node fits into `asking.TOLD`
-CONNECT = 250.0  # time-out for connecting
-SILENCE = 1000.0  # time-out of a parked request, beyond its wait
-PROMPT = 1500.0  # time-out of a request answered at once; couriers of a failed node may be queued before it
+from calicopin.wire.persistent_client import PersistentClient
+
+# longest wait of a parked request; recovery after a silent node fits into `poll_schedule.TOLD`
+MAX_WAIT_MS = 2000.0
+CONNECT_TIMEOUT_MS = 250.0  # time-out for connecting
+PARKED_GRACE_MS = 1000.0  # time-out of a parked request, beyond its wait
+# time-out of a request answered at once; couriers of a failed node may be queued before it
+PROMPT_TIMEOUT_MS = 1500.0
 STARTUP_LIMIT_MS = 1900.0  # after which the stored list is used without an answer of a node
 PER_DESTINATION_MS = 0.05  # added to both time-outs: a complete answer for 100,000 destinations takes seconds
 AGAIN = 100.0  # between the beginnings of two requests, as every answer may come at once
@@ -69,7 +71,7 @@
     bytes_received: int
 
 
-class Subscriber(Agent):
+class Subscriber(PersistentClient):
     """Keeps the subscription and passes its answers to `heard(places, whole)`, as `Discovery` does.
 
     `nodes` are addresses, `restored` the destinations of a snapshot with their endpoints: they are subscribed
@@ -94,7 +96,7 @@
     ):
         self.heard, self.released = heard, released
         self._answered, self._startup_over_at = False, loop.now() + STARTUP_LIMIT_MS
-        self.wait = min(wait_ms, WAIT)
+        self.wait = min(wait_ms, MAX_WAIT_MS)
         self.nodes = NodeChoice(courier, nodes, seed, loop.now())
         self.interest = Interest(seed, in_use, idle, max_destinations)
         self.session = Session(fleet, courier, restored)
@@ -156,11 +158,11 @@
             self._received + (len(self.connection.received) if self.connection else 0),
         )
 
-    def move(self, nodes: list[str]) -> None:
+    def change_address(self, nodes: list[str]) -> None:
         """Changes the list of nodes; the current node is kept if it is in the new list."""
         self.nodes.replace_nodes(nodes, self.loop.now())
         if self.nodes.current is None or self.address not in nodes:
-            super().move("")
+            super().change_address("")
 
     @property
     def tried(self) -> bool:
@@ -170,15 +172,15 @@
 
     # Requests and answers.
 
-    def talk(self):
+    def run(self):
         """A coroutine that sends one request after another for ever, on one connection while it lasts."""
-        self.hang_up()
+        self.close_connection()
         while True:
             next_request = self.nodes.next_request(self.loop.now())
             if next_request.at > self.loop.now():
                 yield Until(next_request.at)
             if next_request.node != self.address:
-                self.hang_up()
+                self.close_connection()
                 self.address = next_request.node
             if self.session.has_unsent_subscriptions and self._next_batch_at > self.loop.now():
                 yield Until(self._next_batch_at)
@@ -210,12 +212,12 @@
         reused = self.connection is not None
         end = yield from self._attempt(ask, wait)
         if reused and end is End.BROKEN:
-            self.hang_up()
+            self.close_connection()
             end = yield from self._attempt(ask, wait)
         return end
 
     def _attempt(self, ask: OutgoingRequest, wait: float):
-        connection = yield from self.connect(self.loop.now() + CONNECT)
+        connection = yield from self.connect(self.loop.now() + CONNECT_TIMEOUT_MS)
         if not connection:
             return End.UNCONNECTED
         self._calls += 1
@@ -232,9 +234,9 @@
 
     def _answer_timeout(self, ask: OutgoingRequest, wait: float) -> float:
         """The time-out for an answer in ms."""
-        return (PROMPT if ask.answered_immediately else wait + SILENCE) + PER_DESTINATION_MS * len(
-            self.interest
-        )
+        return (
+            PROMPT_TIMEOUT_MS if ask.answered_immediately else wait + PARKED_GRACE_MS
+        ) + PER_DESTINATION_MS * len(self.interest)
 
     def _encode(self, ask: OutgoingRequest, wait: float):
         """The head and the body of a request."""
@@ -272,13 +274,13 @@
         """
         self._count_received()
         if reply.body is TOO_LONG or not self.connection.prepare_next_message():
-            self.hang_up()
+            self.close_connection()
         try:
             news = self._decode(reply) if reply.status == 200 else _refusal(reply)
         except ValueError as fault:
             self.session.drop_lease()
             self.nodes.failed(self.loop.now())
-            self.hang_up()
+            self.close_connection()
             self._log_fault(str(fault))
             return False
         if isinstance(news, Refusal):
@@ -318,7 +320,7 @@
         return False
 
     def _fail(self, end: End) -> None:
-        self.hang_up()
+        self.close_connection()
         if end is End.INTERRUPTED:
             self._interrupted += 1
             return
@@ -350,11 +352,11 @@
         self._received += len(self.connection.received)
         self.connection.received.clear()
 
-    def hang_up(self) -> None:
+    def close_connection(self) -> None:
         """Closes the connection."""
         if self.connection:
             self._count_received()
-        super().hang_up()
+        super().close_connection()
 
 
 def _notify(event) -> None:
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -1133,7 +1133,7 @@
     copying_node.copies(1)
     good = copying_node.path.read_bytes()
     other = Upstream(upstream_node.loop, f"127.0.0.1:{upstream_node.port}", str(copying_node.path), "other")
-    copying_node.server.upstream.retire()
+    copying_node.server.upstream.stop()
     for _ in range(300):
         copying_node.advance(10.0)
     assert other.copies == 0 and copying_node.path.read_bytes() == good
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -18,7 +18,6 @@
 from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, STOP_LIMIT_MS
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
 from calicopin.state.connections import Lines
-from calicopin.wire.asking import TOLD, PollSchedule, longest_pause, longest_wait
 from calicopin.wire.clients import (
     LINGER_MS,
     NEW_CONNECTION_MIN_IDLE_MS,
@@ -28,6 +27,7 @@
 )
 from calicopin.wire.discovery import GRACE_MS, Discovery
 from calicopin.wire.loop import Loop
+from calicopin.wire.poll_schedule import TOLD, PollSchedule, longest_pause, longest_wait
 
 # Clients.
 
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -19,7 +19,7 @@
 from calicopin.subscription.interest import IDLE_JITTER_FRACTION, IDLE_TIMEOUT_MS
 from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS
 from calicopin.wire.loop import Loop
-from calicopin.wire.subscriber import AGAIN, PROMPT
+from calicopin.wire.subscriber import AGAIN, PROMPT_TIMEOUT_MS
 
 DAY = 24 * 3_600_000.0
 DISK_BYTES = 3_000_000
@@ -313,7 +313,7 @@
     endpoint.loop = restarted.loop
     assert restarted.post("b") == b"202"
     restarted.first_request(7)
-    restarted.advance(PROMPT - 10.0)
+    restarted.advance(PROMPT_TIMEOUT_MS - 10.0)
     with pytest.raises(BlockingIOError):
         endpoint.sock.accept()
     restarted.advance(11.0)
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -16,9 +16,9 @@
 from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS, ranking
 from calicopin.subscription.session import Standing
 from calicopin.system import HERE
-from calicopin.wire.asking import TOLD
 from calicopin.wire.loop import Event, Loop, Until
-from calicopin.wire.subscriber import AGAIN, PROMPT, STARTUP_LIMIT_MS, WAIT, Subscriber
+from calicopin.wire.poll_schedule import TOLD
+from calicopin.wire.subscriber import AGAIN, MAX_WAIT_MS, PROMPT_TIMEOUT_MS, STARTUP_LIMIT_MS, Subscriber
 
 FLEET, COURIER, SEED = "lahore", "c-17", 5
 
@@ -111,7 +111,7 @@
         addresses,
         FLEET,
         COURIER,
-        WAIT,
+        MAX_WAIT_MS,
         updates,
         SEED,
         restored,
@@ -358,7 +358,9 @@
     began = loop.now()
     nodes[0].next_request()
     _, request = _advance_until_request(loop, nodes[1], 10.0)
-    assert request["subscribe"] == [9] and loop.now() - began <= PROMPT + NEXT_NODE_JITTER_MS + 30.0
+    assert (
+        request["subscribe"] == [9] and loop.now() - began <= PROMPT_TIMEOUT_MS + NEXT_NODE_JITTER_MS + 30.0
+    )
     nodes[1].respond(request, 1, [entry("e-9", 9)], full=True)
     spin(loop, lambda: subscriber.use(9) is Standing.KNOWN)
 
@@ -427,13 +429,13 @@
     updates = Updates()
     subscriber, node, request = started(loop, updates, 41)
     other = Node(loop, "n2", "n2-1")
-    subscriber.move([other.address, node.address])
+    subscriber.change_address([other.address, node.address])
     node.respond(request, 2, [entry("f-41", 41)])
     spin(loop, lambda: len(updates) == 2)
     assert updates[1][1] is False, "a node that stays in the list is kept"
     advance(loop)
     node.next_request()
-    subscriber.move([other.address])
+    subscriber.change_address([other.address])
     node.peer.wait_end()
     _, request = _advance_until_request(loop, other)
     assert request["lease"] is None and request["subscribe"] == [41]
@@ -528,7 +530,7 @@
     subscriber, node, _ = started(loop, updates, 41)
     figures = subscriber.figures()
     assert figures.calls == 2 and 400 < figures.bytes_sent < 1000 and 200 < figures.bytes_received < 800
-    subscriber.retire()
+    subscriber.stop()
     node.peer.wait_end()
     subscriber.use(9)
     advance(loop, 10000.0)
@@ -562,7 +564,7 @@
         subscriber.use(destination)
     _, request = nodes[0].next_request()
     assert len(request["subscribe"]) == 20000
-    advance(loop, PROMPT + 900.0)
+    advance(loop, PROMPT_TIMEOUT_MS + 900.0)
     assert not _has_request(loop, nodes[1])
     nodes[0].respond(request, 1, full=True, unknown=range(20000))
     spin(loop, lambda: updates)
@@ -637,7 +639,9 @@
     node.write(entry("e-41", 41, "left"))
     run_until(loop, lambda: listed(subscriber)[41] == [("f-41", True)])
     assert ("e-41", False, True) in updates[-1][0]
-    run_until(loop, lambda: subscriber.session.longest_wait(subscriber.address, WAIT) and node.server.parked)
+    run_until(
+        loop, lambda: subscriber.session.longest_wait(subscriber.address, MAX_WAIT_MS) and node.server.parked
+    )
     notified = []
     assert subscriber.use(7) is Standing.WAITING
     subscriber.settled(7, notified)
--- a/tests/test_subscription_nodes.py
+++ b/tests/test_subscription_nodes.py
@@ -18,8 +18,8 @@
     NoNodesError,
     ranking,
 )
-from calicopin.wire.asking import TOLD
-from calicopin.wire.subscriber import CONNECT, PROMPT, SILENCE, WAIT
+from calicopin.wire.poll_schedule import TOLD
+from calicopin.wire.subscriber import CONNECT_TIMEOUT_MS, MAX_WAIT_MS, PARKED_GRACE_MS, PROMPT_TIMEOUT_MS
 
 NODES = [f"10.0.0.{number}:7000" for number in range(31)]
 
@@ -84,14 +84,16 @@
     for node in NODES[:nodes]:
         asked = [at for at, name in tries if name == node]
         gaps = [after - before for before, after in zip(asked, asked[1:], strict=False)]
-        assert max(gaps) + CONNECT <= TOLD, "a returning node is asked in time"
+        assert max(gaps) + CONNECT_TIMEOUT_MS <= TOLD, "a returning node is asked in time"
         assert min(gaps[6:], default=MAX_BACKOFF_MS) >= MAX_BACKOFF_MS / 2.0, "and not too often"
 
 
 def test_an_answer_arrives_within_6_s_if_the_next_node_does_not_answer_either():
-    silence = WAIT + SILENCE  # the parked request at a node that stopped answering
-    tries = NEXT_NODE_JITTER_MS + CONNECT + PROMPT  # a node that accepts a connection and never answers
-    assert silence + tries + NEXT_NODE_JITTER_MS + CONNECT < TOLD
+    silence = MAX_WAIT_MS + PARKED_GRACE_MS  # the parked request at a node that stopped answering
+    tries = (
+        NEXT_NODE_JITTER_MS + CONNECT_TIMEOUT_MS + PROMPT_TIMEOUT_MS
+    )  # a node that accepts a connection and never answers
+    assert silence + tries + NEXT_NODE_JITTER_MS + CONNECT_TIMEOUT_MS < TOLD
 
 
 def test_a_refusing_node_is_not_asked_before_its_retry_time_while_others_are():
@@ -148,19 +150,19 @@
         now = NEXT_NODE_JITTER_MS
         while choice.next_request(now).node == second:
             choice.answered(now)
-            now += WAIT
+            now += MAX_WAIT_MS
         assert choice.selected == best
         returns.append(now)
         choice.failed(now)
         assert choice.next_request(now) == NextRequest(second, now) and choice.current == second
-        again = now + FAILBACK_WINDOW_MS + WAIT
+        again = now + FAILBACK_WINDOW_MS + MAX_WAIT_MS
         assert choice.next_request(again).node == best, "the return is tried again"
         choice.answered(again)
         assert choice.current == best and choice.switches == 1
         assert choice.next_request(again + 10 * FAILBACK_WINDOW_MS).node == best
     assert (
         min(returns) >= FAILBACK_MIN_FRACTION * FAILBACK_WINDOW_MS
-        and max(returns) <= FAILBACK_WINDOW_MS + 2.0 * WAIT
+        and max(returns) <= FAILBACK_WINDOW_MS + 2.0 * MAX_WAIT_MS
     )
     halves = Counter(when < FAILBACK_WINDOW_MS * (1.0 + FAILBACK_MIN_FRACTION) / 2.0 for when in returns)
     assert min(halves.values()) > 150
--- a/tests/test_subscription_properties.py
+++ b/tests/test_subscription_properties.py
@@ -21,8 +21,8 @@
 from calicopin.subscription.messages import Grant, MessageError, Reason, Refusal, SubscribeAnswer
 from calicopin.subscription.nodes import NodeChoice
 from calicopin.subscription.session import Session, Standing
-from calicopin.wire.asking import TOLD
-from calicopin.wire.subscriber import AGAIN, PROMPT, SILENCE, WAIT
+from calicopin.wire.poll_schedule import TOLD
+from calicopin.wire.subscriber import AGAIN, MAX_WAIT_MS, PARKED_GRACE_MS, PROMPT_TIMEOUT_MS
 
 FLEET, ADDRESSES, COURIERS, DESTINATIONS = "fleet", ("a", "b"), 2, 4
 LEASE_MS, IDLE = 30000.0, 5000.0
@@ -336,7 +336,7 @@
         elif fate == "cut off unheard":
             return  # the courier closed the connection for a new subscription before the request was read
         elif node == self.silent:
-            self.now += PROMPT if ask.answered_immediately else WAIT + SILENCE
+            self.now += PROMPT_TIMEOUT_MS if ask.answered_immediately else MAX_WAIT_MS + PARKED_GRACE_MS
             courier.nodes.failed(self.now)
         else:
             self.reach(courier, ask, fate)
@@ -348,7 +348,7 @@
             if isinstance(answer, SubscribeAnswer) and not (
                 ask.answered_immediately or answer.grant.complete + answer.grant.unknown
             ):
-                self.now += WAIT
+                self.now += MAX_WAIT_MS
             courier.take(answer, self.source, self.now)
         elif fate == "answer lost":
             courier.nodes.failed(self.now)
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -10,10 +10,10 @@
 from loguru import logger
 
 from calicopin.state.texts import Text
-from calicopin.wire.asking import PollSchedule
 from calicopin.wire.discovery import Discovery
 from calicopin.wire.loop import Loop
 from calicopin.wire.notices import RECONNECT_INTERVAL_MS, Notices
+from calicopin.wire.poll_schedule import PollSchedule
 
 
 def test_an_exception_in_polling_closes_the_connection(loop, monkeypatch):
