--- a/calicopin/capacity/courier.py
+++ b/calicopin/capacity/courier.py
@@ -11,9 +11,8 @@
 from calicopin.wire import discovery, poll_schedule, subscriber
 
 LONG_POLL_S = 2.0  # longest wait of a poll for the list (`wire/poll_schedule.py: longest_wait`)
-RENEWAL_INTERVAL_S = (
-    subscriber.MAX_WAIT_MS / 1000.0
-)  # between the starts of two renewals while nothing changes
+# between the starts of two renewals while nothing changes
+RENEWAL_INTERVAL_S = subscriber.MAX_WAIT_MS / 1000.0
 POLL_PAUSE_S = poll_schedule.POLL_INTERVAL_MS / 1000.0  # between two polls for the list
 SOURCE_CHECK_S = source.POLL_INTERVAL_MS / 1000.0  # longest time until a node notices a change of its source
 MAX_LIST_BYTES = float(discovery.MAX_LIST_BYTES)  # largest answer with a list that a courier reads
--- a/calicopin/capacity/faults.py
+++ b/calicopin/capacity/faults.py
@@ -12,9 +12,8 @@
 from calicopin.wire import subscriber
 
 CONNECT_TIMEOUT_S = subscriber.CONNECT_TIMEOUT_MS / 1000.0  # until a courier gives up connecting to a node
-SILENCE_TIMEOUT_S = (
-    subscriber.MAX_WAIT_MS + subscriber.PARKED_GRACE_MS
-) / 1000.0  # until it leaves a silent node
+# until it leaves a silent node
+SILENCE_TIMEOUT_S = (subscriber.MAX_WAIT_MS + subscriber.PARKED_GRACE_MS) / 1000.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -15,7 +15,7 @@
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.send_guard import SendGuard
 from calicopin.state.journal import Journal
-from calicopin.state.ledger import Ledger
+from calicopin.state.ledger import Counters
 from calicopin.state.texts import Text
 from calicopin.wire import clients, endpoints
 from calicopin.wire import notices as notices_module
@@ -75,7 +75,7 @@
         Journal,
         "taken",
         lambda journal, text: (
-            journal.texts.update({text.ident: text}) or journal.costs.update({text.ident: 0})
+            journal.texts.update({text.ident: text}) or journal.record_sizes.update({text.ident: 0})
         ),
     )
 
@@ -87,12 +87,12 @@
 
 @fault("submit-not-journalled", "kills", EFFECT, 16)
 def _(change):
-    change(Journal, "sent", lambda journal, text, at, zone: text.went_out(at, zone))
+    change(Journal, "sent", lambda journal, text, at, zone: text.mark_sent(at, zone))
 
 
 @fault("may-have-run-forgotten", "kills", EFFECT, 16)
 def _(change):
-    change(Text, "came_back", lambda text, _: setattr(text, "out_at", None))
+    change(Text, "mark_ended", lambda text, _: setattr(text, "out_at", None))
 
 
 @fault("refused-write-forgotten", "disk", ANSWER, 16)
@@ -277,13 +277,13 @@
 
 @fault("reference-lost-on-retry", "loss", EFFECT)
 def _(change):
-    came_back = Text.came_back
+    mark_ended = Text.mark_ended
 
-    def came_back_forgetting_reference(text, ran):
-        came_back(text, ran)
+    def mark_ended_forgetting_reference(text, ran):
+        mark_ended(text, ran)
         text.reference = None
 
-    change(Text, "came_back", came_back_forgetting_reference)
+    change(Text, "mark_ended", mark_ended_forgetting_reference)
 
 
 @fault("second-copy-after-restart", "second-copy", EFFECT)
@@ -354,20 +354,20 @@
 
 @fault("refusals-not-counted", "quiesce", SERVICE, 1)
 def _(change):
-    change(Ledger, "refused", lambda ledger, text, again: None)
+    change(Counters, "refused", lambda counters, text, again: None)
 
 
 @fault("all-ends-count-as-delivered", "scrape", SERVICE, 1)
 def _(change):
-    ended = Ledger.ended
+    ended = Counters.ended
 
-    def ended_as_delivered(ledger, end):
+    def ended_as_delivered(counters, end):
         end.verdict, kept = None, end.verdict
         end.delivered = True
-        ended(ledger, end)
+        ended(counters, end)
         end.verdict = kept
 
-    change(Ledger, "ended", ended_as_delivered)
+    change(Counters, "ended", ended_as_delivered)
 
 
 @fault("drain-keeps-connections", "quiesce", SERVICE, 1)
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -41,7 +41,7 @@
         facade, world = self.facade, self.world
         due = facade.tick(world.now)
         while returned := facade.back():
-            returned[0].came_back(returned[1])
+            returned[0].mark_ended(returned[1])
         while facade.said():
             pass
         while call := facade.pick():
@@ -151,7 +151,7 @@
         number, started_at = self.call_count, self.world.now
         self.open_calls[number] = False  # not yet arrived
         for text in call.texts:
-            text.went_out(started_at, call.place.zone)
+            text.mark_sent(started_at, call.place.zone)
         self.world.call_later(self.latency(), self.arrive, number, courier, call, started_at)
         self.world.call_later(
             call.timeout, self.end, number, courier, call, started_at, Answer(Far.SENT, late=True), False
--- a/calicopin/handover/receiver.py
+++ b/calicopin/handover/receiver.py
@@ -100,7 +100,7 @@
 
     def adopt_idle_connection(self, loop, runtime, clients, connection, sock):
         """Adds an idle connection to an endpoint to the pool, with the time since which it has been idle."""
-        runtime.lines.idle.setdefault(tuple(connection["shelf"]), []).append(
+        runtime.pool.idle.setdefault(tuple(connection["shelf"]), []).append(
             (Connection(loop, sock, h11.CLIENT), connection["since"])
         )
 
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -150,7 +150,7 @@
     def snapshot(self, outstanding_calls):
         """The state for the successor: decisions, calls in flight, the list, and figures of connections."""
         stop, calls = self.stop, [outstanding.call for outstanding in outstanding_calls]
-        pool = self.runtime.lines
+        pool = self.runtime.pool
         return snapshot(self.runtime.facade, calls) | dict(
             until=[outstanding.until for outstanding in outstanding_calls],
             began=[outstanding.began for outstanding in outstanding_calls],
@@ -194,9 +194,9 @@
                         connection,
                     )
                 )
-        for key, idle in runtime.lines.idle.items():
+        for key, idle in runtime.pool.idle.items():
             connections += [("idle", dict(shelf=key, since=since), connection) for connection, since in idle]
-        runtime.lines.idle = {}
+        runtime.pool.idle = {}
         for start in range(0, len(connections), CONNECTIONS_PER_FRAME):
             batch = connections[start : start + CONNECTIONS_PER_FRAME]
             channel.send(
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -100,7 +100,7 @@
             self.apply_partner_list(post, old)
         if post.descriptors != old.descriptors:
             budget = Budget(post.descriptors, old.terms["familyInfo"]["workers"], bool(old.admin))
-            self.clients.budget, self.runtime.lines.most = budget, budget.endpoints
+            self.clients.budget, self.runtime.pool.most = budget, budget.endpoints
             logger.info(
                 "SIGHUP: {now} descriptors, {before} before",
                 event="reload.descriptors",
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -41,15 +41,15 @@
     It is the acceptor of `wire.clients.Clients` and takes the list from discovery.
     """
 
-    def __init__(self, loop, facade, journal, lines, connect_timeout, ledger):
-        self.loop, self.facade, self.journal, self.lines = loop, facade, journal, lines
+    def __init__(self, loop, facade, journal, pool, connect_timeout, counters):
+        self.loop, self.facade, self.journal, self.pool = loop, facade, journal, pool
         self.connect_timeout, self.notices, self.current = connect_timeout, None, False
         self.subscribed = None  # with discovery nodes: a `Subscribed`
         self.list_agent = None  # if set, no decision is made before its first request for the list has ended
         self.list_deadline = None  # no call is made before this time or the first list
         self.waiting, self.calls, self.given_up, self.calling, self.refusing = [], [], [], True, False
         self.unacknowledged = set()  # ids of accepted texts whose 202 is not sent yet
-        self.outstanding_calls, self.ledger = {}, ledger
+        self.outstanding_calls, self.counters = {}, counters
         # consecutive failed turns and the time of the first; no message is accepted until a turn succeeds
         self.stuck, self.first_failure_at = 0, 0.0
         self.guard = SendGuard(facade.module.fail_back.cold, log_broken_invariant)
@@ -100,8 +100,8 @@
         """Takes over the state that another process handed over."""
         for text in receiver.restore(self.facade, self.journal, self.loop.now()):
             self.notices.owe(text)
-        self.current, self.lines.trusted_idle_ms = receiver.snapshot["current"], receiver.snapshot["trust"]
-        self.lines.fastest_answer_ms = {
+        self.current, self.pool.trusted_idle_ms = receiver.snapshot["current"], receiver.snapshot["trust"]
+        self.pool.fastest_answer_ms = {
             (ident, address): best for ident, address, best in receiver.snapshot["fastest"]
         }
 
@@ -120,16 +120,16 @@
             return 409, 0.0
         if (refusal := self.destination_refusal(text)) is not None:
             call_log.log_refused(text, refusal[0], "its destination is not listed")
-            self.ledger.refused(text, again=refusal[0] == 503)
+            self.counters.refused(text, again=refusal[0] == 503)
             return refusal
         if why := self.refusal_reason(text):
             call_log.log_refused(text, 503, why)
-            self.ledger.refused(text, again=True)
+            self.counters.refused(text, again=True)
             return 503, self.retry_after(text)
-        self.journal.taken(text)
+        self.journal.accepted(text)
         call_log.log_accepted(text, self.loop.now())
         self.facade.hand_in(text)
-        self.ledger.taken += 1
+        self.counters.taken += 1
         return None
 
     def destination_refusal(self, text):
@@ -208,17 +208,19 @@
             return
         if whole or places:
             former, now_listed = self.facade.listed(places, whole), self.facade.places
-            if whole or self.lines.listed is None:
-                self.lines.list(now_listed.values())
+            if whole or self.pool.listed is None:
+                self.pool.set_listed(now_listed.values())
             else:
                 removed = [place for place in former.values() if place is not None]
-                self.lines.change(removed, [now_listed[number] for number in former if number in now_listed])
+                self.pool.update_listed(
+                    removed, [now_listed[number] for number in former if number in now_listed]
+                )
 
     def released(self, destination):
         """The subscription to a destination has ended."""
         removed = self.facade.release(destination)
-        if self.lines.listed is not None:
-            self.lines.change(removed, [])
+        if self.pool.listed is not None:
+            self.pool.update_listed(removed, [])
 
     # The turn.
 
@@ -236,7 +238,7 @@
             self.stuck, due = 0, self.loop.now()
             self.facade.pause_calls(self.list_deadline is not None)
         while place := self.facade.given_back():
-            self.lines.close_idle(place)
+            self.pool.close_idle(place)
         while line := self.facade.said():
             logger.info("{line}", event="decided", line=line)
         waiting, self.waiting = self.waiting, []
@@ -286,7 +288,7 @@
         """Refuses messages that wait to be journalled once `HOLD` ms have passed. If part of a record may be
         in the file, each is refused only shortly before its validity ends: a restart might still send it.
         """
-        window_passed = now >= self.first_failure_at + HOLD and not self.journal.torn
+        window_passed = now >= self.first_failure_at + HOLD and not self.journal.may_hold_unflushed
         waiting, self.waiting = self.waiting, []
         for event in waiting:
             if window_passed or now >= event.text.until - LAST_WORD:
@@ -331,7 +333,7 @@
         """Starts a call if the guard permits it; returns whether it was started. The time-out counts from
         now, but ends at the latest with the validity of the call's first text, however long the turn took.
         """
-        now, kept = self.loop.now(), self.journal.routes.of(call.place)
+        now, kept = self.loop.now(), self.journal.routes.state_of(call.place)
         if not self.guard.may_call(call, self.facade.endpoint_of(call), kept, now):
             self.facade.report(call, Answer(Far.CALLED_OFF), 0.0)
             return False
@@ -341,7 +343,7 @@
             outstanding,
             lambda on_written, report: submit(
                 self.loop,
-                self.lines,
+                self.pool,
                 outstanding,
                 self.connect_timeout,
                 self.facade.still,
@@ -356,7 +358,7 @@
         self.spawn_call(
             outstanding,
             lambda on_written, report: resume_call(
-                self.loop, self.lines, outstanding, connection, received, report
+                self.loop, self.pool, outstanding, connection, received, report
             ),
         )
 
@@ -369,13 +371,13 @@
         """Writes the decisions to the journal; they take effect outside only once it holds them."""
         facade, journal, now = self.facade, self.journal, self.loop.now()
         while back := facade.back():
-            journal.back(*back)
+            journal.submit_ended(*back)
         while self.calling and (call := facade.pick()):
             for text in call.texts:
                 journal.sent(text, now, call.place.zone)
             self.calls.append(call)
         while end := facade.ended():
-            self.ledger.ended(end)
+            self.counters.ended(end)
             if end.verdict is None:
                 call_log.log_ended(end, now)
                 self.complete(end.text)
@@ -399,7 +401,7 @@
         collected = False
 
         def on_written():
-            self.ledger.forwards += len(call.texts)
+            self.counters.forwards += len(call.texts)
 
         def report(result):
             elapsed = self.loop.now() - started
@@ -424,8 +426,8 @@
                 self.guard.call_ended(call)
 
     def statistics(self):
-        """The answer to `GET /admin/stats`: the ledger, texts without an end, and the size of the list."""
-        return self.ledger.told() | dict(
+        """The answer to `GET /admin/stats`: the counters, texts without an end, and the size of the list."""
+        return self.counters.by_product() | dict(
             outstanding=len(self.facade.texts),
             discovered=len(self.facade.places),
             ejected=self.facade.avoided(),
@@ -433,19 +435,19 @@
 
     def status(self):
         """The answer to `GET /-/status` as JSON: totals, queue sizes and the state of each destination."""
-        ledger = self.ledger
+        counters = self.counters
         return json.dumps(
             self.statistics()
             | dict(
-                taken=ledger.taken,
-                turned_away=ledger.turned_away,
-                given_up=ledger.noticed,
+                taken=counters.taken,
+                turned_away=counters.turned_away,
+                given_up=counters.notices_heard,
                 held=len(self.facade.texts),
                 calls_out=self.out,
                 notices_owed=len(self.notices.owed),
                 journal_bytes=self.journal.size,
                 journal_stuck=self.stuck,
-                idle_connections=self.lines.count,
+                idle_connections=self.pool.count,
                 destinations=self.facade.state(),
                 invariants_broken=self.guard.counts_by_name(),
             )
@@ -454,33 +456,33 @@
 
     def told(self, text):
         """The platform has received the notice of a text."""
-        self.ledger.noticed += 1
+        self.counters.notices_heard += 1
         self.complete(text)
 
     def complete(self, text):
         """Marks a text as finished in the journal."""
-        self.journal.over(text, self.loop.now())
+        self.journal.ended(text, self.loop.now())
 
     def run_housekeeping(self):
         """A coroutine that closes idle connections and logs the loop's lag and the totals."""
         report_at = self.loop.now() + REPORT_INTERVAL_MS
         while True:
             yield Until(self.loop.now() + SWEEP)
-            self.lines.sweep(self.loop.now())
+            self.pool.sweep(self.loop.now())
             if self.loop.now() >= report_at:
                 message = (
                     "loop at most {late_ms:.1f} ms late; {taken} accepted, {turned_away} refused, "
                     "{given_up} given up, "
                     "{held} held, {out} calls in progress"
                 )
-                ledger = self.ledger
+                counters = self.counters
                 logger.info(
                     message,
                     event="figures",
                     late_ms=self.loop.lateness,
-                    taken=ledger.taken,
-                    turned_away=ledger.turned_away,
-                    given_up=ledger.noticed,
+                    taken=counters.taken,
+                    turned_away=counters.turned_away,
+                    given_up=counters.notices_heard,
                     held=len(self.facade.texts),
                     out=self.out,
                 )
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -16,9 +16,9 @@
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.stop import Shutdown
-from calicopin.state.connections import Budget, Lines
+from calicopin.state.connections import Budget, ConnectionPool
 from calicopin.state.journal import Journal
-from calicopin.state.ledger import Ledger
+from calicopin.state.ledger import Counters
 from calicopin.system import HERE, patiently
 from calicopin.wire.clients import Clients
 from calicopin.wire.discovery import Discovery, decode_list
@@ -181,11 +181,11 @@
                 post.folder, disk, wall_clock_offset, system, longest_validity, boot, in_flight, loop.now
             ),
         )
-    facade = Facade(post.seed, terms, budget.calls, loop.now(), journal.again and not receiver)
+    facade = Facade(post.seed, terms, budget.calls, loop.now(), journal.is_restart and not receiver)
     # idle connections are closed at least one connect time-out before the limit
-    lines = Lines(budget.endpoints, max(idle_timeout / 2.0, idle_timeout - connect_timeout))
+    pool = ConnectionPool(budget.endpoints, max(idle_timeout / 2.0, idle_timeout - connect_timeout))
     runtime = Runtime(
-        loop, facade, journal, lines, connect_timeout, Ledger(grade["name"] for grade in terms["grades"])
+        loop, facade, journal, pool, connect_timeout, Counters(grade["name"] for grade in terms["grades"])
     )
     notice_address = post.discovery or post.notices
     runtime.notices = (
--- a/calicopin/lifecycle/subscribed.py
+++ b/calicopin/lifecycle/subscribed.py
@@ -85,7 +85,7 @@
         for destination in self.facade.destinations():
             if destination not in self.initial_endpoints and not self.in_use(destination):
                 self.facade.release(destination)
-        self.task = self.loop.spawn_restarting(self.known_list.keep)
+        self.task = self.loop.spawn_restarting(self.known_list.run)
         return self.subscriber
 
     def stop(self) -> None:
--- a/calicopin/scale/measures.py
+++ b/calicopin/scale/measures.py
@@ -146,7 +146,7 @@
         for number in range(count):
             now = number * 0.01
             text = make_text(number, now)
-            journal.taken(text)
+            journal.accepted(text)
             facade.hand_in(text)
             facade.tick(now)
             if number % 100 == 99:
@@ -203,7 +203,7 @@
     def _submit(self, text: Text, now: float) -> None:
         text.until = now + VALIDITY_S * 1000.0
         if self.journal:
-            self.journal.taken(text)
+            self.journal.accepted(text)
         self.facade.hand_in(text)
 
     def _tick(self, now: float) -> None:
@@ -216,7 +216,7 @@
         while end := self.facade.ended():
             self.delivered += end.delivered
             if self.journal:
-                self.journal.over(end.text, now)
+                self.journal.ended(end.text, now)
         while self.facade.said():
             pass
         if self.journal:
--- a/calicopin/state/connections.py
+++ b/calicopin/state/connections.py
@@ -28,7 +28,7 @@
         self.other_clients = available - self.endpoints - self.clients
 
 
-class Lines:
+class ConnectionPool:
     """A pool of connections to endpoints: at most `most`, in use or idle.
 
     Idle connections are kept by endpoint and address, since an address may pass to another endpoint. The one
@@ -118,7 +118,7 @@
             )
         return closed_while_idle
 
-    def list(self, places):
+    def set_listed(self, places):
         """Sets the endpoints that are listed now and closes idle connections to all others."""
         self.listed = {self.key(place) for place in places}
         for key in [key for key in self.idle if key not in self.listed]:
@@ -129,7 +129,7 @@
         }
         self.answered_unlisted.clear()
 
-    def change(self, removed, added):
+    def update_listed(self, removed, added):
         """Updates the listed endpoints at a cost that depends on the number of changes only. `removed` holds
         the changed endpoints as they were before, `added` as they are now.
         """
--- a/calicopin/state/journal.py
+++ b/calicopin/state/journal.py
@@ -46,7 +46,7 @@
         remaining = remaining[system.write(file, remaining) :]
 
 
-class KeptRoutes:
+class RouteStates:
     """The kept state of routes, by destination and endpoint, the one changed last at the end; `size` is the
     number of bytes that their records take.
     """
@@ -62,7 +62,7 @@
             self.states[key], self.sizes[key] = state, size
             self.size += size
 
-    def of(self, place):
+    def state_of(self, place):
         """The state that applies to an endpoint: its own, or that of its destination; else None."""
         return self.states.get((place.dest, place.ident)) or self.states.get((place.dest, None))
 
@@ -70,7 +70,7 @@
         """The keys under which states of a destination are kept."""
         return [key for key in self.states if key[0] == dest]
 
-    def over(self, most):
+    def evict_beyond(self, most):
         """Drops states until the rest takes at most `most` bytes, and returns their keys. Those that hold no
         outage are dropped first, in each case the ones unchanged for longest.
         """
@@ -109,14 +109,14 @@
         # read_offset: that of the records being read
         self.max_validity, self.boot, self.read_offset = max_validity, boot, offset
         self.in_flight_elsewhere = in_flight_elsewhere or ()
-        self.past = EndedIds(max_validity)
+        self.ended_ids = EndedIds(max_validity)
         self.limit(most)
-        self.texts, self.costs, self.live_bytes, self.buffer, self.file = {}, {}, 0, bytearray(), None
-        self.routes = KeptRoutes()
+        self.texts, self.record_sizes, self.live_bytes, self.buffer, self.file = {}, {}, 0, bytearray(), None
+        self.routes = RouteStates()
         self.interrupted = {}  # destinations to which the last process had a call in flight, in order
         self.continuous = True  # whether the records read are of this boot's monotonic clock
-        self.torn = False  # whether a restart may read records that were not flushed
-        self.size, self.again = 0, self._replay()
+        self.may_hold_unflushed = False  # whether a restart may read records that were not flushed
+        self.size, self.is_restart = 0, self._replay()
         if in_flight_elsewhere is None:
             self.begin()
 
@@ -133,7 +133,7 @@
 
     def limit(self, most):
         """Sets the number of bytes that the folder may hold; the old file and its successor both fit."""
-        self.most, self.max_live_bytes, self.max_ended_id_bytes = most // 2, most * 2 // 5, most // 20
+        self.max_bytes, self.max_live_bytes, self.max_ended_id_bytes = most // 2, most * 2 // 5, most // 20
         self.max_route_bytes = most // 10
 
     # Reading.
@@ -161,7 +161,7 @@
         for text in self.texts.values():
             if text.out_at is not None and text.ident not in self.in_flight_elsewhere:
                 self.interrupted[text.dest] = None
-                text.came_back(True)
+                text.mark_ended(True)
 
     def _apply_record(self, kind, payload):
         if kind == ACCEPTED:
@@ -179,7 +179,7 @@
             return
         if kind == ENDED_IDS:
             for ident, at in json.loads(payload):
-                self.past.add(ident, min(at - self.read_offset, self.now()))
+                self.ended_ids.add(ident, min(at - self.read_offset, self.now()))
             return
         ident, *values = json.loads(payload)
         if kind == FILE_HEADER:  # (boot, offset)
@@ -199,15 +199,15 @@
         if text is None:
             return
         if kind == SENT:
-            text.went_out(values[0] - self.read_offset, values[1])
+            text.mark_sent(values[0] - self.read_offset, values[1])
         elif kind == SUBMIT_ENDED:
-            text.came_back(values[0])
+            text.mark_ended(values[0])
         elif kind == GIVEN_UP:
             text.verdict, text.wait = values
         elif kind == ENDED:
             del self.texts[ident]
             for at in values:  # not in journals of older versions
-                self.past.add(ident, min(at - self.read_offset, self.now()))
+                self.ended_ids.add(ident, min(at - self.read_offset, self.now()))
 
     # Writing.
 
@@ -254,7 +254,7 @@
         record = self._route_record((dest, endpoint), state)
         self.routes.put((dest, endpoint), state, state and len(record))
         self.buffer += record
-        for key in self.routes.over(self.max_route_bytes):
+        for key in self.routes.evict_beyond(self.max_route_bytes):
             logger.error(
                 "no room in the journal for the route state of destination {destination}, dropped",
                 event="journal.route-dropped",
@@ -266,25 +266,25 @@
         return b"".join(self._route_record(key, state) for key, state in self.routes.states.items())
 
     def _add_cost(self, text, record):
-        self.costs[text.ident] = len(record)
+        self.record_sizes[text.ident] = len(record)
         self.live_bytes += len(record)
         return record
 
-    def taken(self, text):
+    def accepted(self, text):
         """Records that a text was accepted; it survives a crash of the process once `flush` has returned."""
         self.texts[text.ident] = text
         self.buffer += self._add_cost(text, self._text_record(text))
 
     def sent(self, text, at, zone):
         """Records that a submit of the text is about to be sent to the zone; `at` in ms."""
-        text.went_out(at, zone)
+        text.mark_sent(at, zone)
         self._buffer_record(SENT, text.ident, at + self.offset, zone)
 
-    def back(self, text, may_have_run):
+    def submit_ended(self, text, may_have_run):
         """Records the end of the submit that was in flight; `may_have_run`: the endpoint may have executed
         it.
         """
-        text.came_back(may_have_run)
+        text.mark_ended(may_have_run)
         self._buffer_record(SUBMIT_ENDED, text.ident, may_have_run)
 
     def given_up(self, text, verdict, wait):
@@ -294,21 +294,21 @@
         text.verdict, text.wait = verdict, wait
         self._buffer_record(GIVEN_UP, text.ident, verdict, wait)
 
-    def over(self, text, now):
+    def ended(self, text, now):
         """Records that nothing is owed for the text any more; its id is kept from `now` (ms) on."""
         if self.texts.pop(text.ident, None) is not None:
-            self.live_bytes -= self.costs.pop(text.ident)
+            self.live_bytes -= self.record_sizes.pop(text.ident)
             self._buffer_record(ENDED, text.ident, now + self.offset)
-            self.past.add(text.ident, now)
+            self.ended_ids.add(text.ident, now)
 
     def knows(self, ident):
         """Whether the id is that of a live text or of one that ended within the longest validity period."""
-        return ident in self.texts or ident in self.past
+        return ident in self.texts or ident in self.ended_ids
 
     def flush(self):
         """Writes the buffered records to the file. On OSError they stay in the buffer."""
         if self.buffer:
-            if self.file is None or allocated_bytes(self.size + len(self.buffer)) > self.most:
+            if self.file is None or allocated_bytes(self.size + len(self.buffer)) > self.max_bytes:
                 self._rewrite()
                 return
             try:
@@ -330,16 +330,16 @@
 
     def _abandon_file(self):
         """Closes the current file, whose contents are uncertain; the next flush begins a new one."""
-        file, self.file, self.torn = self.file, None, True
+        file, self.file, self.may_hold_unflushed = self.file, None, True
         if file is not None:
             self.system.close(file)
 
     def _rewrite(self):
         """Writes the live records to a new file, which then replaces the old one."""
-        self.costs, self.live_bytes = {}, 0
+        self.record_sizes, self.live_bytes = {}, 0
         ended_ids = [
             (ident, at + self.offset)
-            for ident, at in self.past.newest(self.max_ended_id_bytes // ENDED_ID_BYTES)
+            for ident, at in self.ended_ids.newest(self.max_ended_id_bytes // ENDED_ID_BYTES)
         ]
         data = b"".join(
             [
@@ -363,5 +363,5 @@
             raise
         if self.file is not None:
             self.system.close(self.file)
-        self.file, self.size, self.torn = successor, len(data), False
+        self.file, self.size, self.may_hold_unflushed = successor, len(data), False
         self.buffer.clear()
--- a/calicopin/state/known_list.py
+++ b/calicopin/state/known_list.py
@@ -25,8 +25,8 @@
 DISK_DIVISOR = 20  # the file takes at most 1/20 of the disk limit, and as much again while it is replaced
 RESERVED_DIVISOR = DISK_DIVISOR // 2  # 1/10 of the disk limit is reserved for both files
 DESTINATIONS_PER_PASS = 64  # destinations encoded in one pass of the event loop
-LOOK = 3000.0  # interval between checks whether the file is due, ms
-REFRESH = 600_000.0  # age after which a file gets a new date if the list was confirmed since, ms
+CHECK_INTERVAL_MS = 3000.0  # interval between checks whether the file is due, ms
+REFRESH_AGE_MS = 600_000.0  # age after which a file gets a new date if the list was confirmed since, ms
 
 
 class DamagedError(ValueError):
@@ -119,7 +119,7 @@
             fleet,
             max_age,
         )
-        self.known, self.most = dict, 0
+        self.known, self.max_bytes = dict, 0
         self.limit(disk)
         self._changed = False
         self.boot = patiently(loop.system, loop.system.boot)
@@ -128,7 +128,7 @@
 
     def limit(self, disk: int) -> None:
         """Sets the number of bytes that the folder may hold."""
-        self.most = min(MAX_FILE_BYTES, disk // DISK_DIVISOR)
+        self.max_bytes = min(MAX_FILE_BYTES, disk // DISK_DIVISOR)
 
     def read(self) -> dict[int, list[Place]]:
         """The list of the last process; empty if there is none that may be used."""
@@ -150,7 +150,7 @@
 
     def _log_ignored(self, reason: str) -> None:
         logger.warning(
-            "stored list {path} is passed over: {why}",
+            "stored list {path} is ignored: {why}",
             event="subscription.list-unread",
             path=self.path,
             why=reason,
@@ -172,13 +172,13 @@
         """Whether the file has to be written again."""
         if self._confirmed_at is None:
             return False
-        outdated = self._written_at is None or self._written_at.age(self._confirmed_at) >= REFRESH
+        outdated = self._written_at is None or self._written_at.age(self._confirmed_at) >= REFRESH_AGE_MS
         return self._changed or outdated
 
-    def keep(self):
+    def run(self):
         """A coroutine that writes the file every few seconds if it is due."""
         while True:
-            yield Until(self.loop.now() + LOOK)
+            yield Until(self.loop.now() + CHECK_INTERVAL_MS)
             if self.due():
                 yield from self.write()
 
@@ -192,7 +192,7 @@
         for number, (destination, places) in enumerate(known.items(), 1):
             encoded = encode_destination(destination, places)
             size += len(encoded) + 1
-            if size > self.most - 1024:  # reserve for the header, with the names of fleet and boot
+            if size > self.max_bytes - 1024:  # reserve for the header, with the names of fleet and boot
                 break
             encoded_destinations.append(encoded)
             if number % DESTINATIONS_PER_PASS == 0:
--- a/calicopin/state/ledger.py
+++ b/calicopin/state/ledger.py
@@ -1,7 +1,7 @@
 """Counters behind the courier's figures, updated where the end, submit or refusal of a text is decided."""
 
 
-class Ledger:
+class Counters:
     """Counts since the start of the process, by product for each name in `products`.
 
     Each text that is handed in ends under exactly one of `succeeded`, `declined`, `aborted` and `withdrawn`;
@@ -13,7 +13,7 @@
         self.succeeded, self.declined, self.aborted, self.withdrawn = (
             dict.fromkeys(self.products, 0) for _ in range(4)
         )
-        self.taken = self.turned_away = self.noticed = self.forwards = 0
+        self.taken = self.turned_away = self.notices_heard = self.forwards = 0
 
     def refused(self, text, again):
         """Counts a text that was not accepted; `again` says whether it may be handed in again."""
@@ -28,7 +28,7 @@
             counts = self.declined if end.verdict == "bounced" else self.aborted
         counts[self.products[end.text.product]] += 1
 
-    def told(self):
+    def by_product(self):
         """The counts by product, and the number of texts written completely to endpoints (`forwards`)."""
         return dict(
             succeeded=self.succeeded,
--- a/calicopin/state/texts.py
+++ b/calicopin/state/texts.py
@@ -27,11 +27,11 @@
     verdict: str | None = None  # set once the text is given up: the notice that is still owed
     wait: float = 0.0
 
-    def went_out(self, sent_at, zone):
+    def mark_sent(self, sent_at, zone):
         """Records that a submit is sent to `zone`; `sent_at` in ms."""
         self.tries, self.out_at, self.out_zone = self.tries + 1, sent_at, zone
 
-    def came_back(self, may_have_run):
+    def mark_ended(self, may_have_run):
         """Records the end of the submit that was in flight, and the first one that may have been executed."""
         if may_have_run and self.ran_at is None:
             self.ran_at, self.ran_zone = self.out_at, self.out_zone
--- a/calicopin/store/measure.py
+++ b/calicopin/store/measure.py
@@ -56,7 +56,7 @@
         )
         self.texts = {}
 
-    def taken(self, text):
+    def accepted(self, text):
         """Inserts a row for an accepted text."""
         self.texts[text.ident] = text
         self.database.execute(
@@ -67,7 +67,7 @@
         """Counts a submit in the text's row."""
         self.database.execute("update text set tries=tries+1 where id=?", (text.ident,))
 
-    def over(self, text, now):
+    def ended(self, text, now):
         """Deletes the row of a text that has ended."""
         del self.texts[text.ident]
         self.database.execute("delete from text where id=?", (text.ident,))
@@ -100,7 +100,7 @@
         store, number, flush_times, peak = STORES[name](folder, limit), 0, [], 0
         while number < live:
             for _ in range(500):
-                store.taken(make_text(number))
+                store.accepted(make_text(number))
                 number += 1
             store.flush()
         waiting = iter(list(store.texts.values()))
@@ -111,10 +111,10 @@
             for _ in range(texts_per_turn):
                 text = make_text(number)
                 number += 1
-                store.taken(text)
+                store.accepted(text)
                 ending = next(waiting, None) or text
                 store.sent(ending, 1000.0, "a")
-                store.over(ending, HERE.now())
+                store.ended(ending, HERE.now())
             start = time.perf_counter()
             store.flush()
             flush_times.append((time.perf_counter() - start) * 1000.0)
--- a/calicopin/store/segments.py
+++ b/calicopin/store/segments.py
@@ -125,7 +125,11 @@
         Live records may fill half of it, since a second copy of all of them is never written.
         """
         self.segment_bytes = plan.segment_size(most)
-        self.most, self.max_live_bytes, self.max_ended_id_bytes = most - most // 20, most // 2, most // 20
+        self.max_bytes, self.max_live_bytes, self.max_ended_id_bytes = (
+            most - most // 20,
+            most // 2,
+            most // 20,
+        )
         self.max_route_bytes = self.segment_bytes // 2  # all of them are written at the head of each segment
 
     def _path(self, number):
@@ -225,14 +229,14 @@
         self._unassign(ident)
         self.segment_of[ident] = number
         self.live_sizes.setdefault(number, {})[ident] = size
-        self.costs[ident] = size
+        self.record_sizes[ident] = size
         self.live_bytes += size
 
     def _unassign(self, ident):
         number = self.segment_of.pop(ident, None)
         if number is not None:
             self.live_bytes -= self.live_sizes[number].pop(ident)
-            self.costs.pop(ident, None)
+            self.record_sizes.pop(ident, None)
 
     # Writing.
 
@@ -240,7 +244,7 @@
         self._assign(text.ident, self.number, len(record))
         return record
 
-    def over(self, text, now):
+    def ended(self, text, now):
         """Records that nothing is owed for the text any more; its id is kept in the segment written now, from
         `now` (ms) on.
         """
@@ -248,7 +252,7 @@
             del self.texts[text.ident]
             self._unassign(text.ident)
             self._buffer_record(ENDED, text.ident, now + self.offset)
-            self.past.add(text.ident, now)
+            self.ended_ids.add(text.ident, now)
             # segment 0 stands for the first segment if that could not be created yet
             self.ended_by_segment.setdefault(self.number, deque()).append(text.ident)
 
@@ -308,7 +312,7 @@
         data = self.segment_head + self.buffer
         if data:
             self._append(data)
-            self.torn, self.segment_head = False, b""
+            self.may_hold_unflushed, self.segment_head = False, b""
             self.buffer.clear()
 
     def _append(self, data):
@@ -339,7 +343,7 @@
             self._truncate()
             if self.file is not None:
                 self._abandon_file()
-                self.torn = False  # the records that were not synced were cut off
+                self.may_hold_unflushed = False  # the records that were not synced were cut off
             for ident in list(self.live_sizes[self.number]):
                 if ident in self.texts:
                     self.to_rewrite[ident] = None
@@ -391,13 +395,13 @@
         for oldest in sorted(self.sizes)[:-1]:
             live_sizes, total = self.live_sizes[oldest], self.total()
             remaining = sum(live_sizes.values()) + ENDED_ID_BYTES * len(self.ended_by_segment[oldest])
-            urgent = total + self.segment_bytes + remaining > self.most
+            urgent = total + self.segment_bytes + remaining > self.max_bytes
             if remaining and cleaned and not urgent:
                 return
             budget = plan.bytes_to_move(
                 total,
-                self.live_bytes + min(self.max_ended_id_bytes, ENDED_ID_BYTES * len(self.past.idents)),
-                self.most,
+                self.live_bytes + min(self.max_ended_id_bytes, ENDED_ID_BYTES * len(self.ended_ids.idents)),
+                self.max_bytes,
                 self.segment_bytes,
                 written_bytes,
                 remaining,
@@ -430,7 +434,7 @@
         kept = [
             (ident, at + self.offset)
             for ident in dict.fromkeys(idents)
-            if (at := self.past.ended_at(ident, max_ids)) is not None
+            if (at := self.ended_ids.ended_at(ident, max_ids)) is not None
         ]
         if not kept:
             return 0
--- a/tests/courier_helper.py
+++ b/tests/courier_helper.py
@@ -31,7 +31,7 @@
     while call := decisions.pick():
         calls.append(call)
         for sent in call.texts:
-            sent.went_out(0.0, call.place.zone)
+            sent.mark_sent(0.0, call.place.zone)
     return calls
 
 
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -26,7 +26,7 @@
     peer.wait(b"\xfe\xfe\xfe")
     peer.say(answer(200))
     spin(courier.loop, lambda: not courier.runtime.journal.texts and not courier.runtime.out)
-    assert courier.runtime.lines.count == 1 and not courier.runtime.facade.texts
+    assert courier.runtime.pool.count == 1 and not courier.runtime.facade.texts
 
 
 def test_a_message_is_journalled_before_its_202_and_its_submit_before_the_first_byte(tmp_path):
@@ -78,10 +78,10 @@
     assert courier.post("a", size=9) == b"409" and len(courier.runtime.journal.texts["a"].body) == 3
     peer.say(answer(200))
     spin(courier.loop, lambda: not courier.runtime.journal.texts)
-    assert courier.post("a") == b"409" and courier.runtime.ledger.taken == 1
+    assert courier.post("a") == b"409" and courier.runtime.counters.taken == 1
     courier.loop.now.now += 20_001.0
-    courier.runtime.journal.past.add("b", courier.loop.now())
-    assert "a" not in courier.runtime.journal.past
+    courier.runtime.journal.ended_ids.add("b", courier.loop.now())
+    assert "a" not in courier.runtime.journal.ended_ids
 
 
 def test_a_message_for_a_destination_that_was_never_listed_is_refused(tmp_path):
@@ -217,7 +217,7 @@
     peer = courier.endpoint.meet()
     peer.wait(b"\xfe\xfe\xfe")
     peer.say(answer(200))
-    spin(courier.loop, lambda: courier.runtime.lines.count)
+    spin(courier.loop, lambda: courier.runtime.pool.count)
     facade = courier.runtime.facade
     for number in range(200):
         courier.runtime.update_list(
@@ -226,7 +226,7 @@
         courier.runtime.update_list([place(f"t-{number}", ready=False, left=True)], False)
         courier.loop.now.now += 1000.0
         courier.loop.once(courier.loop.now())
-    assert not courier.runtime.lines.count and not peer.wait_end() and not facade.places
+    assert not courier.runtime.pool.count and not peer.wait_end() and not facade.places
     assert (
         max(len(table) for table in (facade.endpoints.index, facade.endpoints.ident, facade.module.endpoints))
         <= 62
@@ -268,7 +268,7 @@
     courier = CourierFixture(tmp_path)
     tick, courier.runtime.facade.tick = courier.runtime.facade.tick, None
     courier.loop.once(courier.loop.now())
-    assert courier.post("a") == b"503" and courier.post("b") == b"503" and not courier.runtime.ledger.taken
+    assert courier.post("a") == b"503" and courier.post("b") == b"503" and not courier.runtime.counters.taken
     courier.runtime.facade.tick = tick
     courier.loop.once(courier.loop.now())
     assert courier.post("a") == b"202" and not courier.runtime.stuck
@@ -283,7 +283,7 @@
         b"POST /notice HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\nX-Timeout: 9\r\nX-Envelope: dest=7\r\n"
         b"Content-Length: 0\r\n\r\n"
     )
-    spin(courier.loop, lambda: courier.runtime.ledger.taken)
+    spin(courier.loop, lambda: courier.runtime.counters.taken)
     courier.runtime.take(Text("late", 7, 0, None, None, 0.0, b""))
     for _ in range(20):
         courier.loop.once(courier.loop.now())
@@ -372,8 +372,8 @@
     watch.say(answer(200, json.dumps({"version": 2, "full": True, "servers": [other]}).encode()))
     assert b"index=2&wait=2000" in watch.wait(b"\r\n\r\n")
     assert (
-        courier.runtime.lines.most == Budget(40, 8).endpoints < Budget(256, 8).endpoints
-        and courier.runtime.journal.most == 3_000_000
+        courier.runtime.pool.most == Budget(40, 8).endpoints < Budget(256, 8).endpoints
+        and courier.runtime.journal.max_bytes == 3_000_000
     )
     assert courier.loop.running and courier.post("b") == b"202"
 
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -17,7 +17,7 @@
 from calicopin.interface import How
 from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, STOP_LIMIT_MS
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
-from calicopin.state.connections import Lines
+from calicopin.state.connections import ConnectionPool
 from calicopin.wire.clients import (
     LINGER_MS,
     NEW_CONNECTION_MIN_IDLE_MS,
@@ -376,20 +376,20 @@
     """The bytes before the answer may belong to another one: the call may have run, and the connection is not
     used again.
     """
-    listener, lines = Listener(loop), Lines(4, 1000.0)
+    listener, lines = Listener(loop), ConnectionPool(4, 1000.0)
     first = Out(loop, call(listener.address), lines)
     peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.say(answer(200))
     assert first.end().status == 200 and lines.count == 1
-    is_usable = Lines.is_usable
+    is_usable = ConnectionPool.is_usable
 
     def crossed(lines, line, since, now):
         quiet = is_usable(lines, line, since, now)
         peer.say(b"HTTP/1.1 2")
         return quiet
 
-    monkeypatch.setattr(Lines, "is_usable", crossed)
+    monkeypatch.setattr(ConnectionPool, "is_usable", crossed)
     exchange = Out(loop, call(listener.address), lines)
     peer.wait(b"\x00\xff")
     peer.say(answer(200))
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -28,7 +28,7 @@
     Undeliverable,
     Withdrawn,
 )
-from calicopin.state.connections import Lines
+from calicopin.state.connections import ConnectionPool
 
 
 def lines_run(work):
@@ -208,13 +208,13 @@
 def test_one_changed_entry_costs_the_facade_and_the_connections_the_same_at_any_number():
     costs = {}
     for count in (100, 1000, 10000):
-        courier_facade, lines = facade_with(count), Lines(8, 9000.0)
-        lines.list(courier_facade.places.values())
+        courier_facade, lines = facade_with(count), ConnectionPool(8, 9000.0)
+        lines.set_listed(courier_facade.places.values())
 
         def change(places, courier_facade=courier_facade, lines=lines):
             former = courier_facade.listed(places, False)
             now = [courier_facade.places[number] for number in former if number in courier_facade.places]
-            lines.change([one for one in former.values() if one], now)
+            lines.update_listed([one for one in former.values() if one], now)
             courier_facade.tick(10.0)
 
         costs[count] = [
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -131,14 +131,14 @@
     read = courier.again
     courier.again = lambda: (_ for _ in ()).throw(fault(refused.pop())) if refused else read()
     courier.posts.append(post)
-    limit = courier.runtime.journal.most
+    limit = courier.runtime.journal.max_bytes
     os.kill(os.getpid(), signal.SIGHUP)
     spin(courier.loop, lambda: len(refused) == 1)
     for _ in range(3):
         courier.loop.now.now += RETRY_DELAY_MS
         for _ in range(3):
             courier.loop.once(courier.loop.now())
-    assert not refused and courier.runtime.journal.most == 2 * limit
+    assert not refused and courier.runtime.journal.max_bytes == 2 * limit
 
 
 def test_a_reload_ends_after_its_retry_limit_and_the_next_signal_starts_another(tmp_path):
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -162,14 +162,14 @@
 def test_a_partial_record_that_cannot_be_truncated_hides_no_later_record(tmp_path):
     system = FailingDisk()
     journal = Journal(str(tmp_path), 200_000, 0.0, system)
-    journal.taken(text("t1"))
+    journal.accepted(text("t1"))
     journal.flush()
     system.failing = True
-    journal.taken(text("t2"))
+    journal.accepted(text("t2"))
     with pytest.raises(OSError):
         journal.flush()
     system.failing = False
-    journal.taken(text("t3"))
+    journal.accepted(text("t3"))
     journal.flush()
     assert set(Journal(str(tmp_path), 200_000, 0.0).texts) == {"t1", "t2", "t3"}
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Operation of a courier: the admin address, the ledger, and the steps of stop and drain."""
+"""Operation of a courier: the admin address, the counters, and the steps of stop and drain."""
 
 import json
 import socket
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -136,7 +136,7 @@
         facade.tick(now)
         while call := facade.pick():
             for one in call.texts:
-                one.went_out(now, call.place.zone)
+                one.mark_sent(now, call.place.zone)
             facade.report(call, results[step % 5], 50.0)
         while end := facade.ended():
             ends.append(end.text.ident)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -86,7 +86,7 @@
         facade.tick(now)
         while call := facade.pick():
             for one in call.texts:
-                one.went_out(now, call.place.zone)
+                one.mark_sent(now, call.place.zone)
             facade.report(call, Answer(Far.SENT, late=True), 50.0)
         while end := facade.ended():
             ends.append((end.text.product, end.verdict))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -22,7 +22,7 @@
 )
 from calicopin.route import Route
 from calicopin.slow_start import COLD, OUT, WELL, SlowStart
-from calicopin.state.journal import Journal, KeptRoutes
+from calicopin.state.journal import Journal, RouteStates
 from calicopin.state.texts import Text
 from calicopin.store.segments import Segments
 from calicopin.system import System
@@ -168,7 +168,7 @@
     journal = open_journal("file", tmp_path, machine)
     for number, sent in enumerate((9000.0, 8000.0)):
         text = Text(f"t{number}", 7, 0, None, None, 60000.0, b"")
-        journal.taken(text)
+        journal.accepted(text)
         journal.sent(text, sent, "a")
     journal.flush()
     again = open_journal("file", tmp_path, machine)
@@ -275,11 +275,15 @@
 
 
 def test_states_that_do_not_fit_are_dropped_rate_limits_before_outages():
-    kept = KeptRoutes()
+    kept = RouteStates()
     kept.put((1, None), {"mode": OUT}, 100)
     kept.put((2, None), {"mode": WELL}, 100)
     kept.put((3, None), {"mode": WELL}, 100)
-    assert kept.over(250) == [(2, None)] and kept.over(100) == [(3, None)] and kept.over(50) == [(1, None)]
+    assert (
+        kept.evict_beyond(250) == [(2, None)]
+        and kept.evict_beyond(100) == [(3, None)]
+        and kept.evict_beyond(50) == [(1, None)]
+    )
     assert not kept.size and not kept.states
 
 
@@ -299,7 +303,7 @@
         now = max(now + 250.0, courier_facade.tick(now) if courier_facade.wake else now)
         courier_facade.tick(now)
     assert courier_facade.dropped_destinations() == [7] and courier_facade.dropped_destinations() == []
-    kept = KeptRoutes()
+    kept = RouteStates()
     kept.put((7, None), {"mode": WELL}, 100)
     kept.put((8, None), {"mode": WELL}, 100)
     assert kept.keys_of(7) == [(7, None)]
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,7 +10,7 @@
 import pytest
 
 from calicopin.facade import Place
-from calicopin.state.connections import Budget, Lines
+from calicopin.state.connections import Budget, ConnectionPool
 from calicopin.state.journal import Journal, allocated_bytes
 from calicopin.state.texts import EndedIds, Text
 from calicopin.system import HERE, System
@@ -48,15 +48,15 @@
 def test_a_restart_reads_back_accepted_submitted_and_ended_texts(tmp_path):
     journal = open_journal(tmp_path)
     for ident in "abcdef":
-        journal.taken(text(ident))
+        journal.accepted(text(ident))
     for ident in "bcdef":
         journal.sent(journal.texts[ident], 2000.0, "a")
-    journal.back(journal.texts["c"], False)
-    journal.back(journal.texts["d"], True)
+    journal.submit_ended(journal.texts["c"], False)
+    journal.submit_ended(journal.texts["d"], True)
     journal.sent(journal.texts["d"], 2500.0, "b")
-    journal.back(journal.texts["d"], False)
+    journal.submit_ended(journal.texts["d"], False)
     journal.given_up(journal.texts["e"], "bounced", 700.0)
-    journal.over(journal.texts["f"], 0.0)
+    journal.ended(journal.texts["f"], 0.0)
     journal.flush()
     read_back = {
         ident: (t.tries, t.ran_at, t.ran_zone, t.verdict, t.wait)
@@ -74,7 +74,7 @@
 def test_validity_is_stored_as_wall_time(tmp_path):
     """The monotonic clock starts anew with the machine, while a text's validity goes on."""
     journal = open_journal(tmp_path)
-    journal.taken(text("a"))
+    journal.accepted(text("a"))
     journal.sent(journal.texts["a"], 2000.0, "a")
     journal.flush()
     back = open_journal(tmp_path, offset=OFFSET + 4000.0).texts["a"]
@@ -85,10 +85,10 @@
     """A kill may cut the file at any byte: each length reads as the state after its last complete record."""
     journal, path, states_by_size = open_journal(tmp_path), tmp_path / "journal", {0: {}}
     for operation in (
-        lambda: journal.taken(text("a")),
+        lambda: journal.accepted(text("a")),
         lambda: journal.sent(journal.texts["a"], 1.0, "a"),
-        lambda: journal.taken(text("b")),
-        lambda: journal.over(journal.texts["a"], 0.0),
+        lambda: journal.accepted(text("b")),
+        lambda: journal.ended(journal.texts["a"], 0.0),
     ):
         operation()
         journal.flush()
@@ -105,12 +105,12 @@
 def test_records_appended_after_a_torn_record_are_read(tmp_path):
     """Guards against records that are appended behind a torn one after a restart and never read."""
     journal = open_journal(tmp_path)
-    journal.taken(text("a"))
+    journal.accepted(text("a"))
     journal.flush()
     with open(tmp_path / "journal", "ab") as file:
         file.write(b"\x40\x00\x00\x00torn")
     journal = open_journal(tmp_path)
-    journal.taken(text("b"))
+    journal.accepted(text("b"))
     journal.flush()
     assert set(open_journal(tmp_path).texts) == {"a", "b"}
 
@@ -122,18 +122,18 @@
     for _ in range(3000):
         size = rng.choice([0, 200, 2000, 20000])
         if rng.random() < 0.5 and journal.room(size):
-            journal.taken(text(f"t{number}", size))
+            journal.accepted(text(f"t{number}", size))
             number += 1
         elif journal.texts:
             one = rng.choice(list(journal.texts.values()))
-            end, submit = partial(journal.over, one, 0.0), partial(journal.sent, one, 1.0, "a")
-            rng.choice([end, submit, partial(journal.back, one, True)])()
+            end, submit = partial(journal.ended, one, 0.0), partial(journal.sent, one, 1.0, "a")
+            rng.choice([end, submit, partial(journal.submit_ended, one, True)])()
         journal.flush()
         # a rewrite adds a second file with the live records
         peak = max(peak, disk_bytes(tmp_path) + allocated_bytes(journal.live_bytes))
     assert number > 100 and peak < limit and not journal.room(limit)
     for one in journal.texts.values():
-        one.came_back(True) if one.out_at is not None else None
+        one.mark_ended(True) if one.out_at is not None else None
     assert text_states(open_journal(tmp_path, limit)) == text_states(journal)
 
 
@@ -148,12 +148,12 @@
             return os.write(file, data[:5])
 
     journal = open_journal(tmp_path)
-    journal.taken(text("a"))
+    journal.accepted(text("a"))
     calls, journal.system = [], ShortWrites()
     with pytest.raises(OSError):
         journal.flush()
     journal.system = System()
-    journal.taken(text("b"))
+    journal.accepted(text("b"))
     journal.flush()
     assert set(open_journal(tmp_path).texts) == {"a", "b"}
 
@@ -176,7 +176,7 @@
 
 
 def test_a_connection_is_reused_only_within_the_idle_limit():
-    pool, old, recent = Lines(5, 1000.0), FakeConnection(), FakeConnection()
+    pool, old, recent = ConnectionPool(5, 1000.0), FakeConnection(), FakeConnection()
     for at, connection in ((0.0, old), (500.0, recent)):
         pool.take(place("y"), at)
         pool.keep(place("x"), connection, at)
@@ -184,14 +184,14 @@
 
 
 def test_a_connection_closed_by_the_endpoint_is_not_used():
-    pool, connection = Lines(5, 1000.0), FakeConnection()
+    pool, connection = ConnectionPool(5, 1000.0), FakeConnection()
     pool.keep(place("x"), connection, 0.0)
     connection.is_quiet = False
     assert pool.take(place("x"), 1.0) is None and connection.closed and pool.count == 0
 
 
 def test_the_oldest_idle_connection_is_closed_to_make_room():
-    pool, connections = Lines(3, 1000.0), [FakeConnection() for _ in range(3)]
+    pool, connections = ConnectionPool(3, 1000.0), [FakeConnection() for _ in range(3)]
     for at, connection in enumerate(connections):
         assert pool.take(place("new"), float(at)) is None
         pool.keep(place(str(at)), connection, float(at))
@@ -215,20 +215,20 @@
     """Guards against idle connections kept by address alone: after an address has passed to another endpoint,
     that endpoint's calls would go to the former one.
     """
-    pool, idle, in_use = Lines(5, 1000.0), FakeConnection(), FakeConnection()
+    pool, idle, in_use = ConnectionPool(5, 1000.0), FakeConnection(), FakeConnection()
     assert pool.take(place("s-1"), 0.0) is pool.take(place("s-1"), 0.0) is None
     pool.keep(place("s-1"), idle, 0.0)
     assert pool.take(place("s-2"), 1.0) is None
-    pool.list([place("s-2")])
+    pool.set_listed([place("s-2")])
     pool.keep(place("s-1"), in_use, 2.0)
     pool.keep(place("s-2"), kept := FakeConnection(), 2.0)
     assert idle.closed and in_use.closed and not kept.closed and (pool.used, pool.count) == (0, 1)
-    pool.list([place("s-2", "y")])
+    pool.set_listed([place("s-2", "y")])
     assert kept.closed
 
 
 def test_the_trusted_idle_time_falls_at_once_and_recovers_with_time():
-    pool, connection = Lines(5, 8000.0), FakeConnection()
+    pool, connection = ConnectionPool(5, 8000.0), FakeConnection()
     pool.answered(place("s-1"), 40.0)
     connection.idle_ms = 200.0
     assert (
@@ -246,9 +246,9 @@
     connection.idle_ms = 0.0
     assert (
         pool.was_closed_before(place("s-1"), connection, 1.0)
-        and pool.trusted_idle_ms == Lines.MIN_TRUSTED_IDLE_MS
+        and pool.trusted_idle_ms == ConnectionPool.MIN_TRUSTED_IDLE_MS
     )
-    pool.list([place("s-2")])
+    pool.set_listed([place("s-2")])
     assert not pool.fastest_answer_ms
 
 
@@ -279,21 +279,21 @@
 
     journal = restart()
     for ident in "abc":
-        journal.taken(text(ident))
-    journal.over(journal.texts["a"], now - 70000.0)
-    journal.over(journal.texts["b"], now)
+        journal.accepted(text(ident))
+    journal.ended(journal.texts["a"], now - 70000.0)
+    journal.ended(journal.texts["b"], now)
     journal.flush()
     for _ in range(2):  # first from the appended records, then from the rewritten file
         journal = restart()
         assert [journal.knows(ident) for ident in "bcd"] == [True, True, False]
-    journal.past.add("e", now + 1.0)
+    journal.ended_ids.add("e", now + 1.0)
     assert not journal.knows("a")
 
 
 def test_a_wall_clock_change_within_one_boot_does_not_move_a_validity(tmp_path):
     journal = Journal(str(tmp_path), 3_000_000, OFFSET, HERE, 60000.0, "b")
     until = HERE.now() + 5000.0
-    journal.taken(replace(text("a"), until=until))
+    journal.accepted(replace(text("a"), until=until))
     journal.flush()
     for step in (300_000.0, -300_000.0):
         assert Journal(str(tmp_path), 3_000_000, OFFSET + step, HERE, 60000.0, "b").texts[
@@ -309,12 +309,12 @@
     journal = Journal(str(tmp_path), 100_000, OFFSET, HERE, 60000.0, "b")
     for number in range(5000):
         one = text(f"{number:016x}", 0)
-        journal.taken(one)
-        journal.over(one, 1e6 + number / 100.0)
+        journal.accepted(one)
+        journal.ended(one, 1e6 + number / 100.0)
         journal.flush()
         assert disk_bytes(tmp_path) <= 100_000
     kept = Journal(str(tmp_path), 100_000, OFFSET, HERE, 60000.0, "b")
-    assert kept.knows(f"{4999:016x}") and len(kept.past.idents) < 1500
+    assert kept.knows(f"{4999:016x}") and len(kept.ended_ids.idents) < 1500
 
 
 def test_a_start_on_a_failing_disk_writes_once_the_disk_recovers(tmp_path):
@@ -327,11 +327,11 @@
             return System.create(path)
 
     first = open_journal(tmp_path)
-    first.taken(text("a"))
+    first.accepted(text("a"))
     first.flush()
     system = RefusingSystem()
     journal = Journal(str(tmp_path), 3_000_000, OFFSET, system)
-    journal.taken(text("b"))
+    journal.accepted(text("b"))
     with pytest.raises(OSError):
         journal.flush()
     assert set(open_journal(tmp_path).texts) == {"a"}
@@ -341,7 +341,7 @@
 
 
 def test_giving_back_closes_the_connections_of_that_endpoint_only():
-    pool, closed_early, other = Lines(5, 1000.0), FakeConnection(), FakeConnection()
+    pool, closed_early, other = ConnectionPool(5, 1000.0), FakeConnection(), FakeConnection()
     for name, connection in (("a", closed_early), ("b", other)):
         assert pool.take(place(name), 0.0) is None
         pool.keep(place(name), connection, 0.0)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -56,8 +56,8 @@
     for number in range(first, first + count):
         ident = f"t{number}"
         while not store.room(400):  # as the courier does: it accepts no text without room
-            store.over(rng.choice(list(store.texts.values())), HERE.now())
-        store.taken(text(ident, rng.randrange(400)))
+            store.ended(rng.choice(list(store.texts.values())), HERE.now())
+        store.accepted(text(ident, rng.randrange(400)))
         for one in rng.sample(list(store.texts.values()), min(3, len(store.texts))):
             if one.verdict is not None:
                 continue
@@ -65,11 +65,11 @@
             if choice < 2 and one.out_at is None:
                 store.sent(one, 1000.0 + number, "a")
             elif choice == 2 and one.out_at is not None:
-                store.back(one, rng.random() < 0.5)
+                store.submit_ended(one, rng.random() < 0.5)
             elif choice == 3:
                 store.given_up(one, "bounced", 300.0)
             elif choice >= 4 and (len(store.texts) > 60 or rng.random() < 0.3):
-                store.over(one, HERE.now())
+                store.ended(one, HERE.now())
         store.flush()
 
 
@@ -79,7 +79,7 @@
     for number in range(300):
         run_traffic(store, rng, 1, 1500 + number)
         peak = max(peak, sum(entry.stat().st_size for entry in tmp_path.iterdir()))
-    before, ended_ids = text_states(store, approximately), set(store.past.idents)
+    before, ended_ids = text_states(store, approximately), set(store.ended_ids.idents)
     for one in store.texts.values():
         if one.out_at is not None:
             ran_at = one.ran_at if one.ran_at is not None else one.out_at
@@ -87,7 +87,7 @@
     reopened = open_store(tmp_path, 100_000)
     assert text_states(reopened) == before and peak <= 100_000 and len(reopened.sizes) > 2
     assert (
-        len(ended_ids & set(reopened.past.idents))
+        len(ended_ids & set(reopened.ended_ids.idents))
         >= min(len(ended_ids), reopened.max_ended_id_bytes // 48) * 0.9
         and not reopened.damage_count
     )
@@ -158,9 +158,9 @@
 
     old = Journal(str(tmp_path), 200_000, OFFSET, HERE, MAX_VALIDITY_MS, "b")
     for ident in "abc":
-        old.taken(text(ident))
+        old.accepted(text(ident))
     old.sent(old.texts["b"], 1234.0, "z")
-    old.over(old.texts["c"], HERE.now())
+    old.ended(old.texts["c"], HERE.now())
     old.flush()
     store = open_store(tmp_path)
     assert set(store.texts) == {"a", "b"} and store.texts["b"].ran_at == 1234.0 and store.knows("c")
@@ -184,7 +184,7 @@
         except OSError:
             failed += 1
     store.system = HERE
-    store.taken(text("last"))
+    store.accepted(text("last"))
     store.flush()
     reopened = open_store(tmp_path, 100_000)
     assert (
@@ -199,13 +199,13 @@
     store = open_store(tmp_path, 100_000)
     long_lived = [replace(text(f"old{number}", 50)) for number in range(20)]
     for one in long_lived:
-        store.taken(one)
+        store.accepted(one)
     store.flush()
     for number in range(4000):
         one = text(f"n{number}", 80)
-        store.taken(one)
+        store.accepted(one)
         store.flush()
-        store.over(one, HERE.now())
+        store.ended(one, HERE.now())
         store.flush()
     assert min(store.sizes) > 10 and {one.ident for one in long_lived} == set(
         open_store(tmp_path, 100_000).texts
@@ -292,11 +292,11 @@
 
     store = Segments(str(tmp_path), 200_000, OFFSET, CountingSyncs(), MAX_VALIDITY_MS, "b", True)
     before = CountingSyncs.syncs
-    store.taken(text("a"))
+    store.accepted(text("a"))
     store.flush()
     assert CountingSyncs.syncs == before + 1
     CountingSyncs.refuses = True
-    store.taken(text("b"))
+    store.accepted(text("b"))
     with pytest.raises(OSError):
         store.flush()
     assert set(open_store(tmp_path).texts) == {"a"}  # what was not synced is not read
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -67,12 +67,12 @@
         for _ in range(self.rng.randrange(1, 4)):
             ident = f"m{self.next_number}"
             self.next_number += 1
-            self.store.taken(text(ident, self.rng.randrange(10, 900)))
+            self.store.accepted(text(ident, self.rng.randrange(10, 900)))
             self.unflushed.add(ident)
         for ident in self.rng.sample(sorted(self.store.texts), k=min(2, len(self.store.texts))):
             self.store.sent(self.store.texts[ident], self.now, "a")
             if self.rng.random() < 0.7 or len(self.store.texts) > 40:
-                self.store.over(self.store.texts[ident], self.now)
+                self.store.ended(self.store.texts[ident], self.now)
                 self.unflushed_ends.add(ident)
         try:
             self.store.flush()
@@ -142,7 +142,7 @@
     driver = StoreDriver(OPENERS[kind](tmp_path / "s", system), 1)
     assert driver.run_turn()
     system.always = dict.fromkeys(("write", "cut", "create", "sync"), "EIO")
-    driver.store.taken(text("pending", 100))
+    driver.store.accepted(text("pending", 100))
     sizes = []
     for _ in range(1200):
         with pytest.raises(OSError):
@@ -173,16 +173,16 @@
     system.reports_error = True
     number = 0
     while True:
-        journal.taken(text(f"m{number}", 400))
+        journal.accepted(text(f"m{number}", 400))
         number += 1
         try:
             journal.flush()
         except OSError:
             break
-        journal.over(journal.texts[f"m{number - 1}"], system.now())
-    assert journal.torn
+        journal.ended(journal.texts[f"m{number - 1}"], system.now())
+    assert journal.may_hold_unflushed
     system.reports_error = False
-    journal.taken(text("later", 10))
+    journal.accepted(text("later", 10))
     journal.flush()
     assert "later" in open_journal(tmp_path, System(), 20_000).texts
 
@@ -195,13 +195,13 @@
     store = open_segments(tmp_path, system)
     system.always["remove"] = "EBUSY"
     for number in range(400):
-        store.taken(text(f"m{number}", 900))
-        store.over(store.texts[f"m{number}"], system.now())
+        store.accepted(text(f"m{number}", 900))
+        store.ended(store.texts[f"m{number}"], system.now())
         store.flush()
     assert system.met["remove"]
     file_count = len([name for name in os.listdir(tmp_path) if name.endswith(SEGMENT_SUFFIX)])
     system.always.clear()
-    store.taken(text("last", 10))
+    store.accepted(text("last", 10))
     store.flush()
     assert len([name for name in os.listdir(tmp_path) if name.endswith(SEGMENT_SUFFIX)]) < file_count
 
@@ -209,10 +209,10 @@
 def test_after_a_failed_sync_live_texts_are_written_to_another_segment(tmp_path):
     system = ForcedFaults()
     store = open_segments(tmp_path, system)
-    store.taken(text("a", 100))
+    store.accepted(text("a", 100))
     store.flush()
     system.told["sync"].append("EIO")
-    store.taken(text("b", 100))
+    store.accepted(text("b", 100))
     with pytest.raises(OSError):
         store.flush()
     first = max(name for name in os.listdir(tmp_path) if name.endswith(SEGMENT_SUFFIX))
@@ -247,8 +247,8 @@
     assert system.order == ["create", "sync_folder", "write"]
     system.told["sync_folder"].append("EIO")
     for number in range(200):
-        store.taken(text(f"m{number}", 900))
-        store.over(store.texts[f"m{number}"], system.now())
+        store.accepted(text(f"m{number}", 900))
+        store.ended(store.texts[f"m{number}"], system.now())
         store.flush()
     refused = next(
         position for position, operation in enumerate(system.order[2:], 2) if operation == "sync_folder"
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -15,7 +15,7 @@
 from calicopin.decisions import Route
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.start import Post, build
-from calicopin.state.known_list import LOOK, REFRESH, KnownList, decode, journal_bytes
+from calicopin.state.known_list import CHECK_INTERVAL_MS, REFRESH_AGE_MS, KnownList, decode, journal_bytes
 from calicopin.subscription.interest import IDLE_JITTER_FRACTION, IDLE_TIMEOUT_MS
 from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS
 from calicopin.wire.loop import Loop
@@ -239,7 +239,7 @@
 def test_a_restarted_courier_sends_nothing_before_the_first_answer_of_its_node(tmp_path, node, endpoint):
     """A courier restarts with a journalled message and a stored list; an endpoint left meanwhile."""
     courier = started(tmp_path, node, endpoint)
-    courier.advance(LOOK)
+    courier.advance(CHECK_INTERVAL_MS)
     courier.run_passes()
     assert courier.post("b") == b"202"
     assert b"\xfe\xfe\xfe" in endpoint.meet().wait(b"\xfe\xfe\xfe")
@@ -286,7 +286,7 @@
 
 def test_without_nodes_a_restarted_courier_uses_the_list_in_its_folder(tmp_path, node, endpoint):
     courier = started(tmp_path, node, endpoint)
-    courier.advance(LOOK)
+    courier.advance(CHECK_INTERVAL_MS)
     courier.run_passes()
     assert decode((tmp_path / "known-list").read_bytes()).places.keys() == {7}
     courier.kill()
@@ -306,7 +306,7 @@
 
 def test_a_node_that_does_not_answer_delays_a_start_for_a_limited_time(tmp_path, node, endpoint):
     courier = started(tmp_path, node, endpoint)
-    courier.advance(LOOK)
+    courier.advance(CHECK_INTERVAL_MS)
     courier.run_passes()
     courier.kill()
     restarted = SubscribedCourierFixture(tmp_path, node, clock=courier.loop.now)
@@ -322,7 +322,7 @@
 
 def test_unused_destinations_are_unsubscribed_and_forgotten(tmp_path, node, endpoint):
     courier = started(tmp_path, node, endpoint)
-    courier.advance(LOOK)
+    courier.advance(CHECK_INTERVAL_MS)
     facade, passed = courier.runtime.facade, 0.0
     while passed < IDLE_TIMEOUT_MS * (1.0 + IDLE_JITTER_FRACTION) + 3.0 * Route.RETENTION_MS:
         _, asked = courier.node.next_request()
@@ -330,11 +330,11 @@
         courier.advance(2000.0)
         passed += 2000.0
     assert not facade.places and not facade.dests.index and not facade.module.dests
-    assert not facade.module.endpoints and not courier.runtime.lines.listed
+    assert not facade.module.endpoints and not courier.runtime.pool.listed
     for number in range(2):
         _, asked = courier.node.next_request()
         courier.node.respond(asked, 4 + number)
-        courier.advance(LOOK / 2.0)
+        courier.advance(CHECK_INTERVAL_MS / 2.0)
     assert not decode((tmp_path / "known-list").read_bytes()).places
     peer = courier.send_message("b")
     asked = courier.subscribe_request(7)
@@ -357,8 +357,8 @@
     renewal(courier).renew()
     logger.remove(sink)
     assert any("fleet, nodes changed and needs a restart" in line for line in told)
-    assert courier.runtime.journal.most == journal_bytes(1_000_000) // 2
-    assert courier.runtime.subscribed.known_list.most == 50_000
+    assert courier.runtime.journal.max_bytes == journal_bytes(1_000_000) // 2
+    assert courier.runtime.subscribed.known_list.max_bytes == 50_000
     courier.advance()
     assert courier.post("b") == b"202"
 
@@ -442,7 +442,7 @@
     system.at += 1.0
     assert known_list(tmp_path, system).read() == {}
     logger.remove(sink)
-    assert len(told) == 7 and all("passed over" in line and line.count("\n") == 1 for line in told)
+    assert len(told) == 7 and all("is ignored" in line and line.count("\n") == 1 for line in told)
     path.unlink()
     assert known_list(tmp_path).read() == {}
 
@@ -462,7 +462,7 @@
     kept_list.changed()
     assert kept_list.due()
     list(kept_list.write())
-    system.at += REFRESH
+    system.at += REFRESH_AGE_MS
     assert not kept_list.due(), "no node has confirmed it since, so it keeps its date"
     kept_list.confirmed()
     assert kept_list.due()
--- a/tests/test_subscription_nodes.py
+++ b/tests/test_subscription_nodes.py
@@ -90,9 +90,8 @@
 
 def test_an_answer_arrives_within_6_s_if_the_next_node_does_not_answer_either():
     silence = MAX_WAIT_MS + PARKED_GRACE_MS  # the parked request at a node that stopped answering
-    tries = (
-        NEXT_NODE_JITTER_MS + CONNECT_TIMEOUT_MS + PROMPT_TIMEOUT_MS
-    )  # a node that accepts a connection and never answers
+    # a node that accepts a connection and never answers
+    tries = NEXT_NODE_JITTER_MS + CONNECT_TIMEOUT_MS + PROMPT_TIMEOUT_MS
     assert silence + tries + NEXT_NODE_JITTER_MS + CONNECT_TIMEOUT_MS < TOLD
 
 
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -57,7 +57,7 @@
 def test_a_broken_client_connection_withdraws_its_unacknowledged_text(courier, system, error):
     system.told["client_send"].append(error)
     peer = courier.request(product="once")
-    spin(courier.loop, lambda: courier.runtime.ledger.withdrawn["once"])
+    spin(courier.loop, lambda: courier.runtime.counters.withdrawn["once"])
     assert not courier.runtime.journal.texts and not peer.hear()
 
 
@@ -101,7 +101,7 @@
     endpoint_peer = courier.endpoint.meet()
     assert endpoint_peer.wait(b"abc").startswith(b"POST /inbox")
     endpoint_peer.say(answer(200))
-    spin(courier.loop, lambda: courier.runtime.ledger.succeeded["notice"])
+    spin(courier.loop, lambda: courier.runtime.counters.succeeded["notice"])
 
 
 def test_the_list_and_a_notice_may_be_read_and_written_byte_by_byte(tmp_path, system):
@@ -175,9 +175,9 @@
     courier.pass_time(4 * RETRY_DELAY_MS)
     peer.wait(b"\xfe\xfe\xfe")
     peer.say(answer(200))
-    spin(courier.loop, lambda: system.met[call] or courier.runtime.ledger.succeeded["once"])
+    spin(courier.loop, lambda: system.met[call] or courier.runtime.counters.succeeded["once"])
     courier.pass_time(4 * RETRY_DELAY_MS)
-    assert courier.runtime.ledger.succeeded["once"] == 1 and endpoint_failures(courier) == before
+    assert courier.runtime.counters.succeeded["once"] == 1 and endpoint_failures(courier) == before
 
 
 # The loop.
--- a/tests/test_time.py
+++ b/tests/test_time.py
@@ -90,7 +90,7 @@
     """All times that the courier holds of the message "a", in ms of the monotonic clock."""
     held_text, journal = courier.runtime.journal.texts.get("a"), courier.runtime.journal
     pauses = {key: state["pause"] for key, state in journal.routes.states.items()}
-    return held_text and (held_text.until, held_text.ran_at), journal.past.idents.get("a"), pauses
+    return held_text and (held_text.until, held_text.ran_at), journal.ended_ids.idents.get("a"), pauses
 
 
 def check_after_start(state, folder, courier, system):
@@ -146,7 +146,7 @@
 def test_a_reboot_never_extends_the_time_left_of_a_message(tmp_path):
     now, offset = System.now(), System.wall() - System.now()
     journal = Journal(str(tmp_path), 3_000_000, offset, System(), 60_000.0, "b")
-    journal.taken(replace(text("a"), until=now + 5000.0))
+    journal.accepted(replace(text("a"), until=now + 5000.0))
     journal.flush()
     reloaded = Journal(str(tmp_path), 3_000_000, offset - 3.6e6, System(), 60_000.0, "another")
     assert 0.0 < reloaded.texts["a"].until - System.now() <= 5000.0, "the wall clock was set back by an hour"
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -115,7 +115,7 @@
     assert (
         accepted + refused == 300
         and accepted > 100
-        and runtime.ledger.noticed == accepted
+        and runtime.counters.notices_heard == accepted
         and not runtime.journal.texts
         and sheet
     )
@@ -147,7 +147,7 @@
     for _ in range(200):
         loop.now.now += 20.0
         loop.once(loop.now())
-    assert not runtime.facade.texts and not runtime.journal.texts and runtime.ledger.noticed == 2
+    assert not runtime.facade.texts and not runtime.journal.texts and runtime.counters.notices_heard == 2
     signal_reader.close()
 
 
--- a/tests/test_wire_calls.py
+++ b/tests/test_wire_calls.py
@@ -8,7 +8,7 @@
 from wire_helper import Out, call
 
 from calicopin.facade import Far
-from calicopin.state.connections import Lines
+from calicopin.state.connections import ConnectionPool
 
 
 def test_a_call_carries_id_and_body_and_its_connection_is_reused(loop):
@@ -59,7 +59,7 @@
 
 def test_an_idle_connection_closed_before_its_call_is_no_failure_of_the_endpoint(loop):
     """Endpoints that close idle connections reset 25 to 40 of 100 calls on reused ones."""
-    listener, lines = Listener(loop), Lines(4, 8000.0)
+    listener, lines = Listener(loop), ConnectionPool(4, 8000.0)
     peer = None
     for duration, gone in ((50.0, None), (0.0, True), (50.0, None), (60.0, False)):
         out = Out(loop, call(listener.address), lines)
--- a/tests/test_wire_loop.py
+++ b/tests/test_wire_loop.py
@@ -5,7 +5,7 @@
 from helper import Listener, answer, spin
 from wire_helper import Out, call
 
-from calicopin.state.connections import Lines
+from calicopin.state.connections import ConnectionPool
 from calicopin.wire.loop import READ, Event, Until
 
 
@@ -84,7 +84,7 @@
 
 def test_unread_data_takes_precedence_over_a_time_out_after_a_suspension(loop):
     """If the process is suspended right after the poll, answers that arrived must not count as time-outs."""
-    listener, lines = Listener(loop), Lines(4, 1000.0)
+    listener, lines = Listener(loop), ConnectionPool(4, 1000.0)
     out = Out(loop, call(listener.address), lines)
     peer = listener.meet()
     peer.wait(b"\x00\xff")
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -3,7 +3,7 @@
 from helper import free_address, spin
 
 from calicopin.facade import Call, Place
-from calicopin.state.connections import Budget, Lines
+from calicopin.state.connections import Budget, ConnectionPool
 from calicopin.state.texts import Text
 from calicopin.wire.clients import Clients, JournalledEvent
 from calicopin.wire.endpoints import OutstandingCall, submit
@@ -23,7 +23,7 @@
     def __init__(self, loop, new_call, lines=None):
         self.loop, self.lines, self.answer, self.wanted, self.told = (
             loop,
-            lines or Lines(4, 1000.0),
+            lines or ConnectionPool(4, 1000.0),
             None,
             True,
             [],
