--- a/calicopin/admin/server.py
+++ b/calicopin/admin/server.py
@@ -9,8 +9,8 @@
 from loguru import logger
 
 from calicopin.system import patiently
-from calicopin.wire.http import TOO_LONG, Line, accept_next
-from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
+from calicopin.wire.http import TOO_LONG, Connection, accept_next
+from calicopin.wire.loop import FOREVER, READ, RETRY_DELAY_MS, Until
 
 READ_TIMEOUT_MS = 2000.0  # for a whole call; callers expect the answer to a complete one within 1 s
 LINGER_TIMEOUT_MS = 300.0  # for the caller to close its side after the answer
@@ -31,7 +31,7 @@
         host, _, port = address.rpartition(":")
         system = loop.system
         self.listener, self.last_refusal_logged = patiently(system, system.listen, host, int(port)), -FOREVER
-        self.accepting = loop.keep(self.accept, ahead=True)
+        self.accepting = loop.spawn_restarting(self.accept, urgent=True)
 
     def accept(self):
         """A coroutine that accepts connections and starts a coroutine for each; it never returns."""
@@ -43,15 +43,15 @@
                     logger.warning(
                         "accept at the admin address failed: {fault}", event="accept.failed", fault=fault
                     )
-                    yield Until(self.loop.now() + AGAIN)
+                    yield Until(self.loop.now() + RETRY_DELAY_MS)
                     break
                 if sock is None:
                     yield Until(FOREVER, self.listener.fileno(), READ)
                     break
                 if len(self.connections) >= self.max_connections:
                     self.drop(next(iter(self.connections)))
-                connection = Line(self.loop, sock, h11.SERVER)
-                self.connections[connection] = self.loop.spawn(self.serve(connection), ahead=True)
+                connection = Connection(self.loop, sock, h11.SERVER)
+                self.connections[connection] = self.loop.spawn(self.serve(connection), urgent=True)
             else:
                 yield Until(self.loop.now())
 
@@ -128,4 +128,4 @@
         except h11.LocalProtocolError:  # h11 permits no answer, as after bytes that are not HTTP
             return
         if (yield from connection.write(answer, until)) == len(answer):
-            yield from connection.linger(self.loop.now() + LINGER_TIMEOUT_MS)
+            yield from connection.lingering_close(self.loop.now() + LINGER_TIMEOUT_MS)
--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -15,11 +15,11 @@
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.send_guard import SendGuard
 from calicopin.state.journal import Journal
-from calicopin.state.ledger import Ledger
+from calicopin.state.ledger import Counters
 from calicopin.state.texts import Text
 from calicopin.wire import clients, endpoints
 from calicopin.wire import notices as notices_module
-from calicopin.wire.clients import Clients, Kept
+from calicopin.wire.clients import Clients, JournalledEvent
 from calicopin.wire.notices import Notices
 
 FAULTS, SHOWN_BY = {}, {}
@@ -62,11 +62,11 @@
 @fault("ack-before-journal", "kills", ANSWER, 60)
 def _(change):
     def already_kept(runtime, text):
-        event = Kept(runtime.loop, text)
+        event = JournalledEvent(runtime.loop, text)
         event.set()
         return event
 
-    change(Runtime, "kept", already_kept)
+    change(Runtime, "journalled_event", already_kept)
 
 
 @fault("taken-not-journalled", "kills", ANSWER)
@@ -75,7 +75,7 @@
         Journal,
         "taken",
         lambda journal, text: (
-            journal.texts.update({text.ident: text}) or journal.costs.update({text.ident: 0})
+            journal.texts.update({text.ident: text}) or journal.record_sizes.update({text.ident: 0})
         ),
     )
 
@@ -87,12 +87,12 @@
 
 @fault("submit-not-journalled", "kills", EFFECT, 16)
 def _(change):
-    change(Journal, "sent", lambda journal, text, at, zone: text.went_out(at, zone))
+    change(Journal, "sent", lambda journal, text, at, zone: text.mark_sent(at, zone))
 
 
 @fault("may-have-run-forgotten", "kills", EFFECT, 16)
 def _(change):
-    change(Text, "came_back", lambda text, _: setattr(text, "out_at", None))
+    change(Text, "mark_ended", lambda text, _: setattr(text, "out_at", None))
 
 
 @fault("refused-write-forgotten", "disk", ANSWER, 16)
@@ -146,14 +146,14 @@
 
 @fault("wait-in-other-unit", "shut", WAIT)
 def _(change):
-    read = endpoints.answer
+    read = endpoints.decode_head
 
     def answer_in_seconds(head):
         told = read(head)
         told.wait /= 1000.0
         return told
 
-    change(endpoints, "answer", answer_in_seconds)
+    change(endpoints, "decode_head", answer_in_seconds)
 
 
 @fault("wait-ends-early", "shut", WAIT)
@@ -252,8 +252,8 @@
 
 @fault("bulk-answer-misread", "loss", ANSWER)
 def _(change):
-    read = endpoints.ends
-    change(endpoints, "ends", lambda body: dict.fromkeys(read(body) or {}, "delivered"))
+    read = endpoints.decode_bulk_states
+    change(endpoints, "decode_bulk_states", lambda body: dict.fromkeys(read(body) or {}, "delivered"))
 
 
 @fault("body-cut", "calm", EFFECT, 1)
@@ -277,13 +277,13 @@
 
 @fault("reference-lost-on-retry", "loss", EFFECT)
 def _(change):
-    came_back = Text.came_back
+    mark_ended = Text.mark_ended
 
-    def came_back_forgetting_reference(text, ran):
-        came_back(text, ran)
+    def mark_ended_forgetting_reference(text, ran):
+        mark_ended(text, ran)
         text.reference = None
 
-    change(Text, "came_back", came_back_forgetting_reference)
+    change(Text, "mark_ended", mark_ended_forgetting_reference)
 
 
 @fault("second-copy-after-restart", "second-copy", EFFECT)
@@ -354,20 +354,20 @@
 
 @fault("refusals-not-counted", "quiesce", SERVICE, 1)
 def _(change):
-    change(Ledger, "refused", lambda ledger, text, again: None)
+    change(Counters, "refused", lambda counters, text, again: None)
 
 
 @fault("all-ends-count-as-delivered", "scrape", SERVICE, 1)
 def _(change):
-    ended = Ledger.ended
+    ended = Counters.ended
 
-    def ended_as_delivered(ledger, end):
+    def ended_as_delivered(counters, end):
         end.verdict, kept = None, end.verdict
         end.delivered = True
-        ended(ledger, end)
+        ended(counters, end)
         end.verdict = kept
 
-    change(Ledger, "ended", ended_as_delivered)
+    change(Counters, "ended", ended_as_delivered)
 
 
 @fault("drain-keeps-connections", "quiesce", SERVICE, 1)
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -12,7 +12,7 @@
 
 from calicopin.handover.channel import Channel, HandoverError, is_same_user
 from calicopin.handover.state import FORM, snapshot
-from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
+from calicopin.wire.loop import FOREVER, READ, RETRY_DELAY_MS, Until
 
 ANSWER_TIMEOUT_S = 2.0  # this process serves nothing while it waits
 HELLO_TIMEOUT_MS = 1000.0
@@ -42,7 +42,7 @@
             stop,
         )
         self.listener = handover_socket.listen()
-        self.task = loop.keep(self.accept_successors)
+        self.task = loop.spawn_restarting(self.accept_successors)
 
     def accept_successors(self):
         """A coroutine that accepts successors on the handover socket and begins a handover with each that is
@@ -56,7 +56,7 @@
                 continue
             except OSError as fault:
                 logger.warning("accepting a successor failed: {fault}", event="accept.failed", fault=fault)
-                yield Until(self.loop.now() + AGAIN)
+                yield Until(self.loop.now() + RETRY_DELAY_MS)
                 continue
             sock.setblocking(False)
             hello, deadline = b"", self.loop.now() + HELLO_TIMEOUT_MS
@@ -70,7 +70,7 @@
                 if not received:
                     break
                 hello += received
-            self.loop.close(sock) if not self.accepts(sock, hello) else self.loop.after.append(
+            self.loop.close(sock) if not self.accepts(sock, hello) else self.loop.deferred_calls.append(
                 lambda sock=sock: self.hand_over(sock)
             )
 
@@ -150,7 +150,7 @@
     def snapshot(self, outstanding_calls):
         """The state for the successor: decisions, calls in flight, the list, and figures of connections."""
         stop, calls = self.stop, [outstanding.call for outstanding in outstanding_calls]
-        pool = self.runtime.lines
+        pool = self.runtime.pool
         return snapshot(self.runtime.facade, calls) | dict(
             until=[outstanding.until for outstanding in outstanding_calls],
             began=[outstanding.began for outstanding in outstanding_calls],
@@ -169,14 +169,18 @@
         for number, outstanding in enumerate(outstanding_calls):
             outstanding.handed_over = True
             connections.append(
-                ("call", dict(call=number, heard=encode_base64(outstanding.line.received)), outstanding.line)
+                (
+                    "call",
+                    dict(call=number, heard=encode_base64(outstanding.connection.received)),
+                    outstanding.connection,
+                )
             )
             self.loop.cancel(outstanding.task)
         for outstanding in list(
             runtime.outstanding_calls
         ):  # all its texts have ended, its answer is not needed
             self.loop.cancel(outstanding.task)
-        for client in list(clients.visits):
+        for client in list(clients.connections):
             if connection := clients.release_for_handover(client):
                 connections.append(
                     (
@@ -190,9 +194,9 @@
                         connection,
                     )
                 )
-        for key, idle in runtime.lines.idle.items():
+        for key, idle in runtime.pool.idle.items():
             connections += [("idle", dict(shelf=key, since=since), connection) for connection, since in idle]
-        runtime.lines.idle = {}
+        runtime.pool.idle = {}
         for start in range(0, len(connections), CONNECTIONS_PER_FRAME):
             batch = connections[start : start + CONNECTIONS_PER_FRAME]
             channel.send(
@@ -210,7 +214,7 @@
         for task in (self.clients.accepting, self.task):
             loop.cancel(task)
         for client in filter(None, (self.discovery, runtime.notices)):
-            client.retire()
+            client.stop()
         loop.close(self.listener)
         loop.system.close(self.lock)
         if runtime.journal.file is not None:
@@ -223,11 +227,11 @@
         )
         runtime.refusing = self.stop.retired = True
         if runtime.subscribed is not None:
-            runtime.subscribed.retire()
+            runtime.subscribed.stop()
         self.stop.end_drain()
         self.clients.closing = self.clients.leaving = True
         sock.setblocking(False)
-        loop.keep(lambda: self.watch_successor(sock))
+        loop.spawn_restarting(lambda: self.watch_successor(sock))
 
     def watch_successor(self, sock):
         """A coroutine that ends with SIGTERM, or restarts this process if the successor dies."""
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -4,7 +4,7 @@
 
 from calicopin.state.connections import Budget
 from calicopin.wire.discovery import decode_list
-from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
+from calicopin.wire.loop import FOREVER, READ, RETRY_DELAY_MS, Until
 
 PATIENCE = 3000.0  # ms of retries: the platform relies on a new configuration 4 s after its signal
 
@@ -79,7 +79,7 @@
                 fault=fault,
             )
             if isinstance(fault, OSError) and self.loop.now() < self.retry_deadline:
-                self.retry_at = self.loop.now() + AGAIN
+                self.retry_at = self.loop.now() + RETRY_DELAY_MS
             return
         old, self.post, self.renewed = self.post, post, True
         logger.info(
@@ -89,18 +89,18 @@
             notices=len(self.runtime.notices.owed),
         )
         if self.subscribes and post.nodes:
-            self.discovery.move(list(post.nodes))
+            self.discovery.change_address(list(post.nodes))
         if post.discovery and old.discovery:
             if not self.subscribes:
-                self.discovery.move(post.discovery)
-            self.runtime.notices.move(post.discovery)
+                self.discovery.change_address(post.discovery)
+            self.runtime.notices.change_address(post.discovery)
         elif post.notices and old.notices:
-            self.runtime.notices.move(post.notices)
+            self.runtime.notices.change_address(post.notices)
         if post.configuration and not (post.discovery or old.discovery or self.subscribes or post.nodes):
             self.apply_partner_list(post, old)
         if post.descriptors != old.descriptors:
             budget = Budget(post.descriptors, old.terms["familyInfo"]["workers"], bool(old.admin))
-            self.clients.budget, self.runtime.lines.most = budget, budget.endpoints
+            self.clients.budget, self.runtime.pool.most = budget, budget.endpoints
             logger.info(
                 "SIGHUP: {now} descriptors, {before} before",
                 event="reload.descriptors",
--- a/calicopin/lifecycle/subscribed.py
+++ b/calicopin/lifecycle/subscribed.py
@@ -85,10 +85,10 @@
         for destination in self.facade.destinations():
             if destination not in self.initial_endpoints and not self.in_use(destination):
                 self.facade.release(destination)
-        self.task = self.loop.keep(self.known_list.keep)
+        self.task = self.loop.spawn_restarting(self.known_list.run)
         return self.subscriber
 
-    def retire(self) -> None:
+    def stop(self) -> None:
         """Stops writing the list in the folder, which now belongs to another process."""
         self.loop.cancel(self.task)
         self.stop_waiting()
--- a/calicopin/scale/simulated_couriers.py
+++ b/calicopin/scale/simulated_couriers.py
@@ -291,7 +291,7 @@
     def _stop(self, numbers: Iterable[int]) -> ProcessFigures:
         before = self._figures()
         for number in numbers:
-            self.couriers.pop(number).subscriber.retire()
+            self.couriers.pop(number).subscriber.stop()
         return before
 
     def _figures(self) -> ProcessFigures:
@@ -319,7 +319,7 @@
                 break
         loop.running = False
 
-    loop.spawn(serve_requests(), ahead=True)
+    loop.spawn(serve_requests(), urgent=True)
     loop.run()
 
 
--- a/calicopin/wire/discovery.py
+++ b/calicopin/wire/discovery.py
@@ -7,10 +7,10 @@
 from loguru import logger
 
 from calicopin.facade import Place
-from calicopin.wire.agent import Agent
-from calicopin.wire.asking import PollSchedule, longest_pause
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import Until
+from calicopin.wire.persistent_client import PersistentClient
+from calicopin.wire.poll_schedule import PollSchedule, longest_pause
 
 # to connect, and for an answer beyond the wait of a long poll: the agent is on this machine
 GRACE_MS = 250.0
@@ -59,7 +59,7 @@
     return version, whole, places
 
 
-class Discovery(Agent):
+class Discovery(PersistentClient):
     """Polls the list of endpoints and passes each update to `heard(places, whole)`.
 
     `version` is that of the list known here; with None the complete list is requested. `senders`, `seed` and
@@ -79,14 +79,14 @@
         )
         super().__init__(loop, address)
 
-    def move(self, address):
+    def change_address(self, address):
         """Continues at another address with the complete list: versions of two agents are not comparable."""
         self.version = None
-        super().move(address)
+        super().change_address(address)
 
-    def talk(self):
+    def run(self):
         """A coroutine that polls for ever on one connection, and on a new one after an error."""
-        self.hang_up()
+        self.close_connection()
         if self.spread:
             self.spread = False
             yield Until(self.loop.now() + self.poll_schedule.first())
@@ -94,9 +94,9 @@
             self.refused = False
             try:
                 until = self.loop.now() + GRACE_MS
-                line = yield from self.connect(until)
-                self.refused = not line and self.loop.now() < until
-                update = (yield from self.request_list(line)) if line else None
+                connection = yield from self.connect(until)
+                self.refused = not connection and self.loop.now() < until
+                update = (yield from self.request_list(connection)) if connection else None
             except (ValueError, RecursionError) as fault:
                 if self.logged_fault != str(fault):
                     logger.warning(
@@ -108,8 +108,8 @@
             finally:
                 self.tried = True
             self.answered = self.answered or self.refused or update is not None
-            if update is None or not line.again():
-                self.hang_up()
+            if update is None or not connection.prepare_next_message():
+                self.close_connection()
             self.silent_calls = self.silent_calls + 1 if update is None and not self.refused else 0
             if update is None:
                 if self.refused:
@@ -133,7 +133,7 @@
 
         Grows with consecutive calls without an answer: an overloaded discovery that answers every call late
         would never be heard otherwise. The third such call allows as much as a whole poll, which still fits
-        into the 6 s of `asking.TOLD`.
+        into the 6 s of `poll_schedule.TOLD`.
         """
         # at a start, where many may start on a busy machine
         if self.poll_schedule.pushed and not self.answered:
@@ -142,7 +142,7 @@
             return GRACE_MS
         return min(self.wait + GRACE_MS, GRACE_MS * 4.0 ** min(self.silent_calls - 1, MAX_BACKOFF_EXPONENT))
 
-    def request_list(self, line):
+    def request_list(self, connection):
         """One call: the decoded list, or None if it was not answered with one in time."""
         wait, target = 0.0, "/api/targets"
         if self.version is not None:
@@ -150,7 +150,7 @@
             target = f"{target}?index={self.version}&wait={wait:.0f}"
         until = self.loop.now() + wait + self.answer_grace()
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
-        status, body = (yield from line.ask(request, b"", MAX_LIST_BYTES, until)) or (0, b"")
+        status, body = (yield from connection.exchange(request, b"", MAX_LIST_BYTES, until)) or (0, b"")
         self.refused = status in (429, 503)
         if body is TOO_LONG:
             raise ValueError(f"the list is over {MAX_LIST_BYTES >> 20} MiB")
--- a/calicopin/wire/notices.py
+++ b/calicopin/wire/notices.py
@@ -5,8 +5,8 @@
 import h11
 from loguru import logger
 
-from calicopin.wire.agent import Agent
-from calicopin.wire.loop import AGAIN, READ, Event, Until
+from calicopin.wire.loop import READ, RETRY_DELAY_MS, Event, Until
+from calicopin.wire.persistent_client import PersistentClient
 
 # the platform answers at once; a longer wait on a dead connection would make the notice too late
 ANSWER_TIMEOUT_MS = 200.0
@@ -29,24 +29,24 @@
 class NoticeLog:
     """Replaces `Notices` where no platform is configured: each notice is a log line and counts as sent."""
 
-    line, address = None, ""
+    connection, address = None, ""
 
     def __init__(self, loop, heard):
         self.loop, self.heard, self.owed, self.event = loop, heard, [], Event(loop)
-        loop.keep(self.talk)
+        loop.spawn_restarting(self.run)
 
     def owe(self, text):
         """Adds a text whose line is written in the next pass of the loop."""
         self.owed.append(text)
         self.event.set()
 
-    def move(self, address):
+    def change_address(self, address):
         """Does nothing: there is no address."""
 
-    def retire(self):
+    def stop(self):
         """Does nothing: there is no connection."""
 
-    def talk(self):
+    def run(self):
         """A coroutine that writes a line for each text, for ever."""
         while True:
             while self.owed:
@@ -62,7 +62,7 @@
             yield Until(event=self.event)
 
 
-class Notices(Agent):
+class Notices(PersistentClient):
     """Sends notices in batches, one request at a time, and repeats them until acknowledged.
 
     `heard(text)` is called for each acknowledged notice. After a change of address, all notices that were not
@@ -84,20 +84,22 @@
         self.owed.append(text)
         self.event.set()
 
-    def talk(self):
+    def run(self):
         """A coroutine that sends notices for ever, on a new connection after an error."""
-        self.hang_up()
+        self.close_connection()
         while True:
             while not self.owed:
                 yield from self.maintain_connection()
             batch = self.owed[:MAX_NOTICES_PER_REQUEST]
             until = self.loop.now() + self.answer_timeout
-            if self.line is not None and not self.line.quiet():
-                self.hang_up()
-            line = yield from self.connect(until)
-            status = (yield from self.post(line, b"".join(map(encode, batch)), until)) if line else 0
-            if line and not (status and line.again()):
-                self.hang_up()
+            if self.connection is not None and not self.connection.open_without_data():
+                self.close_connection()
+            connection = yield from self.connect(until)
+            status = (
+                (yield from self.post(connection, b"".join(map(encode, batch)), until)) if connection else 0
+            )
+            if connection and not (status and connection.prepare_next_message()):
+                self.close_connection()
             if status in (200, 204, 400):
                 if status == 400:
                     logger.error(
@@ -116,7 +118,11 @@
                         "{texts} notices were not acknowledged: {what}",
                         event="notices.unheard",
                         texts=len(batch),
-                        what=f"status {status}" if status else "no connection" if not line else "no answer",
+                        what=f"status {status}"
+                        if status
+                        else "no connection"
+                        if not connection
+                        else "no answer",
                     )
                 timed_out = self.loop.now() >= until
                 self.answer_timeout = (
@@ -124,23 +130,23 @@
                     if timed_out
                     else self.answer_timeout
                 )
-                yield Until(self.loop.now() + (0.0 if timed_out else AGAIN))
+                yield Until(self.loop.now() + (0.0 if timed_out else RETRY_DELAY_MS))
 
     def maintain_connection(self):
         """Waits for a notice and meanwhile keeps a connection open.
 
         Without it, a notice would fail whenever this machine cannot open a connection just then.
         """
-        if self.line is not None:
-            yield Until(fd=self.line.sock.fileno(), mask=READ, event=self.event)
-            if not self.line.quiet():  # closed by the agent
-                self.hang_up()
+        if self.connection is not None:
+            yield Until(fd=self.connection.sock.fileno(), mask=READ, event=self.event)
+            if not self.connection.open_without_data():  # closed by the agent
+                self.close_connection()
             return
         yield Until(self.loop.now() + RECONNECT_INTERVAL_MS, event=self.event)
         if not self.owed:
             yield from self.connect(self.loop.now() + ANSWER_TIMEOUT_MS)
 
-    def post(self, line, body, until):
+    def post(self, connection, body, until):
         """Sends notices: the status, or 0 without a complete answer by `until` (ms)."""
         head = h11.Request(
             method="POST",
@@ -151,5 +157,5 @@
                 ("Content-Length", str(len(body))),
             ],
         )
-        status, _ = (yield from line.ask(head, body, MAX_ANSWER_BYTES, until)) or (0, b"")
+        status, _ = (yield from connection.exchange(head, body, MAX_ANSWER_BYTES, until)) or (0, b"")
         return status
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -24,15 +24,17 @@
 )
 from calicopin.subscription.nodes import NodeChoice
 from calicopin.subscription.session import AnswerContent, OutgoingRequest, Session, Standing
-from calicopin.wire.agent import Agent
 from calicopin.wire.discovery import decode_list
 from calicopin.wire.http import TOO_LONG
 from calicopin.wire.loop import READ, Event, Until
-
-WAIT = 2000.0  # longest wait of a parked request; recovery after a silent node fits into `asking.TOLD`
-CONNECT = 250.0  # time-out for connecting
-SILENCE = 1000.0  # time-out of a parked request, beyond its wait
-PROMPT = 1500.0  # time-out of a request answered at once; couriers of a failed node may be queued before it
+from calicopin.wire.persistent_client import PersistentClient
+
+# longest wait of a parked request; recovery after a silent node fits into `poll_schedule.TOLD`
+MAX_WAIT_MS = 2000.0
+CONNECT_TIMEOUT_MS = 250.0  # time-out for connecting
+PARKED_GRACE_MS = 1000.0  # time-out of a parked request, beyond its wait
+# time-out of a request answered at once; couriers of a failed node may be queued before it
+PROMPT_TIMEOUT_MS = 1500.0
 STARTUP_LIMIT_MS = 1900.0  # after which the stored list is used without an answer of a node
 PER_DESTINATION_MS = 0.05  # added to both time-outs: a complete answer for 100,000 destinations takes seconds
 AGAIN = 100.0  # between the beginnings of two requests, as every answer may come at once
@@ -69,7 +71,7 @@
     bytes_received: int
 
 
-class Subscriber(Agent):
+class Subscriber(PersistentClient):
     """Keeps the subscription and passes its answers to `heard(places, whole)`, as `Discovery` does.
 
     `nodes` are addresses, `restored` the destinations of a snapshot with their endpoints: they are subscribed
@@ -94,7 +96,7 @@
     ):
         self.heard, self.released = heard, released
         self._answered, self._startup_over_at = False, loop.now() + STARTUP_LIMIT_MS
-        self.wait = min(wait_ms, WAIT)
+        self.wait = min(wait_ms, MAX_WAIT_MS)
         self.nodes = NodeChoice(courier, nodes, seed, loop.now())
         self.interest = Interest(seed, in_use, idle, max_destinations)
         self.session = Session(fleet, courier, restored)
@@ -153,14 +155,14 @@
             self.session.resyncs,
             self.nodes.switches,
             self._sent,
-            self._received + (len(self.line.received) if self.line else 0),
+            self._received + (len(self.connection.received) if self.connection else 0),
         )
 
-    def move(self, nodes: list[str]) -> None:
+    def change_address(self, nodes: list[str]) -> None:
         """Changes the list of nodes; the current node is kept if it is in the new list."""
         self.nodes.replace_nodes(nodes, self.loop.now())
         if self.nodes.current is None or self.address not in nodes:
-            super().move("")
+            super().change_address("")
 
     @property
     def tried(self) -> bool:
@@ -170,15 +172,15 @@
 
     # Requests and answers.
 
-    def talk(self):
+    def run(self):
         """A coroutine that sends one request after another for ever, on one connection while it lasts."""
-        self.hang_up()
+        self.close_connection()
         while True:
             next_request = self.nodes.next_request(self.loop.now())
             if next_request.at > self.loop.now():
                 yield Until(next_request.at)
             if next_request.node != self.address:
-                self.hang_up()
+                self.close_connection()
                 self.address = next_request.node
             if self.session.has_unsent_subscriptions and self._next_batch_at > self.loop.now():
                 yield Until(self._next_batch_at)
@@ -207,34 +209,34 @@
     def _exchange(self, ask: OutgoingRequest, wait: float):
         """The `Reply` or the `End` of one request. A reused connection may have been closed by the node
         meanwhile: then the request is sent once more on a new one."""
-        reused = self.line is not None
+        reused = self.connection is not None
         end = yield from self._attempt(ask, wait)
         if reused and end is End.BROKEN:
-            self.hang_up()
+            self.close_connection()
             end = yield from self._attempt(ask, wait)
         return end
 
     def _attempt(self, ask: OutgoingRequest, wait: float):
-        line = yield from self.connect(self.loop.now() + CONNECT)
-        if not line:
+        connection = yield from self.connect(self.loop.now() + CONNECT_TIMEOUT_MS)
+        if not connection:
             return End.UNCONNECTED
         self._calls += 1
         until = self.loop.now() + self._answer_timeout(ask, wait)
-        data = line.encode(*self._encode(ask, wait))
-        done = yield from line.write(data, until)
+        data = connection.encode(*self._encode(ask, wait))
+        done = yield from connection.write(data, until)
         self._sent += done
         if done == len(data):
-            if not ask.answered_immediately and (yield from self._await_answer(line, until)):
+            if not ask.answered_immediately and (yield from self._await_answer(connection, until)):
                 return End.INTERRUPTED
-            if (reply := (yield from self._read(line, until))) is not None:
+            if (reply := (yield from self._read(connection, until))) is not None:
                 return reply
         return End.BROKEN if self.loop.now() < until else End.SILENT
 
     def _answer_timeout(self, ask: OutgoingRequest, wait: float) -> float:
         """The time-out for an answer in ms."""
-        return (PROMPT if ask.answered_immediately else wait + SILENCE) + PER_DESTINATION_MS * len(
-            self.interest
-        )
+        return (
+            PROMPT_TIMEOUT_MS if ask.answered_immediately else wait + PARKED_GRACE_MS
+        ) + PER_DESTINATION_MS * len(self.interest)
 
     def _encode(self, ask: OutgoingRequest, wait: float):
         """The head and the body of a request."""
@@ -248,21 +250,21 @@
         ]
         return h11.Request(method="POST", target=target, headers=headers), body
 
-    def _await_answer(self, line, until: float):
+    def _await_answer(self, connection, until: float):
         """Waits for the answer to begin; returns whether a new subscription came first."""
-        while line.quiet():
+        while connection.open_without_data():
             if self.session.has_unsent_subscriptions:
                 return True
-            if not (yield Until(until, line.sock.fileno(), READ, self._wake)):
+            if not (yield Until(until, connection.sock.fileno(), READ, self._wake)):
                 return False
         return False
 
-    def _read(self, line, until: float):
+    def _read(self, connection, until: float):
         """The reply, or None if it is incomplete."""
-        head = yield from line.event(until)
+        head = yield from connection.event(until)
         if not isinstance(head, h11.Response):
             return None
-        body = yield from line.body(MAX_ANSWER_BYTES, until)
+        body = yield from connection.body(MAX_ANSWER_BYTES, until)
         return None if body is None else Reply(head.status_code, body)
 
     def _handle_reply(self, reply: Reply) -> bool:
@@ -271,14 +273,14 @@
         After a malformed one the known state stays in use and another node is asked.
         """
         self._count_received()
-        if reply.body is TOO_LONG or not self.line.again():
-            self.hang_up()
+        if reply.body is TOO_LONG or not self.connection.prepare_next_message():
+            self.close_connection()
         try:
             news = self._decode(reply) if reply.status == 200 else _refusal(reply)
         except ValueError as fault:
             self.session.drop_lease()
             self.nodes.failed(self.loop.now())
-            self.hang_up()
+            self.close_connection()
             self._log_fault(str(fault))
             return False
         if isinstance(news, Refusal):
@@ -318,7 +320,7 @@
         return False
 
     def _fail(self, end: End) -> None:
-        self.hang_up()
+        self.close_connection()
         if end is End.INTERRUPTED:
             self._interrupted += 1
             return
@@ -347,14 +349,14 @@
 
     def _count_received(self) -> None:
         """Adds up the bytes received on the connection since the last count."""
-        self._received += len(self.line.received)
-        self.line.received.clear()
+        self._received += len(self.connection.received)
+        self.connection.received.clear()
 
-    def hang_up(self) -> None:
+    def close_connection(self) -> None:
         """Closes the connection."""
-        if self.line:
+        if self.connection:
             self._count_received()
-        super().hang_up()
+        super().close_connection()
 
 
 def _notify(event) -> None:
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -908,8 +908,10 @@
     courier.subscribe(1)
     courier.poll(wait=1000)
     node.wait_parked(1)
-    looks, left = [], server_module.Line.left
-    monkeypatch.setattr(server_module.Line, "left", lambda line: looks.append(line) or left(line))
+    looks, left = [], server_module.Connection.peer_closed
+    monkeypatch.setattr(
+        server_module.Connection, "peer_closed", lambda line: looks.append(line) or left(line)
+    )
     courier.peer.say(b"GET /-/ready HTTP/1.1\r\nHost: n\r\n\r\n")
     spin(node.loop, lambda: looks)
     for _ in range(50):
@@ -1131,7 +1133,7 @@
     copying_node.copies(1)
     good = copying_node.path.read_bytes()
     other = Upstream(upstream_node.loop, f"127.0.0.1:{upstream_node.port}", str(copying_node.path), "other")
-    copying_node.server.upstream.retire()
+    copying_node.server.upstream.stop()
     for _ in range(300):
         copying_node.advance(10.0)
     assert other.copies == 0 and copying_node.path.read_bytes() == good
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -17,8 +17,7 @@
 from calicopin.interface import How
 from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, STOP_LIMIT_MS
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
-from calicopin.state.connections import Lines
-from calicopin.wire.asking import TOLD, PollSchedule, longest_pause, longest_wait
+from calicopin.state.connections import ConnectionPool
 from calicopin.wire.clients import (
     LINGER_MS,
     NEW_CONNECTION_MIN_IDLE_MS,
@@ -28,6 +27,7 @@
 )
 from calicopin.wire.discovery import GRACE_MS, Discovery
 from calicopin.wire.loop import Loop
+from calicopin.wire.poll_schedule import TOLD, PollSchedule, longest_pause, longest_wait
 
 # Clients.
 
@@ -72,7 +72,7 @@
     spin(loop, lambda: server.open and not server.idle)
     for _ in range(5):
         loop.once(loop.now())
-    task = next(task for connection, task in server.visits.items())
+    task = next(task for connection, task in server.connections.items())
     loop.now.now += REQUEST_TIMEOUT_MS + 1.0
     peer.say(request()[-1:])
     loop.resume(task, False)  # as the loop does if the bytes arrive after its poll
@@ -138,7 +138,8 @@
     spin(courier.loop, lambda: courier.clients.leaving)
     courier.loop.now.now += span
     spin(
-        courier.loop, lambda: any(at == courier.loop.now() + POLL_INTERVAL_MS for at, *_ in courier.loop.due)
+        courier.loop,
+        lambda: any(at == courier.loop.now() + POLL_INTERVAL_MS for at, *_ in courier.loop.timers),
     )
 
 
@@ -210,8 +211,8 @@
     half.say(request()[-1:] + request(X_Request_ID="behind"))
     system.told[call].extend([error] * 5)
     server.refuse_outstanding_requests()
-    for connection in server.visits:
-        connection.line.sock.close()  # as at the end of the process
+    for connection in server.connections:
+        connection.connection.sock.close()  # as at the end of the process
     assert system.met[call] == 5
     assert half.wait_end() == REFUSAL_RESPONSE and not half.reset
 
@@ -375,20 +376,20 @@
     """The bytes before the answer may belong to another one: the call may have run, and the connection is not
     used again.
     """
-    listener, lines = Listener(loop), Lines(4, 1000.0)
+    listener, lines = Listener(loop), ConnectionPool(4, 1000.0)
     first = Out(loop, call(listener.address), lines)
     peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.say(answer(200))
     assert first.end().status == 200 and lines.count == 1
-    is_usable = Lines.is_usable
+    is_usable = ConnectionPool.is_usable
 
     def crossed(lines, line, since, now):
         quiet = is_usable(lines, line, since, now)
         peer.say(b"HTTP/1.1 2")
         return quiet
 
-    monkeypatch.setattr(Lines, "is_usable", crossed)
+    monkeypatch.setattr(ConnectionPool, "is_usable", crossed)
     exchange = Out(loop, call(listener.address), lines)
     peer.wait(b"\x00\xff")
     peer.say(answer(200))
