--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -73,7 +73,7 @@
 def _(change):
     change(
         Journal,
-        "taken",
+        "accepted",
         lambda journal, text: (
             journal.texts.update({text.ident: text}) or journal.record_sizes.update({text.ident: 0})
         ),
