--- a/calicopin/discovery_node/node.py
+++ b/calicopin/discovery_node/node.py
@@ -70,7 +70,7 @@
         self.loop.spawn(self._wait_for_stop(signal_reader), ahead=True)
 
     def _wait_for_stop(self, signal_reader: SignalReader) -> Iterator[Until]:
-        while not signal_reader.heard().intersection(SignalReader.STOPS):
+        while not signal_reader.take_signals().intersection(SignalReader.STOP_SIGNALS):
             yield Until(FOREVER, signal_reader.fd, READ)
         logger.info("stopping", event="stopping")
         yield from self.server.stop()
--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -19,7 +19,7 @@
 from calicopin.state.texts import Text
 from calicopin.wire import clients, endpoints
 from calicopin.wire import notices as notices_module
-from calicopin.wire.clients import Clients, Kept
+from calicopin.wire.clients import Clients, JournalledEvent
 from calicopin.wire.notices import Notices
 
 FAULTS, SHOWN_BY = {}, {}
@@ -61,12 +61,12 @@
 
 @fault("ack-before-journal", "kills", ANSWER, 60)
 def _(change):
-    def already_kept(runtime, text):
-        event = Kept(runtime.loop, text)
+    def already_journalled(runtime, text):
+        event = JournalledEvent(runtime.loop, text)
         event.set()
         return event
 
-    change(Runtime, "kept", already_kept)
+    change(Runtime, "journalled_event", already_journalled)
 
 
 @fault("taken-not-journalled", "kills", ANSWER)
@@ -220,15 +220,15 @@
 
 @fault("two-verdicts", "outage", ANSWER)
 def _(change):
-    told = Runtime.told
+    notice_acknowledged = Runtime.notice_acknowledged
 
-    def told_twice(runtime, text):
-        told(runtime, text)
+    def acknowledged_twice(runtime, text):
+        notice_acknowledged(runtime, text)
         if not text.key:
             text.key, text.verdict = "told", {"dead": "bounced", "bounced": "dead"}[text.verdict]
             runtime.notices.owe(text)
 
-    change(Runtime, "told", told_twice)
+    change(Runtime, "notice_acknowledged", acknowledged_twice)
 
 
 @fault("notice-after-delivery", "calm", ANSWER, 1)
@@ -344,7 +344,7 @@
 
 @fault("busy-loop", "calm", SOUND, 1)
 def _(change):
-    change(runtime_module, "SWEEP", 0.0)
+    change(runtime_module, "SWEEP_INTERVAL_MS", 0.0)
 
 
 @fault("fault-in-a-notice", "outage", SOUND)
--- a/calicopin/emulator/list_faults.py
+++ b/calicopin/emulator/list_faults.py
@@ -8,7 +8,7 @@
 from calicopin.emulator.referee import DRAIN, KNOWN
 from calicopin.lifecycle import subscribed as subscribed_module
 from calicopin.lifecycle.runtime import Runtime
-from calicopin.lifecycle.subscribed import Subscribed
+from calicopin.lifecycle.subscribed import CourierSubscription
 from calicopin.state.known_list import KnownList
 from calicopin.subscription.leases import NOTHING, Lease
 from calicopin.subscription.nodes import NodeChoice
@@ -18,12 +18,12 @@
 
 @fault("leaves-dropped-from-an-increment", "subscriptions", DRAIN)
 def _(change):
-    heard = Subscribed.heard
+    apply_update = CourierSubscription.apply_update
 
-    def heard_without_leaves(subscribed, places, whole):
-        heard(subscribed, places if whole else [place for place in places if place.ready], whole)
+    def apply_without_leaves(subscribed, places, whole):
+        apply_update(subscribed, places if whole else [place for place in places if place.ready], whole)
 
-    change(Subscribed, "heard", heard_without_leaves)
+    change(CourierSubscription, "apply_update", apply_without_leaves)
 
 
 @fault("called-before-the-first-answer", "subscriptions-herd", KNOWN)
@@ -48,14 +48,14 @@
 def _(change):
     """An unsubscribed destination is not forgotten, and messages for it are accepted at once."""
     change(Runtime, "released", lambda runtime, destination: None)
-    change(Subscribed, "first_answer", lambda subscribed, destination: None)
-    change(subscribed_module, "REFUSALS", subscribed_module.REFUSALS | {Standing.WAITING: None})
+    change(CourierSubscription, "first_answer", lambda subscribed, destination: None)
+    change(subscribed_module, "REFUSAL_STATUS", subscribed_module.REFUSAL_STATUS | {Standing.WAITING: None})
 
 
 @fault("taken-on-before-the-first-answer", "subscriptions", KNOWN)
 def _(change):
-    change(Subscribed, "first_answer", lambda subscribed, destination: None)
-    change(subscribed_module, "REFUSALS", subscribed_module.REFUSALS | {Standing.WAITING: None})
+    change(CourierSubscription, "first_answer", lambda subscribed, destination: None)
+    change(subscribed_module, "REFUSAL_STATUS", subscribed_module.REFUSAL_STATUS | {Standing.WAITING: None})
 
 
 @fault("list-in-the-folder-of-any-age", "subscriptions-old-list", KNOWN)
--- a/calicopin/emulator/process.py
+++ b/calicopin/emulator/process.py
@@ -256,7 +256,7 @@
 class SignalReader(Handle):
     """Pending signals, with the interface of `lifecycle/signals.py`."""
 
-    STOPS = (signal.SIGTERM, signal.SIGINT)
+    STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
     def __init__(self, calls):
         self.calls, self.signs, self.fd = calls, set(), calls.take_fd(self)
@@ -270,7 +270,7 @@
         self.signs.add(number)
         self.notify()
 
-    def heard(self):
+    def take_signals(self):
         """The signals since the last call, each once."""
         signs, self.signs = self.signs, set()
         return signs
--- a/calicopin/handover/receiver.py
+++ b/calicopin/handover/receiver.py
@@ -69,7 +69,7 @@
                 "the other process broke off the handover: {fault}", event="handover.broken", fault=fault
             )
         for call in self.outstanding_calls.values():
-            runtime.lost(call)
+            runtime.connection_lost(call)
         return lock
 
     def resume_call(self, loop, runtime, clients, connection, sock):
@@ -122,7 +122,7 @@
                 event="handover.waiting",
             )
             logged_at = time.monotonic()
-        if signal_reader.heard().intersection(signal_reader.STOPS):
+        if signal_reader.take_signals().intersection(signal_reader.STOP_SIGNALS):
             raise StoppedError
         time.sleep(POLL_INTERVAL_S)
 
--- a/calicopin/handover/sender.py
+++ b/calicopin/handover/sender.py
@@ -31,14 +31,14 @@
     `lock` is the descriptor of the folder's lock; `restart` starts this process anew.
     """
 
-    def __init__(self, handover_socket, lock, restart, loop, runtime, clients, discovery, renewal, stop):
+    def __init__(self, handover_socket, lock, restart, loop, runtime, clients, discovery, reload, stop):
         self.lock, self.restart = lock, restart
-        self.loop, self.runtime, self.clients, self.discovery, self.renewal, self.stop = (
+        self.loop, self.runtime, self.clients, self.discovery, self.reload, self.stop = (
             loop,
             runtime,
             clients,
             discovery,
-            renewal,
+            reload,
             stop,
         )
         self.listener = handover_socket.listen()
@@ -84,7 +84,7 @@
             else "a stop is under way"
             if self.stop.stopping
             else "the journal cannot be written"
-            if self.runtime.stuck
+            if self.runtime.failed_turns
             else None
         )
         if reason:
@@ -100,18 +100,18 @@
             ]:
                 self.loop.cancel(outstanding.task)
             self.runtime.turn()
-            if self.runtime.stuck or not self.loop.ready:
+            if self.runtime.failed_turns or not self.loop.ready:
                 break
 
     def hand_over(self, sock):
         """Makes the handover. On failure before `go` this process goes on serving; after `go` it retires."""
         runtime, began = self.runtime, self.loop.now()
         self.loop.forget(sock)
-        was_calling, runtime.calling = runtime.calling, False
+        calls_were_enabled, runtime.calls_enabled = runtime.calls_enabled, False
         try:
             channel = Channel(sock, ANSWER_TIMEOUT_S)
             self.finish_pending_work()
-            if runtime.stuck:
+            if runtime.failed_turns:
                 raise HandoverError("the journal cannot be written")
             outstanding_calls = [
                 outstanding for outstanding in runtime.outstanding_calls if outstanding.call.open
@@ -128,7 +128,7 @@
                 event="handover.refused",
                 fault=fault,
             )
-            runtime.calling = was_calling
+            runtime.calls_enabled = calls_were_enabled
             sock.close()
             return
         text_count = len(runtime.facade.texts)
@@ -154,9 +154,9 @@
         return snapshot(self.runtime.facade, calls) | dict(
             until=[outstanding.until for outstanding in outstanding_calls],
             began=[outstanding.began for outstanding in outstanding_calls],
-            version=None if self.runtime.subscribed else getattr(self.discovery, "version", None),
-            current=self.runtime.current,
-            renewed=self.renewal.renewed,
+            version=None if self.runtime.subscription else getattr(self.discovery, "version", None),
+            current=self.runtime.list_received,
+            renewed=self.reload.reloaded,
             trust=pool.trusted_idle_ms,
             fastest=[[*key, elapsed] for key, elapsed in pool.fastest_answer_ms.items()],
             drained=stop.drain.began if stop.drain else None,
@@ -221,9 +221,9 @@
             {},
             [],
         )
-        runtime.refusing = self.stop.retired = True
-        if runtime.subscribed is not None:
-            runtime.subscribed.retire()
+        runtime.refuses_messages = self.stop.retired = True
+        if runtime.subscription is not None:
+            runtime.subscription.retire()
         self.stop.end_drain()
         self.clients.closing = self.clients.leaving = True
         sock.setblocking(False)
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -6,7 +6,9 @@
 from calicopin.wire.discovery import decode_list
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
-PATIENCE = 3000.0  # ms of retries: the platform relies on a new configuration 4 s after its signal
+RELOAD_RETRY_WINDOW_MS = (
+    3000.0  # ms of retries: the platform relies on a new configuration 4 s after its signal
+)
 
 RESTART_ONLY = (
     "name",
@@ -15,46 +17,48 @@
     "admin",
     "fleet",
     "max_age",
-)  # attributes of `Post` that change only with a restart, as do the terms
+)  # attributes of `CourierConfiguration` that change only with a restart, as do the terms
 
 
-class Renewal:
+class ConfigurationReload:
     """Handles signals. A new configuration's discovery, descriptors and disk limit take effect at once."""
 
-    def __init__(self, loop, signal_reader, post, read_configuration, stop, discovery, clients, runtime):
-        self.loop, self.signal_reader, self.post, self.read_configuration, self.stop = (
+    def __init__(
+        self, loop, signal_reader, configuration, read_configuration, stop, discovery, clients, runtime
+    ):
+        self.loop, self.signal_reader, self.configuration, self.read_configuration, self.stop = (
             loop,
             signal_reader,
-            post,
+            configuration,
             read_configuration,
             stop,
         )
-        self.discovery, self.clients, self.runtime, self.renewed = discovery, clients, runtime, False
-        self.subscribes = bool(post.nodes)
+        self.discovery, self.clients, self.runtime, self.reloaded = discovery, clients, runtime, False
+        self.subscribes = bool(configuration.nodes)
         self.retry_at, self.retry_deadline = FOREVER, -FOREVER  # ms, of a reload that failed with an OSError
 
     def wait(self):
         """A coroutine that waits for signals: SIGTERM and SIGINT request the stop, SIGHUP the reload."""
         while True:
             yield Until(self.retry_at, self.signal_reader.fd, READ)
-            signals = self.signal_reader.heard()
-            if signals.intersection(self.signal_reader.STOPS):
+            signals = self.signal_reader.take_signals()
+            if signals.intersection(self.signal_reader.STOP_SIGNALS):
                 self.stop.requested.set()
-            if signals.difference(self.signal_reader.STOPS):
-                self.retry_deadline = self.loop.now() + PATIENCE
+            if signals.difference(self.signal_reader.STOP_SIGNALS):
+                self.retry_deadline = self.loop.now() + RELOAD_RETRY_WINDOW_MS
                 self.retry_at = self.loop.now()
             if self.loop.now() >= self.retry_at and not self.stop.retired:
                 # a retired process does not reload: its successor does
                 self.retry_at = FOREVER
-                self.renew()
+                self.reload()
 
-    def apply_partner_list(self, post, old):
+    def apply_partner_list(self, configuration, old):
         """Applies the list of partners of an operator's file, which was checked as a whole."""
-        if post.partner_file and self.discovery is not None:
-            self.discovery.path = post.partner_file
+        if configuration.partner_file and self.discovery is not None:
+            self.discovery.path = configuration.partner_file
             self.discovery.take()
-        elif post.configured_list != old.configured_list:
-            _, _, places = decode_list(post.configured_list)
+        elif configuration.configured_list != old.configured_list:
+            _, _, places = decode_list(configuration.configured_list)
             self.runtime.update_list(places, True)
 
     def limit_disk(self, disk):
@@ -62,16 +66,16 @@
         if self.subscribes:
             from calicopin.state.known_list import journal_bytes
 
-            self.runtime.subscribed.known_list.limit(disk)
+            self.runtime.subscription.known_list.limit(disk)
             disk = journal_bytes(disk)
         self.runtime.journal.limit(disk)
 
-    def renew(self):
+    def reload(self):
         """Reads and applies the configuration. One that cannot be read changes nothing; after an OSError it
         is tried again until the deadline.
         """
         try:
-            post = self.read_configuration()
+            configuration = self.read_configuration()
         except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as fault:
             logger.error(
                 "SIGHUP: the configuration cannot be read, nothing changes: {fault!r}",
@@ -81,44 +85,48 @@
             if isinstance(fault, OSError) and self.loop.now() < self.retry_deadline:
                 self.retry_at = self.loop.now() + AGAIN
             return
-        old, self.post, self.renewed = self.post, post, True
+        old, self.configuration, self.reloaded = self.configuration, configuration, True
         logger.info(
             "SIGHUP: discovery at {agent}, {notices} notices unacknowledged",
             event="reload",
-            agent=post.discovery,
+            agent=configuration.discovery,
             notices=len(self.runtime.notices.owed),
         )
-        if self.subscribes and post.nodes:
-            self.discovery.move(list(post.nodes))
-        if post.discovery and old.discovery:
+        if self.subscribes and configuration.nodes:
+            self.discovery.move(list(configuration.nodes))
+        if configuration.discovery and old.discovery:
             if not self.subscribes:
-                self.discovery.move(post.discovery)
-            self.runtime.notices.move(post.discovery)
-        elif post.notices and old.notices:
-            self.runtime.notices.move(post.notices)
-        if post.configuration and not (post.discovery or old.discovery or self.subscribes or post.nodes):
-            self.apply_partner_list(post, old)
-        if post.descriptors != old.descriptors:
-            budget = Budget(post.descriptors, old.terms["familyInfo"]["workers"], bool(old.admin))
+                self.discovery.move(configuration.discovery)
+            self.runtime.notices.move(configuration.discovery)
+        elif configuration.notices and old.notices:
+            self.runtime.notices.move(configuration.notices)
+        if configuration.operator_configuration and not (
+            configuration.discovery or old.discovery or self.subscribes or configuration.nodes
+        ):
+            self.apply_partner_list(configuration, old)
+        if configuration.descriptors != old.descriptors:
+            budget = Budget(configuration.descriptors, old.terms["familyInfo"]["workers"], bool(old.admin))
             self.clients.budget, self.runtime.lines.most = budget, budget.endpoints
             logger.info(
                 "SIGHUP: {now} descriptors, {before} before",
                 event="reload.descriptors",
-                now=post.descriptors,
+                now=configuration.descriptors,
                 before=old.descriptors,
             )
-        if post.disk != old.disk:
-            self.limit_disk(post.disk)
+        if configuration.disk != old.disk:
+            self.limit_disk(configuration.disk)
             logger.info(
                 "SIGHUP: {now} bytes of disk, {before} before",
                 event="reload.disk",
-                now=post.disk,
+                now=configuration.disk,
                 before=old.disk,
             )
-        restart_keys = [name for name in RESTART_ONLY if getattr(post, name) != getattr(old, name)]
-        restart_keys += ["nodes"] if bool(post.nodes) != self.subscribes else []
+        restart_keys = [name for name in RESTART_ONLY if getattr(configuration, name) != getattr(old, name)]
+        restart_keys += ["nodes"] if bool(configuration.nodes) != self.subscribes else []
         restart_keys += sorted(
-            name for name in {**old.terms, **post.terms} if post.terms.get(name) != old.terms.get(name)
+            name
+            for name in {**old.terms, **configuration.terms}
+            if configuration.terms.get(name) != old.terms.get(name)
         )
         if restart_keys:
             logger.warning(
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -9,20 +9,20 @@
 from calicopin.facade import Answer, Far
 from calicopin.lifecycle import call_log
 from calicopin.send_guard import SendGuard
-from calicopin.wire.clients import Kept
+from calicopin.wire.clients import JournalledEvent
 from calicopin.wire.endpoints import OutstandingCall, resume_call, submit
 from calicopin.wire.loop import FOREVER, Until
 
-SWEEP = 1000.0  # ms between two passes over idle connections
+SWEEP_INTERVAL_MS = 1000.0  # ms between two passes over idle connections
 REPORT_INTERVAL_MS = 10000.0
 # A start waits this long for its first list before it makes calls by the list in its configuration. An agent
 # answers at once, but may be late on a busy machine; this leaves time for two requests of `wire.discovery`.
 FIRST_LIST_TIMEOUT_MS = 1000.0
-AGAIN = 50.0  # ms until a turn that failed is repeated
+TURN_RETRY_DELAY_MS = 50.0  # ms until a turn that failed is repeated
 # ms that a new message waits for a journal that cannot be written; a shorter disk fault refuses no message
-HOLD = 4.0 * AGAIN
+JOURNAL_RETRY_WINDOW_MS = 4.0 * TURN_RETRY_DELAY_MS
 # ms before the end of a message's validity, the time that it takes to answer its client with a refusal
-LAST_WORD = 20.0 + AGAIN
+REFUSAL_LEAD_MS = 20.0 + TURN_RETRY_DELAY_MS
 
 
 def log_broken_invariant(invariant, what):
@@ -43,15 +43,21 @@
 
     def __init__(self, loop, facade, journal, lines, connect_timeout, ledger):
         self.loop, self.facade, self.journal, self.lines = loop, facade, journal, lines
-        self.connect_timeout, self.notices, self.current = connect_timeout, None, False
-        self.subscribed = None  # with discovery nodes: a `Subscribed`
+        self.connect_timeout, self.notices, self.list_received = connect_timeout, None, False
+        self.subscription = None  # with discovery nodes: a `CourierSubscription`
         self.list_agent = None  # if set, no decision is made before its first request for the list has ended
         self.list_deadline = None  # no call is made before this time or the first list
-        self.waiting, self.calls, self.given_up, self.calling, self.refusing = [], [], [], True, False
+        self.unjournalled, self.calls, self.pending_notices, self.calls_enabled, self.refuses_messages = (
+            [],
+            [],
+            [],
+            True,
+            False,
+        )
         self.unacknowledged = set()  # ids of accepted texts whose 202 is not sent yet
         self.outstanding_calls, self.ledger = {}, ledger
         # consecutive failed turns and the time of the first; no message is accepted until a turn succeeds
-        self.stuck, self.first_failure_at = 0, 0.0
+        self.failed_turns, self.first_failure_at = 0, 0.0
         self.guard = SendGuard(facade.module.fail_back.cold, log_broken_invariant)
         self.restored_state = None  # (texts, routes) of the last process, for the check after the first tick
         loop.turn = self.turn
@@ -100,18 +106,21 @@
         """Takes over the state that another process handed over."""
         for text in receiver.restore(self.facade, self.journal, self.loop.now()):
             self.notices.owe(text)
-        self.current, self.lines.trusted_idle_ms = receiver.snapshot["current"], receiver.snapshot["trust"]
+        self.list_received, self.lines.trusted_idle_ms = (
+            receiver.snapshot["current"],
+            receiver.snapshot["trust"],
+        )
         self.lines.fastest_answer_ms = {
             (ident, address): best for ident, address, best in receiver.snapshot["fastest"]
         }
 
-    def lost(self, call):
+    def connection_lost(self, call):
         """A call whose connection was not handed over; the endpoint may have processed it."""
         self.facade.report(call, Answer(Far.SENT), 0.0)
 
     # Interface of the acceptor, called by `wire.clients`.
 
-    def take(self, text):
+    def accept(self, text):
         """Accepts a text and returns None, or returns the HTTP status that refuses it and the milliseconds
         after which the client may retry (0: no advice).
         """
@@ -134,16 +143,16 @@
 
     def destination_refusal(self, text):
         """The status and the retry delay (ms) for a text with an unknown destination; None if it is known."""
-        if self.subscribed is not None:
-            status = self.subscribed.refusal_status(text.dest)
+        if self.subscription is not None:
+            status = self.subscription.refusal_status(text.dest)
             return status and (status, self.facade.advice(text) if status == 503 else 0.0)
-        return None if self.facade.serves(text.dest) else ((404 if self.current else 503), 0.0)
+        return None if self.facade.serves(text.dest) else ((404 if self.list_received else 503), 0.0)
 
     def refusal_reason(self, text):
         """The reason why no message, or not this one, can be accepted; "" if it can."""
-        if self.refusing:
+        if self.refuses_messages:
             return "the courier is stopping or drained"
-        if self.stuck:
+        if self.failed_turns:
             return "the journal cannot be written"
         if self.facade.full():
             return "the limit of held messages is reached"
@@ -153,28 +162,28 @@
         """The event that a text has to wait for before it can be accepted or refused: the first answer on its
         destination. None if the destination is known or the text is refused anyway.
         """
-        if self.subscribed is None or self.refusal_reason(text) or self.journal.knows(text.ident):
+        if self.subscription is None or self.refusal_reason(text) or self.journal.knows(text.ident):
             return None
-        return self.subscribed.first_answer(text.dest)
+        return self.subscription.first_answer(text.dest)
 
-    def waited(self, event):
+    def stop_waiting_for(self, event):
         """A text no longer waits for the event: it is decided on now, or its client has disconnected."""
-        self.subscribed.stop_waiting_for(event)
+        self.subscription.stop_waiting_for(event)
 
     def stop_waiting(self):
         """Refuses all texts that wait for the first answer on their destination."""
-        if self.subscribed is not None:
-            self.subscribed.stop_waiting()
+        if self.subscription is not None:
+            self.subscription.stop_waiting()
 
     def retry_after(self, text):
         """The milliseconds after which the client of a refused message may retry (0: no advice)."""
-        return max(self.facade.advice(text), HOLD if self.stuck else 0.0)
+        return max(self.facade.advice(text), JOURNAL_RETRY_WINDOW_MS if self.failed_turns else 0.0)
 
-    def kept(self, text):
+    def journalled_event(self, text):
         """An event that is set once the message is in the journal or is refused."""
-        event = Kept(self.loop, text)
+        event = JournalledEvent(self.loop, text)
         self.unacknowledged.add(text.ident)
-        self.waiting.append(event)
+        self.unjournalled.append(event)
         return event
 
     def unanswered(self, request):
@@ -184,12 +193,12 @@
     def withdraw(self, text):
         """Ends a text whose client disconnected before it got the answer."""
         self.unacknowledged.discard(text.ident)
-        if text in self.given_up:  # it has already ended, and nobody waits for its notice
-            self.given_up.remove(text)
+        if text in self.pending_notices:  # it has already ended, and nobody waits for its notice
+            self.pending_notices.remove(text)
             self.complete(text)
         self.facade.withdraw(text)
 
-    def answered(self, text):
+    def acknowledged(self, text):
         """The text's 202 is sent: from now on its notice may be sent too."""
         self.unacknowledged.discard(text.ident)
 
@@ -198,8 +207,8 @@
 
         An empty whole list is ignored: an agent that has no list yet answers with an empty one.
         """
-        self.current = True
-        if whole and not places and self.facade.places and self.subscribed is None:
+        self.list_received = True
+        if whole and not places and self.facade.places and self.subscription is None:
             logger.warning(
                 "empty list ignored, {endpoints} endpoints stay in use",
                 event="discovery.empty",
@@ -231,16 +240,18 @@
             self.journal_decisions()
         except Exception as fault:
             return self.handle_failed_turn(fault)
-        if self.stuck:
-            logger.info("turns succeed again after {turns} failures", event="turn.again", turns=self.stuck)
-            self.stuck, due = 0, self.loop.now()
+        if self.failed_turns:
+            logger.info(
+                "turns succeed again after {turns} failures", event="turn.again", turns=self.failed_turns
+            )
+            self.failed_turns, due = 0, self.loop.now()
             self.facade.pause_calls(self.list_deadline is not None)
         while place := self.facade.given_back():
             self.lines.close_idle(place)
         while line := self.facade.said():
             logger.info("{line}", event="decided", line=line)
-        waiting, self.waiting = self.waiting, []
-        for event in waiting:
+        unjournalled, self.unjournalled = self.unjournalled, []
+        for event in unjournalled:
             event.set()
         self.queue_notices(lambda text: True)
         calls, self.calls = self.calls, []
@@ -254,10 +265,10 @@
         ended, because no restart could send those.
         """
         now = self.loop.now()
-        if not self.stuck:
+        if not self.failed_turns:
             self.first_failure_at = now
             self.facade.pause_calls(True)
-        self.stuck += 1
+        self.failed_turns += 1
         self.log_failed_turn(fault)
         # Calls delayed by the journal are decided again: a destination's memory of a reference, a wait or a
         # validity period may have ended meanwhile. Each text has used up one of its submits.
@@ -268,7 +279,7 @@
         # An end that is not in the journal is reported only once the message's validity has ended: before, a
         # restart might still send the message.
         self.queue_notices(lambda text: now >= text.until)
-        return now + AGAIN
+        return now + TURN_RETRY_DELAY_MS
 
     def log_failed_turn(self, fault):
         """Logs a failed turn, at a limited rate so that a long disk fault does not fill the log."""
@@ -277,41 +288,43 @@
                 "journal.refused",
                 "the journal cannot be written, {turns} turns in a row",
                 fault,
-                turns=self.stuck,
+                turns=self.failed_turns,
             )
         else:
-            self.loop.faults.tell("turn.fault", "turn failed, {turns} in a row", fault, turns=self.stuck)
+            self.loop.faults.tell(
+                "turn.fault", "turn failed, {turns} in a row", fault, turns=self.failed_turns
+            )
 
     def refuse_unjournalled(self, now):
-        """Refuses messages that wait to be journalled once `HOLD` ms have passed. If part of a record may be
+        """Refuses messages that wait to be journalled once `JOURNAL_RETRY_WINDOW_MS` ms have passed. If part of a record may be
         in the file, each is refused only shortly before its validity ends: a restart might still send it.
         """
-        window_passed = now >= self.first_failure_at + HOLD and not self.journal.torn
-        waiting, self.waiting = self.waiting, []
-        for event in waiting:
-            if window_passed or now >= event.text.until - LAST_WORD:
+        window_passed = now >= self.first_failure_at + JOURNAL_RETRY_WINDOW_MS and not self.journal.torn
+        unjournalled, self.unjournalled = self.unjournalled, []
+        for event in unjournalled:
+            if window_passed or now >= event.text.until - REFUSAL_LEAD_MS:
                 self.withdraw(event.text)
                 event.refuse(self.retry_after(event.text))
             else:
-                self.waiting.append(event)
+                self.unjournalled.append(event)
 
     def queue_notices(self, is_due):
         """Queues the notices of given-up texts for which `is_due` holds and whose 202 is sent. A client
         ignores a notice that comes before its 202.
         """
-        given_up, self.given_up = self.given_up, []
-        for text in given_up:
+        pending_notices, self.pending_notices = self.pending_notices, []
+        for text in pending_notices:
             if is_due(text) and text.ident not in self.unacknowledged:
                 self.notices.owe(text)
             else:
-                self.given_up.append(text)
+                self.pending_notices.append(text)
 
     def decide(self):
         """Lets the decisions process all input; returns when the next ones are due."""
         now = self.loop.now()
         if self.list_deadline is not None and (self.list_agent.answered or now >= self.list_deadline):
             self.list_deadline = None
-            self.facade.pause_calls(bool(self.stuck))
+            self.facade.pause_calls(bool(self.failed_turns))
         due = self.facade.tick(now)
         if self.list_deadline is not None:
             due = min(due, self.list_deadline)
@@ -323,7 +336,7 @@
         return due
 
     @property
-    def out(self):
+    def calls_in_progress(self):
         """Number of calls in progress."""
         return len(self.outstanding_calls)
 
@@ -370,7 +383,7 @@
         facade, journal, now = self.facade, self.journal, self.loop.now()
         while back := facade.back():
             journal.back(*back)
-        while self.calling and (call := facade.pick()):
+        while self.calls_enabled and (call := facade.pick()):
             for text in call.texts:
                 journal.sent(text, now, call.place.zone)
             self.calls.append(call)
@@ -382,7 +395,7 @@
             else:
                 call_log.log_given_up(end)
                 journal.given_up(end.text, end.verdict, end.wait)
-                self.given_up.append(end.text)
+                self.pending_notices.append(end.text)
         for dropped in facade.dropped_destinations():
             for key in journal.routes.keys_of(dropped):
                 journal.route(*key, None)
@@ -441,18 +454,18 @@
                 turned_away=ledger.turned_away,
                 given_up=ledger.noticed,
                 held=len(self.facade.texts),
-                calls_out=self.out,
+                calls_out=self.calls_in_progress,
                 notices_owed=len(self.notices.owed),
                 journal_bytes=self.journal.size,
-                journal_stuck=self.stuck,
+                journal_stuck=self.failed_turns,
                 idle_connections=self.lines.count,
                 destinations=self.facade.state(),
                 invariants_broken=self.guard.counts_by_name(),
             )
-            | (dict(subscription=self.subscribed.status()) if self.subscribed else {})
+            | (dict(subscription=self.subscription.status()) if self.subscription else {})
         ).encode()
 
-    def told(self, text):
+    def notice_acknowledged(self, text):
         """The platform has received the notice of a text."""
         self.ledger.noticed += 1
         self.complete(text)
@@ -465,7 +478,7 @@
         """A coroutine that closes idle connections and logs the loop's lag and the totals."""
         report_at = self.loop.now() + REPORT_INTERVAL_MS
         while True:
-            yield Until(self.loop.now() + SWEEP)
+            yield Until(self.loop.now() + SWEEP_INTERVAL_MS)
             self.lines.sweep(self.loop.now())
             if self.loop.now() >= report_at:
                 message = (
@@ -482,6 +495,6 @@
                     turned_away=ledger.turned_away,
                     given_up=ledger.noticed,
                     held=len(self.facade.texts),
-                    out=self.out,
+                    out=self.calls_in_progress,
                 )
                 self.loop.lateness, report_at = 0.0, self.loop.now() + REPORT_INTERVAL_MS
--- a/calicopin/lifecycle/signals.py
+++ b/calicopin/lifecycle/signals.py
@@ -11,11 +11,11 @@
     action. Signals that arrive before the loop runs are kept.
     """
 
-    STOPS = (signal.SIGTERM, signal.SIGINT)
+    STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
     def __init__(self):
         self.received = set()
-        for signal_number in (signal.SIGHUP, *self.STOPS):
+        for signal_number in (signal.SIGHUP, *self.STOP_SIGNALS):
             signal.signal(signal_number, lambda number, _: self.received.add(number))
         from calicopin.system import HERE, patiently  # after the handlers: this import takes long
 
@@ -24,7 +24,7 @@
         if self.received:  # a signal came before the pipe was set up
             os.write(write_fd, b"\0")
 
-    def heard(self):
+    def take_signals(self):
         """The set of signals received since the last call."""
         try:
             while os.read(self.fd, 4096):
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -12,7 +12,7 @@
 from calicopin.admin.server import AdminServer
 from calicopin.deployment_settings import check, pushed
 from calicopin.facade import Facade
-from calicopin.lifecycle.renewal import Renewal
+from calicopin.lifecycle.renewal import ConfigurationReload
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.stop import Shutdown
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Post:
+class CourierConfiguration:
     """The configuration of one courier: name, addresses, folder, limits and delivery settings (`terms`)."""
 
     name: str
@@ -43,7 +43,7 @@
     disk: int
     configured_list: dict
     terms: dict
-    configuration: object = None  # the operator's .toml file, if there is one
+    operator_configuration: object = None  # the operator's .toml file, if there is one
     partner_file: str = ""  # the path of a watched list of partners
     notices: str = ""
     status: bool = False
@@ -67,9 +67,9 @@
     return value
 
 
-def posted(environ, renewed=False, system=HERE):
+def load_configuration(environ, reloaded=False, system=HERE):
     """Reads the configuration from the file named by `LB_CONFIG`; for addresses and the folder, environment
-    variables take precedence. After a reload (`renewed`) the file's discovery address precedes the variable.
+    variables take precedence. After a reload (`reloaded`) the file's discovery address precedes the variable.
     """
     path, operator_configuration = environ["LB_CONFIG"], None
     admin_address, listening_socket, handover_folder = (
@@ -90,14 +90,14 @@
 
         subscription = parse_subscription(configuration, path)
     discovery_addresses = environ.get("LB_DISCOVERY"), configuration.get("discovery")
-    preferred, fallback = reversed(discovery_addresses) if renewed else discovery_addresses
+    preferred, fallback = reversed(discovery_addresses) if reloaded else discovery_addresses
     admin_address = admin_address or configuration.get("admin_addr")
     limits, seed = configuration.get("limits", {}), str(configuration.get("seed", ""))
     try:
         seed = int(seed, 16)
     except ValueError:
         seed = zlib.crc32(seed.encode())
-    return Post(
+    return CourierConfiguration(
         name=configuration.get("name") or environ.get("LB_NAME", "courier"),
         listen=environ.get("LB_LISTEN") or configuration["listen"],
         discovery=check_address(preferred or fallback)
@@ -112,7 +112,7 @@
         disk=int(float(limits.get("disk_mb") or 3) * 1e6),
         configured_list=configuration.get("known") or {"version": 0, "full": True, "servers": []},
         terms=configuration["settings"],
-        configuration=operator_configuration,
+        operator_configuration=operator_configuration,
         partner_file=configuration.get("watched", ""),
         notices=configuration.get("notices", ""),
         status=bool(configuration.get("status")),
@@ -137,39 +137,39 @@
     return version, places
 
 
-def build(post, loop, signal_reader, read_configuration, lock=None, receiver=None):
+def build(configuration, loop, signal_reader, read_configuration, lock=None, receiver=None):
     """Builds the parts of one courier and returns its `Runtime`. The journal is restored before any client is
     served.
 
     `read_configuration` reads the configuration again. `lock` is the lock of the folder; with `receiver` the
     state comes from another process instead of the folder.
     """
-    terms = post.terms
+    terms = configuration.terms
     ceilings = terms["ceilings"]
     connect_timeout = (ceilings.get("connectTimeout") or 1.0) * 1000.0
     idle_timeout = (ceilings.get("idleClose") or 10.0) * 1000.0
     longest_validity = max(grade["giveUp"] for grade in terms["grades"]) * 1000.0
-    budget = Budget(post.descriptors, terms["familyInfo"]["workers"], bool(post.admin))
-    disk = post.disk
-    if post.nodes:
+    budget = Budget(configuration.descriptors, terms["familyInfo"]["workers"], bool(configuration.admin))
+    disk = configuration.disk
+    if configuration.nodes:
         from calicopin.state.known_list import journal_bytes
 
         disk = journal_bytes(disk)
     system, in_flight = loop.system, receiver.in_flight_ids if receiver else None
     wall_clock_offset, boot = system.wall() - loop.now(), patiently(system, system.boot)
-    if post.store == "segments":
+    if configuration.store == "segments":
         from calicopin.store.segments import Segments
 
         journal = patiently(
             system,
             lambda: Segments(
-                post.folder,
+                configuration.folder,
                 disk,
                 wall_clock_offset,
                 system,
                 longest_validity,
                 boot,
-                post.durable,
+                configuration.durable,
                 in_flight,
                 loop.now,
             ),
@@ -178,50 +178,61 @@
         journal = patiently(
             system,
             lambda: Journal(
-                post.folder, disk, wall_clock_offset, system, longest_validity, boot, in_flight, loop.now
+                configuration.folder,
+                disk,
+                wall_clock_offset,
+                system,
+                longest_validity,
+                boot,
+                in_flight,
+                loop.now,
             ),
         )
-    facade = Facade(post.seed, terms, budget.calls, loop.now(), journal.again and not receiver)
+    facade = Facade(configuration.seed, terms, budget.calls, loop.now(), journal.again and not receiver)
     # idle connections are closed at least one connect time-out before the limit
     lines = Lines(budget.endpoints, max(idle_timeout / 2.0, idle_timeout - connect_timeout))
     runtime = Runtime(
         loop, facade, journal, lines, connect_timeout, Ledger(grade["name"] for grade in terms["grades"])
     )
-    notice_address = post.discovery or post.notices
+    notice_address = configuration.discovery or configuration.notices
     runtime.notices = (
-        Notices(loop, notice_address, runtime.told) if notice_address else NoticeLog(loop, runtime.told)
+        Notices(loop, notice_address, runtime.notice_acknowledged)
+        if notice_address
+        else NoticeLog(loop, runtime.notice_acknowledged)
     )
     long_poll_timeout = longest_wait((terms["rules"].get("askWithin") or 10.0) * 1000.0)
     if receiver:
         version, places = receiver.snapshot["version"], ()
         runtime.restore_from_handover(receiver)
-    if post.nodes:
+    if configuration.nodes:
         from calicopin.lifecycle.subscribed import build_subscription
 
-        runtime.subscribed = build_subscription(
-            post, loop, runtime, long_poll_timeout, facade.places.values() if receiver else None
+        runtime.subscription = build_subscription(
+            configuration, loop, runtime, long_poll_timeout, facade.places.values() if receiver else None
         )
     if not receiver:
         version, places = (
-            (None, runtime.subscribed.places()) if post.nodes else initial_list(post.configured_list)
+            (None, runtime.subscription.places())
+            if configuration.nodes
+            else initial_list(configuration.configured_list)
         )
         facade.listed(places, True)
         runtime.restore()
-    if post.nodes:
-        discovery = runtime.subscribed.start()
+    if configuration.nodes:
+        discovery = runtime.subscription.start()
         runtime.list_agent = None if receiver else discovery  # after a handover the list is current
-    elif post.discovery:
+    elif configuration.discovery:
         is_pushed = pushed(terms)
         # the configured list is old, and the agent has the whole current one
         fetch_all = is_pushed and not receiver
         discovery = Discovery(
             loop,
-            post.discovery,
+            configuration.discovery,
             None if fetch_all else version,
             long_poll_timeout,
             runtime.update_list,
             terms["groupSize"],
-            post.seed,
+            configuration.seed,
             spread=bool(places),
             pushed=is_pushed,
         )
@@ -230,23 +241,28 @@
     else:
         from calicopin.configuration.startup import partner_list_loader
 
-        runtime.current = True
+        runtime.list_received = True
         discovery = (
-            ListFile(loop, post.partner_file, partner_list_loader(post.configuration), runtime.update_list)
-            if post.partner_file
+            ListFile(
+                loop,
+                configuration.partner_file,
+                partner_list_loader(configuration.operator_configuration),
+                runtime.update_list,
+            )
+            if configuration.partner_file
             else None
         )
     if not receiver:
         runtime.turn()
     products = {grade["name"]: number for number, grade in enumerate(terms["grades"])}
-    listener = loop.system.passed(post.listening_socket) if post.listening_socket else None
-    clients = Clients(loop, post.listen, products, budget, runtime, listener)
-    clients.status = runtime.status if post.status else None
+    listener = loop.system.passed(configuration.listening_socket) if configuration.listening_socket else None
+    clients = Clients(loop, configuration.listen, products, budget, runtime, listener)
+    clients.status = runtime.status if configuration.status else None
     stop = Shutdown(loop, runtime, clients)
-    if post.admin:
+    if configuration.admin:
         AdminServer(
             loop,
-            post.admin,
+            configuration.admin,
             {
                 "/admin/health": ("GET", lambda: {"serving": True}),
                 "/admin/stats": ("GET", runtime.statistics),
@@ -255,32 +271,34 @@
             },
             budget.admin - 1,
         )
-    renewal = Renewal(loop, signal_reader, post, read_configuration, stop, discovery, clients, runtime)
+    reload = ConfigurationReload(
+        loop, signal_reader, configuration, read_configuration, stop, discovery, clients, runtime
+    )
     if receiver:
         lock = receiver.complete(loop, runtime, clients)
         journal.begin()
         if receiver.snapshot["drained"] is not None:
             stop.begin_drain(receiver.snapshot["drained"])
-    if post.listening_socket:
+    if configuration.listening_socket:
         from calicopin.handover.channel import HandoverSocket
         from calicopin.handover.sender import HandoverSender
 
         HandoverSender(
-            HandoverSocket(post.handover_folder or post.folder, post.folder),
+            HandoverSocket(configuration.handover_folder or configuration.folder, configuration.folder),
             lock,
             loop.system.again,
             loop,
             runtime,
             clients,
             discovery,
-            renewal,
+            reload,
             stop,
         )
     for coroutine in (
         runtime.run_housekeeping,
         clients.free_descriptors_periodically,
         stop.wait_for_request,
-        renewal.wait,
+        reload.wait,
     ):
         loop.keep(coroutine)
     return runtime
@@ -289,50 +307,55 @@
 def serve(environ, signal_reader, system=HERE):
     """Runs one courier until a signal stops it; raises ValueError for a configuration that cannot be read."""
     try:
-        post = patiently(system, lambda: posted(environ, system=system))
+        configuration = patiently(system, lambda: load_configuration(environ, system=system))
     except (KeyError, TypeError, AttributeError) as fault:
         raise ValueError(
             f"{environ.get('LB_CONFIG', 'LB_CONFIG')}: the configuration cannot be read: {fault!r}"
         ) from None
     lock = receiver = None
-    if post.listening_socket:
+    if configuration.listening_socket:
         # raises for an invalid descriptor before the folder is locked
-        system.passed(post.listening_socket).detach()
-        lock, receiver, post = acquire_folder(post, environ, signal_reader, system)
-        if post is None:
+        system.passed(configuration.listening_socket).detach()
+        lock, receiver, configuration = acquire_folder(configuration, environ, signal_reader, system)
+        if configuration is None:
             return
-    elif post.configuration:  # on the platform each courier has a folder of its own
-        lock = patiently(system, system.lock, post.folder)
+    elif configuration.operator_configuration:  # on the platform each courier has a folder of its own
+        lock = patiently(system, system.lock, configuration.folder)
     loop = patiently(system, lambda: Loop(system=system))
     try:
         runtime = build(
-            post, loop, signal_reader, lambda: posted(environ, renewed=True, system=system), lock, receiver
+            configuration,
+            loop,
+            signal_reader,
+            lambda: load_configuration(environ, reloaded=True, system=system),
+            lock,
+            receiver,
         )
     except ConnectionAbortedError as fault:
         logger.warning(
             "handover failed, this process starts again: {fault}", event="handover.again", fault=fault
         )
         system.again()
-    if post.log == "json":
-        use_json_log(post.name, log_level(environ))
+    if configuration.log == "json":
+        use_json_log(configuration.name, log_level(environ))
     system.settle()
     logger.info(
         "{name} ready on {listen}, {endpoints} endpoints known",
         event="ready",
-        name=post.name,
-        listen=post.listen,
+        name=configuration.name,
+        listen=configuration.listen,
         endpoints=len(runtime.facade.places),
     )
     loop.run()
     logger.info(
         "{name} stopped, {texts} texts left in the journal",
         event="stopped",
-        name=post.name,
+        name=configuration.name,
         texts=len(runtime.journal.texts),
     )
 
 
-def acquire_folder(post, environ, signal_reader, system):
+def acquire_folder(configuration, environ, signal_reader, system):
     """(lock, `HandoverReceiver` or None, configuration): waits until the folder is free or its holder hands
     over. All three are None if a signal to stop comes first.
     """
@@ -341,17 +364,17 @@
 
     try:
         lock, receiver = begin(
-            HandoverSocket(post.handover_folder or post.folder, post.folder),
-            post.folder,
+            HandoverSocket(configuration.handover_folder or configuration.folder, configuration.folder),
+            configuration.folder,
             signal_reader,
             system,
         )
     except StoppedError:
-        logger.info("{name} stopped before it took over", event="stopped", name=post.name, texts=0)
+        logger.info("{name} stopped before it took over", event="stopped", name=configuration.name, texts=0)
         return None, None, None
     if receiver and receiver.snapshot["renewed"]:
-        post = posted(environ, renewed=True, system=system)
-    return lock, receiver, post
+        configuration = load_configuration(environ, reloaded=True, system=system)
+    return lock, receiver, configuration
 
 
 def log_level(environ):
--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -28,7 +28,7 @@
             clients=self.clients.open,
             texts=runtime.facade.texts,
             notices=runtime.notices.owed,
-            calls=runtime.out,
+            calls=runtime.calls_in_progress,
         )
         return frozenset(name for name, pending in under_way.items() if pending)
 
@@ -36,9 +36,9 @@
         """A coroutine that applies each step in turn until the last has ended."""
         now = self.loop.now
         while step := sequence.step_at(now(), self.busy()):
-            self.clients.leaving, self.runtime.calling = True, step.makes_calls
-            self.runtime.refusing = self.runtime.refusing or step.refuses_messages
-            if self.runtime.refusing:
+            self.clients.leaving, self.runtime.calls_enabled = True, step.makes_calls
+            self.runtime.refuses_messages = self.runtime.refuses_messages or step.refuses_messages
+            if self.runtime.refuses_messages:
                 self.runtime.stop_waiting()
             if not step.accepts_connections:
                 self.clients.stop_listening()
@@ -56,7 +56,7 @@
             "SIGTERM: {held} texts held, {out} calls out",
             event="stopping",
             held=len(runtime.facade.texts),
-            out=runtime.out,
+            out=runtime.calls_in_progress,
         )
         self.stopping = True
         self.end_drain()
@@ -66,7 +66,7 @@
         # If the process was suspended during the steps, accepted messages may not be in the journal yet: one
         # more turn writes them and answers their clients. Messages read from now on are refused, because no
         # turn would journal them.
-        runtime.calling, runtime.refusing = False, True
+        runtime.calls_enabled, runtime.refuses_messages = False, True
         runtime.stop_waiting()
         self.clients.close_between_requests()
         yield Until(self.loop.now())
@@ -87,7 +87,7 @@
                 "quiesced: {held} texts held, {out} calls out",
                 event="quiesced",
                 held=len(self.runtime.facade.texts),
-                out=self.runtime.out,
+                out=self.runtime.calls_in_progress,
             )
             self.begin_drain(self.loop.now())
         return self.status()
@@ -108,7 +108,7 @@
         if self.drain is not None:
             logger.info("resumed: {held} texts held", event="resumed", held=len(self.runtime.facade.texts))
             self.end_drain()
-            self.clients.leaving = self.clients.closing = self.runtime.refusing = False
+            self.clients.leaving = self.clients.closing = self.runtime.refuses_messages = False
         return self.status()
 
     def status(self):
--- a/calicopin/lifecycle/subscribed.py
+++ b/calicopin/lifecycle/subscribed.py
@@ -15,19 +15,19 @@
 from calicopin.wire.loop import Event
 from calicopin.wire.subscriber import Subscriber
 
-REFUSALS = {Standing.KNOWN: None, Standing.UNKNOWN: 404, Standing.WAITING: 503}
+REFUSAL_STATUS = {Standing.KNOWN: None, Standing.UNKNOWN: 404, Standing.WAITING: 503}
 
 
 class FirstAnswer(Event):
-    """Set once the first answer on a destination has come; `came` stays true from then on."""
+    """Set once the first answer on a destination has come; `received` stays true from then on."""
 
     def __init__(self, loop):
         super().__init__(loop)
-        self.came = False
+        self.received = False
 
     def set(self):
         """Marks the answer as received and wakes the coroutine that waits for it."""
-        self.came = True
+        self.received = True
         super().set()
 
 
@@ -45,7 +45,7 @@
     disk_bytes: int
 
 
-class Subscribed:
+class CourierSubscription:
     """Answers whether destinations are known, and passes the nodes' updates to the runtime and to the list in
     the folder.
 
@@ -73,7 +73,7 @@
             settings.fleet,
             settings.courier,
             settings.long_poll_timeout,
-            self.heard,
+            self.apply_update,
             settings.seed,
             self.initial_endpoints,
             self.in_use,
@@ -102,7 +102,7 @@
     def refusal_status(self, destination: int) -> int | None:
         """Subscribes to the destination; the HTTP status that refuses its messages, or None if known."""
         try:
-            return REFUSALS[self.subscriber.use(destination)]
+            return REFUSAL_STATUS[self.subscriber.use(destination)]
         except InterestFullError:
             return 503
 
@@ -143,7 +143,7 @@
         """Whether a message for the destination is held or waits for its first answer."""
         return destination in self.pending_by_destination or self.facade.in_use(destination)
 
-    def heard(self, places: list[Place], whole: bool) -> None:
+    def apply_update(self, places: list[Place], whole: bool) -> None:
         """Passes an update of the list on, or a whole list if `whole`."""
         self.last_answer_at = self.loop.now()
         self.runtime.update_list(places, whole)
@@ -185,17 +185,17 @@
 
 
 def build_subscription(
-    post, loop, runtime, long_poll_timeout: float, places: Iterable[Place] | None
-) -> Subscribed:
+    configuration, loop, runtime, long_poll_timeout: float, places: Iterable[Place] | None
+) -> CourierSubscription:
     """The subscription of a courier by its configuration; `places` are endpoints that were handed over."""
     settings = SubscriptionSettings(
-        nodes=post.nodes,
-        fleet=post.fleet,
-        courier=post.name,
+        nodes=configuration.nodes,
+        fleet=configuration.fleet,
+        courier=configuration.name,
         long_poll_timeout=long_poll_timeout,
-        seed=post.seed,
-        max_list_age=post.max_age,
-        folder=post.folder,
-        disk_bytes=post.disk,
+        seed=configuration.seed,
+        max_list_age=configuration.max_age,
+        folder=configuration.folder,
+        disk_bytes=configuration.disk,
     )
-    return Subscribed(loop, settings, runtime, places)
+    return CourierSubscription(loop, settings, runtime, places)
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -109,7 +109,7 @@
         self.answer_pending = self.handed_over = False
 
 
-class Kept(Event):
+class JournalledEvent(Event):
     """Set once a message that was taken on is in the journal, or could not be written there.
 
     In the second case `refused` is true, the message was withdrawn, and `wait` (ms) goes into `Retry-After`.
@@ -129,11 +129,11 @@
     """Accepts connections within the descriptor budget and serves the requests on them.
 
     The methods of `acceptor`:
-    - `take(text)`: None if the text is taken on, else (status, advised wait in ms);
-    - `kept(text)`: a `Kept` event, set once the text is in the journal or refused;
-    - `answered(text)` and `withdraw(text)`: its 202 was sent, or could not be sent;
+    - `accept(text)`: None if the text is taken on, else (status, advised wait in ms);
+    - `journalled_event(text)`: a `JournalledEvent` event, set once the text is in the journal or refused;
+    - `acknowledged(text)` and `withdraw(text)`: its 202 was sent, or could not be sent;
     - `first_answer(text)`: an event to wait for while its destination is unknown, or None;
-    - `waited(event)`: the wait for such an event has ended;
+    - `stop_waiting_for(event)`: the wait for such an event has ended;
     - `unanswered(request)`: a request was read and its connection closed without an answer, an error.
     """
 
@@ -322,14 +322,14 @@
         yield from self.wait_for_destination(line, text)
         if line.left():  # it may submit the text elsewhere now; if not, refusing does no harm
             return (yield from self.reply(line, 503))
-        refusal = self.acceptor.take(text)
+        refusal = self.acceptor.accept(text)
         if refusal is not None:
             status, wait = refusal
             if status != 503:
                 client.delay = REFUSAL_DELAY_MS
                 self.log_refusal(status, f"dest {text.dest}, id {text.ident[:40]!r}")
             return (yield from self.reply(line, status, b"", retry_after(wait)))
-        kept = self.acceptor.kept(text)
+        kept = self.acceptor.journalled_event(text)
         yield Until(event=kept)
         if kept.refused:
             self.log_refusal(503, "the journal cannot be written")
@@ -344,7 +344,7 @@
         except Exception:
             self.acceptor.withdraw(text)
             raise
-        (self.acceptor.withdraw if keep_alive is None else self.acceptor.answered)(text)
+        (self.acceptor.withdraw if keep_alive is None else self.acceptor.acknowledged)(text)
         return keep_alive
 
     def wait_for_destination(self, line, text):
@@ -358,12 +358,12 @@
             return
         until, fd = text.until - ANSWER_MARGIN_MS, line.sock.fileno()
         try:
-            while not event.came and self.loop.now() < until and not line.left():
+            while not event.received and self.loop.now() < until and not line.left():
                 if not line.quiet():  # a pipelined request, which has to wait and hides a close
                     fd = -1
                 yield Until(until, fd, READ if fd >= 0 else 0, event)
         finally:
-            self.acceptor.waited(event)
+            self.acceptor.stop_waiting_for(event)
 
     def next_head(self, client):
         """Waits for the head of the next request; only in this wait may the courier close the connection."""
--- a/tests/configuration_helper.py
+++ b/tests/configuration_helper.py
@@ -8,7 +8,7 @@
 
 from calicopin.configuration import check
 from calicopin.configuration.read import UnusableError, read
-from calicopin.lifecycle.start import build, posted
+from calicopin.lifecycle.start import build, load_configuration
 from calicopin.wire.loop import Loop
 
 BASE = """version = 1
@@ -85,12 +85,12 @@
 class SilentSignalReader:
     """A signal reader that receives no signal."""
 
-    STOPS = ()
+    STOP_SIGNALS = ()
 
     def __init__(self):
         self.fd, self.write_end = os.pipe()
 
-    def heard(self):
+    def take_signals(self):
         return set()
 
     def close(self):
@@ -101,10 +101,15 @@
 def start(path, loop=None):
     """(runtime, loop, signal reader) of a courier that is started from a file in this process."""
     loop, signal_reader = loop or Loop(now=Clock(), system=Rebooted()), SilentSignalReader()
-    post = posted({"LB_CONFIG": str(path)})
-    os.makedirs(post.folder, exist_ok=True)
+    configuration = load_configuration({"LB_CONFIG": str(path)})
+    os.makedirs(configuration.folder, exist_ok=True)
     return (
-        build(post, loop, signal_reader, lambda: posted({"LB_CONFIG": str(path)}, renewed=True)),
+        build(
+            configuration,
+            loop,
+            signal_reader,
+            lambda: load_configuration({"LB_CONFIG": str(path)}, reloaded=True),
+        ),
         loop,
         signal_reader,
     )
--- a/tests/courier_helper.py
+++ b/tests/courier_helper.py
@@ -6,7 +6,7 @@
 
 from calicopin.facade import Facade, Place
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import Post, build
+from calicopin.lifecycle.start import CourierConfiguration, build
 from calicopin.state.texts import Text
 from calicopin.wire.loop import Loop
 
@@ -69,7 +69,7 @@
             ],
         }
         self.posts = [
-            Post(
+            CourierConfiguration(
                 "n0",
                 self.listen,
                 self.platform.address,
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -13,7 +13,7 @@
 from calicopin.lifecycle.runtime import FIRST_LIST_TIMEOUT_MS
 from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, LAST_CALL_MS, STOP_LIMIT_MS, UNREADY_MS
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import initial_list, posted
+from calicopin.lifecycle.start import initial_list, load_configuration
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
 from calicopin.state.connections import Budget
 from calicopin.state.texts import Text
@@ -25,7 +25,7 @@
     peer = courier.endpoint.meet()
     peer.wait(b"\xfe\xfe\xfe")
     peer.say(answer(200))
-    spin(courier.loop, lambda: not courier.runtime.journal.texts and not courier.runtime.out)
+    spin(courier.loop, lambda: not courier.runtime.journal.texts and not courier.runtime.calls_in_progress)
     assert courier.runtime.lines.count == 1 and not courier.runtime.facade.texts
 
 
@@ -240,16 +240,16 @@
     peer.wait(b"\xfe\xfe\xfe")
     peer.say(b"HTTP/1.1 200 OK\r\n")
     spin(courier.loop, lambda: not courier.runtime.journal.texts)
-    assert courier.runtime.out == 1
+    assert courier.runtime.calls_in_progress == 1
     peer.say(b"X-Retry-In-Ms: 700\r\nContent-Length: 0\r\n\r\n")
-    spin(courier.loop, lambda: not courier.runtime.out)
+    spin(courier.loop, lambda: not courier.runtime.calls_in_progress)
     courier.post("b")
     for at in (0.0, 699.0):
-        assert not courier.runtime.out
+        assert not courier.runtime.calls_in_progress
         courier.loop.now.now += at
         courier.loop.once(courier.loop.now())
     courier.loop.now.now += 6.0
-    spin(courier.loop, lambda: courier.runtime.out)
+    spin(courier.loop, lambda: courier.runtime.calls_in_progress)
 
 
 def test_a_message_whose_body_exceeds_the_disk_limit_is_refused(tmp_path):
@@ -271,7 +271,7 @@
     assert courier.post("a") == b"503" and courier.post("b") == b"503" and not courier.runtime.ledger.taken
     courier.runtime.facade.tick = tick
     courier.loop.once(courier.loop.now())
-    assert courier.post("a") == b"202" and not courier.runtime.stuck
+    assert courier.post("a") == b"202" and not courier.runtime.failed_turns
 
 
 def test_no_answer_or_call_is_sent_while_the_disk_fails(tmp_path, monkeypatch):
@@ -284,13 +284,13 @@
         b"Content-Length: 0\r\n\r\n"
     )
     spin(courier.loop, lambda: courier.runtime.ledger.taken)
-    courier.runtime.take(Text("late", 7, 0, None, None, 0.0, b""))
+    courier.runtime.accept(Text("late", 7, 0, None, None, 0.0, b""))
     for _ in range(20):
         courier.loop.once(courier.loop.now())
-    assert not peer.hear() and not courier.runtime.out and not courier.runtime.notices.owed
+    assert not peer.hear() and not courier.runtime.calls_in_progress and not courier.runtime.notices.owed
     courier.runtime.journal.flush = flush
     courier.loop.now.now += 100.0
-    assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202") and courier.runtime.out == 1
+    assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202") and courier.runtime.calls_in_progress == 1
 
 
 def test_repeated_sigterm_before_the_first_list_stops_once_and_a_torn_record_is_tolerated(tmp_path):
@@ -335,9 +335,9 @@
     peer.say(answer(200))
     spin(courier.loop, lambda: set(courier.runtime.journal.texts) == {"b", "c"})
     courier.loop.now.now += LAST_CALL_MS - UNREADY_MS
-    spin(courier.loop, lambda: not courier.runtime.calling)
-    out = courier.runtime.out
-    assert courier.post("d") == b"202" and courier.runtime.out == out, (
+    spin(courier.loop, lambda: not courier.runtime.calls_enabled)
+    out = courier.runtime.calls_in_progress
+    assert courier.post("d") == b"202" and courier.runtime.calls_in_progress == out, (
         "accepted, to be sent after the restart"
     )
     courier.loop.now.now += LAST_ACCEPT_MS - LAST_CALL_MS
@@ -391,7 +391,7 @@
         (tmp_path / "c.json").write_text(
             broken if broken == "[" else json.dumps({"listen": "x", "state": "y"} | broken)
         )
-        courier.again = lambda: posted({"LB_CONFIG": str(tmp_path / "c.json")}, renewed=True)
+        courier.again = lambda: load_configuration({"LB_CONFIG": str(tmp_path / "c.json")}, reloaded=True)
         os.kill(os.getpid(), signal.SIGHUP)
         for _ in range(10):
             courier.loop.once(courier.loop.now())
@@ -404,7 +404,9 @@
     signal_reader = SignalReader()
     os.kill(os.getpid(), signal.SIGHUP)
     os.kill(os.getpid(), signal.SIGTERM)
-    assert signal_reader.heard() == {signal.SIGHUP, signal.SIGTERM} and not signal_reader.heard()
+    assert (
+        signal_reader.take_signals() == {signal.SIGHUP, signal.SIGTERM} and not signal_reader.take_signals()
+    )
 
 
 def refuses_connections(courier):
@@ -425,21 +427,27 @@
         "more": 1,
     }
     (tmp_path / "c.json").write_text(json.dumps(configuration))
-    post = posted({"LB_CONFIG": str(tmp_path / "c.json"), "LB_STATE": "/x"})
+    configuration = load_configuration({"LB_CONFIG": str(tmp_path / "c.json"), "LB_STATE": "/x"})
     assert (
-        posted(
+        load_configuration(
             {"LB_CONFIG": str(tmp_path / "c.json"), "LB_STATE": "/x", "LB_DISCOVERY": "127.0.0.1:3"}
         ).discovery
         == "127.0.0.1:3"
     )
     assert (
-        posted(
+        load_configuration(
             {"LB_CONFIG": str(tmp_path / "c.json"), "LB_STATE": "/x", "LB_DISCOVERY": "127.0.0.1:3"},
-            renewed=True,
+            reloaded=True,
         ).discovery
         == "127.0.0.1:2"
     )
-    assert (post.name, post.folder, post.seed, post.descriptors, post.disk) == (
+    assert (
+        configuration.name,
+        configuration.folder,
+        configuration.seed,
+        configuration.descriptors,
+        configuration.disk,
+    ) == (
         "n3",
         "/x",
         0x8C1F30D27A5BE964,
@@ -454,11 +462,11 @@
     """
     courier = CourierFixture(tmp_path)
     flush, courier.runtime.journal.flush = courier.runtime.journal.flush, lambda: os.write(-1, b"")
-    courier.runtime.take(Text("a", 7, 0, None, None, courier.loop.now() + 5000.0, b""))
-    courier.runtime.take(Text("b", 7, 0, None, None, courier.loop.now() + 90000.0, b""))
+    courier.runtime.accept(Text("a", 7, 0, None, None, courier.loop.now() + 5000.0, b""))
+    courier.runtime.accept(Text("b", 7, 0, None, None, courier.loop.now() + 90000.0, b""))
     for _ in range(5):
         courier.loop.once(courier.loop.now())
     courier.loop.now.now += 6000.0
     courier.runtime.journal.flush = flush
     assert b"X-Request-ID: b" in courier.endpoint.meet().wait(b"\r\n\r\n")
-    assert courier.notice() == [{"ref": "a", "result": "bounced"}] and courier.runtime.out == 1
+    assert courier.notice() == [{"ref": "a", "result": "bounced"}] and courier.runtime.calls_in_progress == 1
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -190,7 +190,7 @@
     peer = begin_request(stopping_courier, "a")
     stopping_courier.runtime.journal.flush = lambda: os.write(-1, b"")
     peer.say(b"c")
-    spin(stopping_courier.loop, lambda: stopping_courier.runtime.stuck)
+    spin(stopping_courier.loop, lambda: stopping_courier.runtime.failed_turns)
     advance(stopping_courier, STOP_LIMIT_MS - LAST_ACCEPT_MS + 99.0)
     stopping_courier.loop.now.now += POLL_INTERVAL_MS
     spin(stopping_courier.loop, lambda: not stopping_courier.loop.running)
@@ -524,7 +524,7 @@
     again = courier.platform.meet()
     again.wait(b"\r\n\r\n")
     again.say(answer(200, json.dumps(courier.known).encode()))
-    spin(courier.loop, lambda: courier.runtime.current)
+    spin(courier.loop, lambda: courier.runtime.list_received)
     assert created[0].open == budget.clients + budget.other_clients, "all idle clients are still connected"
     courier.loop.now.now += NEW_CONNECTION_MIN_IDLE_MS
     spin(courier.loop, lambda: created[0].open < budget.clients)
@@ -551,6 +551,9 @@
     if again:
         assert b"X-Request-ID: a" in restarted.endpoint.meet().wait(b"\xfe\xfe\xfe")
     else:
-        assert restarted.notice() == [{"ref": "a", "result": "bounced"}] and not restarted.runtime.out
+        assert (
+            restarted.notice() == [{"ref": "a", "result": "bounced"}]
+            and not restarted.runtime.calls_in_progress
+        )
         with pytest.raises(BlockingIOError):
             restarted.endpoint.sock.accept()
--- a/tests/test_fault_log.py
+++ b/tests/test_fault_log.py
@@ -75,7 +75,7 @@
 
 def test_requests_that_raise_are_each_answered_with_500_and_logged_once(loop, records):
     server, address = clients(loop)
-    server.acceptor.take = lambda text: 1 / 0
+    server.acceptor.accept = lambda text: 1 / 0
     for _ in range(5):
         peer = client(loop, address)
         peer.say(request())
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -13,7 +13,7 @@
 
 from calicopin.discovery_node.source import POLL_INTERVAL_MS as SOURCE_POLL_INTERVAL_MS
 from calicopin.discovery_node.source import Source
-from calicopin.lifecycle.renewal import PATIENCE as RELOAD_RETRY_LIMIT
+from calicopin.lifecycle.renewal import RELOAD_RETRY_WINDOW_MS
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.state.journal import Journal
 from calicopin.system import RETRY_LIMIT_MS, System, patiently
@@ -122,15 +122,15 @@
     poller = select.poll()  # unlike `select`, works for any descriptor number
     poller.register(reader.fd, select.POLLIN)
     assert not refused and poller.poll(0) == [(reader.fd, select.POLLIN)]
-    assert reader.heard() == {signal.SIGHUP}
+    assert reader.take_signals() == {signal.SIGHUP}
 
 
 def test_a_reload_is_retried_after_transient_errors(tmp_path):
     courier = CourierFixture(tmp_path)
-    post, refused = replace(courier.posts[0], disk=6_000_000), ["ENFILE", "EIO"]
+    configuration, refused = replace(courier.posts[0], disk=6_000_000), ["ENFILE", "EIO"]
     read = courier.again
     courier.again = lambda: (_ for _ in ()).throw(fault(refused.pop())) if refused else read()
-    courier.posts.append(post)
+    courier.posts.append(configuration)
     limit = courier.runtime.journal.most
     os.kill(os.getpid(), signal.SIGHUP)
     spin(courier.loop, lambda: len(refused) == 1)
@@ -155,7 +155,7 @@
     for _ in range(100):
         courier.loop.now.now += AGAIN
         courier.loop.once(courier.loop.now())
-    assert RELOAD_RETRY_LIMIT - AGAIN <= attempts[-1] - attempts[0] <= RELOAD_RETRY_LIMIT + AGAIN
+    assert RELOAD_RETRY_WINDOW_MS - AGAIN <= attempts[-1] - attempts[0] <= RELOAD_RETRY_WINDOW_MS + AGAIN
     before = len(attempts)
     os.kill(os.getpid(), signal.SIGHUP)
     spin(courier.loop, lambda: len(attempts) > before)
--- a/tests/test_refusing_folder.py
+++ b/tests/test_refusing_folder.py
@@ -10,7 +10,7 @@
 from helper import Clock, Rebooted, answer, spin
 from loguru import logger
 
-from calicopin.lifecycle.runtime import AGAIN, HOLD, LAST_WORD
+from calicopin.lifecycle.runtime import TURN_RETRY_DELAY_MS, JOURNAL_RETRY_WINDOW_MS, REFUSAL_LEAD_MS
 from calicopin.system import System
 
 ERRORS = ("ENOSPC", "EIO", "EDQUOT", "EFBIG", "EROFS")
@@ -60,15 +60,15 @@
 def test_a_message_that_cannot_be_written_is_refused_with_a_retry_time(courier, system, tmp_path, error):
     system.error, system.bytes_before_error = error, 5
     connection = courier.request("a")
-    spin(courier.loop, lambda: courier.runtime.stuck)
+    spin(courier.loop, lambda: courier.runtime.failed_turns)
     assert not connection.hear(), "the next tries may succeed"
-    courier.pass_time(HOLD + AGAIN)
+    courier.pass_time(JOURNAL_RETRY_WINDOW_MS + TURN_RETRY_DELAY_MS)
     head = connection.wait(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 503") and b"Retry-After: 0.2" in head
     assert courier.post("b") == b"503", "the next message is refused at once"
     system.error = None
-    courier.pass_time(2.0 * AGAIN)
-    assert not courier.runtime.stuck and courier.post("c") == b"202"
+    courier.pass_time(2.0 * TURN_RETRY_DELAY_MS)
+    assert not courier.runtime.failed_turns and courier.post("c") == b"202"
     courier.kill()
     assert set(CourierFixture(tmp_path, asked=False).runtime.journal.texts) == {"c"}
 
@@ -76,10 +76,10 @@
 def test_an_error_that_is_over_at_the_next_try_refuses_nothing(courier, system):
     system.error = "EIO"
     connection = courier.request("a")
-    spin(courier.loop, lambda: courier.runtime.stuck)
-    courier.pass_time(AGAIN)
+    spin(courier.loop, lambda: courier.runtime.failed_turns)
+    courier.pass_time(TURN_RETRY_DELAY_MS)
     system.error = None
-    courier.pass_time(AGAIN)
+    courier.pass_time(TURN_RETRY_DELAY_MS)
     assert connection.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
@@ -89,10 +89,10 @@
     """
     system.error, system.bytes_before_error, system.cut_fails = "EIO", 20, True
     connection = courier.request("a", left=4.0)
-    spin(courier.loop, lambda: courier.runtime.stuck)
+    spin(courier.loop, lambda: courier.runtime.failed_turns)
     courier.pass_time(3500.0)
     assert not connection.hear()
-    courier.pass_time(500.0 - LAST_WORD + AGAIN)
+    courier.pass_time(500.0 - REFUSAL_LEAD_MS + TURN_RETRY_DELAY_MS)
     assert connection.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 503")
 
 
@@ -103,7 +103,7 @@
     connection.wait(b"\r\n\r\n")
     system.error = error
     connection.say(answer(503))
-    spin(courier.loop, lambda: courier.runtime.stuck)
+    spin(courier.loop, lambda: courier.runtime.failed_turns)
     return connection
 
 
@@ -112,15 +112,15 @@
     began = courier.loop.now()
     courier.pass_time(2800.0)
     assert not courier.runtime.notices.owed, "a restart might still submit it"
-    courier.pass_time(200.0 + AGAIN)
-    assert courier.notice() == [{"ref": "a", "result": "bounced"}] and courier.runtime.stuck
+    courier.pass_time(200.0 + TURN_RETRY_DELAY_MS)
+    assert courier.notice() == [{"ref": "a", "result": "bounced"}] and courier.runtime.failed_turns
     assert courier.loop.now() <= began + 3000.0 + 500.0
 
 
 def test_no_submit_is_counted_while_nothing_can_be_written(courier, system):
     connection = nacked_while_folder_refuses(courier, system, "EIO", left=20.0)
     courier.pass_time(8000.0)
-    assert not courier.runtime.out and not courier.runtime.given_up
+    assert not courier.runtime.calls_in_progress and not courier.runtime.pending_notices
     system.error = None
     courier.pass_time(3000.0)
     assert b"X-Request-ID: a" in connection.wait(b"\r\n\r\n"), (
@@ -135,7 +135,7 @@
     try:
         system.error, system.bytes_before_error = "EFBIG", 5
         connection = courier.request("a")
-        spin(courier.loop, lambda: courier.runtime.stuck)
+        spin(courier.loop, lambda: courier.runtime.failed_turns)
         courier.pass_time(10_000.0)
         assert response_status(connection) == [b"503"]
     finally:
@@ -152,7 +152,7 @@
     courier.endpoint.meet().wait(b"\r\n\r\n")
     system.error, system.bytes_before_error = "EIO", 3
     connection = courier.request("b")
-    spin(courier.loop, lambda: courier.runtime.stuck)
+    spin(courier.loop, lambda: courier.runtime.failed_turns)
     courier.pass_time(at)
     status_seen = response_status(connection)
     courier.kill()
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -104,7 +104,7 @@
     first.kill()
     second = CourierFixture(tmp_path, endpoint=first.endpoint)
     assert second.runtime.facade.state()[0]["mode"] == "out"
-    assert second.runtime.facade.state()[0]["waiting"] == 5 and not second.runtime.out
+    assert second.runtime.facade.state()[0]["waiting"] == 5 and not second.runtime.calls_in_progress
     assert not sum(second.runtime.guard.counts.values())
 
 
@@ -119,7 +119,7 @@
         second.loop.once(second.loop.now())
     assert second.runtime.guard.counts[Invariant.RESTORED] == 1
     assert second.runtime.guard.counts[Invariant.OUTAGE_ENDS] >= 1
-    assert second.runtime.guard.counts[Invariant.OUTAGE_KNOWN] > 0 and not second.runtime.out
+    assert second.runtime.guard.counts[Invariant.OUTAGE_KNOWN] > 0 and not second.runtime.calls_in_progress
     with pytest.raises(BlockingIOError):
         first.endpoint.sock.accept()
 
@@ -205,7 +205,7 @@
         b"POST /notice?n=1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\nX-Timeout: 9\r\n"
         b"X-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n"
     )
-    spin(courier.loop, lambda: courier.runtime.waiting)
+    spin(courier.loop, lambda: courier.runtime.unjournalled)
     (visit,) = clients.visits
     courier.loop.cancel(clients.visits[visit])
     assert courier.runtime.guard.counts[Invariant.ANSWERED] == 1
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -78,7 +78,7 @@
             else answer(500)
         )
     spin(courier.loop, lambda: len(courier.runtime.facade.texts) == 0)
-    courier.runtime.current = False  # as before the first list arrived
+    courier.runtime.list_received = False  # as before the first list arrived
     assert courier.post("d", dest=9) == b"503"
     statistics = courier.stats()
     assert statistics["succeeded"] == {"notice": 1, "order": 1, "once": 0} and statistics["aborted"] == {
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 from calicopin.deployment_settings import check
 from calicopin.facade import Answer, Facade, Far
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import main, posted
+from calicopin.lifecycle.start import main, load_configuration
 
 ABSENT = object()
 
@@ -146,4 +146,7 @@
 
 def test_the_settings_from_the_platform_are_checked_when_they_are_read(tmp_path):
     (tmp_path / "c.json").write_text(json.dumps({"listen": "127.0.0.1:1", "state": "x", "settings": terms()}))
-    assert posted({"LB_CONFIG": str(tmp_path / "c.json"), "LB_DISCOVERY": "127.0.0.1:2"}).terms == terms()
+    assert (
+        load_configuration({"LB_CONFIG": str(tmp_path / "c.json"), "LB_DISCOVERY": "127.0.0.1:2"}).terms
+        == terms()
+    )
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,7 +11,7 @@
 from calicopin.facade import Answer, Facade, Far
 from calicopin.interface import Repeat
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import Post, build
+from calicopin.lifecycle.start import CourierConfiguration, build
 from calicopin.wire.loop import Loop
 
 SITES = sorted((pathlib.Path(__file__).parent.parent / "deploy" / "sites").glob("*.toml"))
@@ -101,7 +101,7 @@
 
 def test_a_courier_starts_with_the_settings_of_a_site(site, tmp_path):
     loop = Loop(now=Clock())
-    post = Post(
+    configuration = CourierConfiguration(
         "n0",
         free_address(),
         free_address(),
@@ -112,8 +112,8 @@
         {"version": 0, "full": True, "servers": []},
         settings_of(site),
     )
-    runtime = build(post, loop, SignalReader(), lambda: post)
-    assert runtime.facade.max_texts == site["fam"]["least_open"] and not runtime.stuck
+    runtime = build(configuration, loop, SignalReader(), lambda: configuration)
+    assert runtime.facade.max_texts == site["fam"]["least_open"] and not runtime.failed_turns
 
 
 def test_the_sites_cover_what_other_deployments_lack():
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -14,7 +14,7 @@
 
 from calicopin.decisions import Route
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import Post, build
+from calicopin.lifecycle.start import CourierConfiguration, build
 from calicopin.state.known_list import LOOK, REFRESH, KnownList, decode, journal_bytes
 from calicopin.subscription.interest import IDLE_JITTER_FRACTION, IDLE_TIMEOUT_MS
 from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS
@@ -40,7 +40,9 @@
         told = (f"n{os.getpid()}", self.listen, self.platform.address, str(folder), 5, 256, disk)
         known = {"version": 0, "full": True, "servers": []}
         self.posts = [
-            Post(*told, known, terms(**settings), nodes=nodes, fleet=FLEET, max_age=max_age, status=True)
+            CourierConfiguration(
+                *told, known, terms(**settings), nodes=nodes, fleet=FLEET, max_age=max_age, status=True
+            )
         ]
         self.runtime = build(self.posts[0], self.loop, SignalReader(), lambda: self.posts[-1])
         self.run_passes()
@@ -144,7 +146,7 @@
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
     call.say(answer(200))
-    spin(courier.loop, lambda: not courier.runtime.journal.texts and not courier.runtime.out)
+    spin(courier.loop, lambda: not courier.runtime.journal.texts and not courier.runtime.calls_in_progress)
     with pytest.raises(BlockingIOError):
         endpoint.sock.accept()
     with pytest.raises(BlockingIOError):  # the platform's agent is not watched as well
@@ -169,7 +171,9 @@
     assert courier.awaited and not peer.hear()
     courier.advance(81.0)
     assert courier.status_of(peer) == b"503" and not courier.awaited and not courier.runtime.journal.texts
-    assert not courier.runtime.subscribed.subscriber._settled, "no state is kept for it while no node answers"
+    assert not courier.runtime.subscription.subscriber._settled, (
+        "no state is kept for it while no node answers"
+    )
 
 
 def test_a_client_that_leaves_while_waiting_is_forgotten(tmp_path, node, endpoint):
@@ -207,7 +211,7 @@
     courier = SubscribedCourierFixture(tmp_path, node)
     peer = courier.send_message("a")
     spin(courier.loop, lambda: courier.awaited)
-    courier.runtime.refusing = True
+    courier.runtime.refuses_messages = True
     courier.runtime.stop_waiting()
     assert courier.status_of(peer) == b"503" and not courier.awaited
 
@@ -348,31 +352,31 @@
     other = Node(courier.loop, "n2", "n2-1")
     courier.posts.append(replace(courier.posts[0], nodes=(other.address,)))
     told, sink = capture_log()
-    renewal(courier).renew()
+    configuration_reload(courier).reload()
     courier.advance(NEXT_NODE_JITTER_MS)
     _, asked = other.next_request()
     assert asked["lease"] is None and asked["subscribe"] == [7]
     other.respond(asked, 1, [served(endpoint)], full=True)
     courier.posts.append(replace(courier.posts[0], nodes=(), fleet="other", disk=1_000_000))
-    renewal(courier).renew()
+    configuration_reload(courier).reload()
     logger.remove(sink)
     assert any("fleet, nodes changed and needs a restart" in line for line in told)
     assert courier.runtime.journal.most == journal_bytes(1_000_000) // 2
-    assert courier.runtime.subscribed.known_list.most == 50_000
+    assert courier.runtime.subscription.known_list.most == 50_000
     courier.advance()
     assert courier.post("b") == b"202"
 
 
-def renewal(courier):
-    from calicopin.lifecycle.renewal import Renewal
+def configuration_reload(courier):
+    from calicopin.lifecycle.renewal import ConfigurationReload
 
-    return Renewal(
+    return ConfigurationReload(
         courier.loop,
         SignalReader(),
         courier.posts[0],
         lambda: courier.posts[-1],
         None,
-        courier.runtime.subscribed.subscriber,
+        courier.runtime.subscription.subscriber,
         None,
         courier.runtime,
     )
@@ -534,7 +538,7 @@
         super().__init__(folder, None, clock=RealClock(system), system=system, nodes=[listen])
 
     def due(self):
-        return self.runtime.subscribed.known_list.due()
+        return self.runtime.subscription.known_list.due()
 
     def until(self, done, seconds=30.0):
         end = time.monotonic() + seconds
--- a/tests/test_subscription_settings.py
+++ b/tests/test_subscription_settings.py
@@ -18,7 +18,7 @@
 from calicopin.configuration.read import read
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.start import main as serve
-from calicopin.lifecycle.start import posted
+from calicopin.lifecycle.start import load_configuration
 
 __all__ = ["platform"]
 
@@ -38,20 +38,20 @@
 
 def test_a_configuration_file_with_nodes_configures_a_subscribing_courier(tmp_path):
     path = write_config(tmp_path, NODES_OPTIONS)
-    post = posted({"LB_CONFIG": str(path)})
-    assert post.nodes == ("127.0.0.1:7001", "127.0.0.1:7002") and post.fleet == "lahore"
-    assert post.max_age == 24 * 3_600_000.0 and post.discovery == ""
+    configuration = load_configuration({"LB_CONFIG": str(path)})
+    assert configuration.nodes == ("127.0.0.1:7001", "127.0.0.1:7002") and configuration.fleet == "lahore"
+    assert configuration.max_age == 24 * 3_600_000.0 and configuration.discovery == ""
     payload = convert.to_platform(read(str(path)))
-    assert payload["nodes"] == list(post.nodes) and payload["list_age"] == 86400.0
+    assert payload["nodes"] == list(configuration.nodes) and payload["list_age"] == 86400.0
     back = convert.from_platform(payload)
-    assert back.courier.nodes == list(post.nodes) and back.courier.fleet == "lahore"
+    assert back.courier.nodes == list(configuration.nodes) and back.courier.fleet == "lahore"
 
 
 def test_without_nodes_the_platform_json_has_no_subscription_fields(tmp_path):
     (tmp_path / "c.toml").write_text(BASE)
     payload = convert.to_platform(read(str(tmp_path / "c.toml")))
     assert not {"nodes", "fleet", "list_age"} & set(payload)
-    assert posted({"LB_CONFIG": str(tmp_path / "c.toml")}).nodes == ()
+    assert load_configuration({"LB_CONFIG": str(tmp_path / "c.toml")}).nodes == ()
 
 
 def test_a_changed_list_of_nodes_applies_at_sighup_and_another_fleet_needs_a_restart(tmp_path):
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -207,7 +207,7 @@
         assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
         peer.sock.close()
     spin(courier.loop, lambda: system.met["close"] >= 2)
-    assert not courier.runtime.stuck
+    assert not courier.runtime.failed_turns
     system.always.clear()
     assert courier.post("c") == b"202"
 
--- a/tests/test_time.py
+++ b/tests/test_time.py
@@ -68,7 +68,7 @@
     """A courier that holds the message "a" in the given state."""
     courier = CourierFixture(folder, system=system)
     if state == "waiting":
-        courier.runtime.calling = False
+        courier.runtime.calls_enabled = False
     assert courier.post("a", left=60.0) == b"202"
     if state == "waiting":
         return courier
@@ -127,7 +127,7 @@
     system.step = step
     courier.loop.once(courier.loop.now())
     if state != "ended":
-        assert courier.runtime.journal.texts["a"].verdict is None and not courier.runtime.given_up
+        assert courier.runtime.journal.texts["a"].verdict is None and not courier.runtime.pending_notices
     assert courier.post("b", left=60.0) == b"202", "journalled after the step"
     until = courier.runtime.journal.texts["b"].until
     check_after_start(state, tmp_path, courier, system)
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -9,8 +9,8 @@
 from calicopin.configuration import partners
 from calicopin.configuration.read import read
 from calicopin.configuration.startup import partner_list_loader
-from calicopin.lifecycle.renewal import Renewal
-from calicopin.lifecycle.start import posted
+from calicopin.lifecycle.renewal import ConfigurationReload
+from calicopin.lifecycle.start import load_configuration
 from calicopin.wire.listfile import CHECK_INTERVAL_MS, ListFile
 from calicopin.wire.loop import Loop
 
@@ -156,8 +156,15 @@
     path.write_text(base_with("127.0.0.1:5000", listen))
     runtime, loop, signal_reader = start(path)
     environ = {"LB_CONFIG": str(path)}
-    renewal = Renewal(
-        loop, signal_reader, posted(environ), lambda: posted(environ, renewed=True), None, None, None, runtime
+    configuration_reload = ConfigurationReload(
+        loop,
+        signal_reader,
+        load_configuration(environ),
+        lambda: load_configuration(environ, reloaded=True),
+        None,
+        None,
+        None,
+        runtime,
     )
 
     def addresses():
@@ -170,6 +177,6 @@
         (path.read_text().replace("6003", "6009"), ["6001", "6002", "6009"]),
     ):
         path.write_text(text)
-        renewal.renew()
+        configuration_reload.reload()
         assert addresses() == after
     signal_reader.close()
--- a/tests/test_wire_clients.py
+++ b/tests/test_wire_clients.py
@@ -139,7 +139,7 @@
 
 def test_an_exception_in_the_courier_is_answered_with_500(loop):
     server, address = clients(loop)
-    server.acceptor.take = None
+    server.acceptor.accept = None
     peer, other = client(loop, address), client(loop, address)
     peer.say(request())
     assert peer.wait_end().startswith(b"HTTP/1.1 500")
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -5,7 +5,7 @@
 from calicopin.facade import Call, Place
 from calicopin.state.connections import Budget, Lines
 from calicopin.state.texts import Text
-from calicopin.wire.clients import Clients, Kept
+from calicopin.wire.clients import Clients, JournalledEvent
 from calicopin.wire.endpoints import OutstandingCall, submit
 
 
@@ -56,19 +56,19 @@
     def first_answer(self, _):
         return None
 
-    def take(self, text):
+    def accept(self, text):
         if self.refusal is None:
             self.texts.append(text)
         return self.refusal
 
-    def kept(self, text):
-        self.events.append(Kept(self.loop, text))
+    def journalled_event(self, text):
+        self.events.append(JournalledEvent(self.loop, text))
         return self.events[-1]
 
     def withdraw(self, text):
         self.withdrawn.append(text)
 
-    def answered(self, text):
+    def acknowledged(self, text):
         self.heard.append(text)
 
     def unanswered(self, request):
