--- a/calicopin/capacity/traffic.py
+++ b/calicopin/capacity/traffic.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from calicopin.capacity.records import Measure, fit_line, start_record
-from calicopin.command.demo import Desk, Notices, ask, configuration
+from calicopin.command.demo import DemoPartner, Notices, send_request, configuration
 from calicopin.scale.nodes import free_port, process_cpu, process_resident
 
 RATES = (33, 66, 132)  # events per second
@@ -76,7 +76,7 @@
     """Waits until the courier is ready; raises NotMeasuredError if it does not become ready."""
     for _ in range(READY_TRIES):
         try:
-            if ask(address, "GET", "/-/ready")[0] == 200:
+            if send_request(address, "GET", "/-/ready")[0] == 200:
                 return
         except OSError:
             pass
@@ -84,7 +84,9 @@
     raise NotMeasuredError("courier did not become ready")
 
 
-def measure_usage(rate: float, address: str, destinations: list[Desk], process_id: int) -> ResourceUsage:
+def measure_usage(
+    rate: float, address: str, destinations: list[DemoPartner], process_id: int
+) -> ResourceUsage:
     """Measures one run against the courier at that address."""
     wait_ready(address)
     client = Client(address)
@@ -102,7 +104,7 @@
 def run_once(rate: float) -> ResourceUsage:
     """Starts a courier, its destinations and a client, measures one run and stops them."""
     destinations, notices, address = (
-        [Desk(str(number)) for number in range(3)],
+        [DemoPartner(str(number)) for number in range(3)],
         Notices(),
         f"127.0.0.1:{free_port()}",
     )
--- a/calicopin/command/__main__.py
+++ b/calicopin/command/__main__.py
@@ -310,7 +310,7 @@
         click.echo(migrate.render(sheet), nl=False)
         return
     if os.path.exists(output):
-        fail([f"{output}: is there already; nothing written, give another name or move the file"])
+        fail([f"{output}: already exists; nothing written, give another name or move the file"])
     replace_file(output, migrate.render(sheet).encode())
     click.echo(f"{output} written")
 
--- a/calicopin/command/demo.py
+++ b/calicopin/command/demo.py
@@ -22,7 +22,7 @@
 BODY = b"order 4711 confirmed"
 
 
-class Desk(http.server.ThreadingHTTPServer):
+class DemoPartner(http.server.ThreadingHTTPServer):
     """One stand-in partner; during its outage it closes every connection without an answer."""
 
     daemon_threads = True
@@ -139,7 +139,7 @@
     return "\n".join(lines) + "\n"
 
 
-def ask(listen, method, path, body=b"", headers=None):
+def send_request(listen, method, path, body=b"", headers=None):
     """Sends one request to the courier; returns (status, body), raises OSError if it does not answer."""
     connection = http.client.HTTPConnection(*listen.split(":"), timeout=2.0)
     try:
@@ -182,7 +182,7 @@
 
 def run_demo(seconds, rate, console):
     """Runs the demo; returns whether every accepted message was delivered or got its notice."""
-    partners, notices = [Desk(name) for name, _ in PARTNERS], Notices()
+    partners, notices = [DemoPartner(name) for name, _ in PARTNERS], Notices()
     for server in (*partners, notices):
         threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
     with socket.create_server(("127.0.0.1", 0)) as probe:
@@ -196,7 +196,7 @@
         try:
             for _ in range(200):
                 try:
-                    if ask(listen, "GET", "/-/ready")[0] == 200:
+                    if send_request(listen, "GET", "/-/ready")[0] == 200:
                         break
                 except OSError:
                     time.sleep(0.05)
@@ -207,7 +207,9 @@
                 return False
             taken, refused = send_messages(seconds, rate, listen, partners, console)
             until = time.monotonic() + 8.0  # longer than the validity period, so that every message ends
-            while time.monotonic() < until and json.loads(ask(listen, "GET", "/-/status")[1])["held"]:
+            while (
+                time.monotonic() < until and json.loads(send_request(listen, "GET", "/-/status")[1])["held"]
+            ):
                 time.sleep(0.1)
             time.sleep(0.2)
         finally:
@@ -229,7 +231,7 @@
                 number += 1
                 dest = rng.choices(range(len(PARTNERS)), [share for _, share in PARTNERS])[0]
                 ident = f"text-{number}"
-                status, _ = ask(
+                status, _ = send_request(
                     listen,
                     "POST",
                     "/order-confirm",
@@ -248,7 +250,9 @@
             if passed - last_update >= 0.2:
                 last_update = passed
                 live.update(
-                    status_table(json.loads(ask(listen, "GET", "/-/status")[1]), partners, seconds - passed)
+                    status_table(
+                        json.loads(send_request(listen, "GET", "/-/status")[1]), partners, seconds - passed
+                    )
                 )
             time.sleep(0.005)
         partners[0].in_outage = False
--- a/calicopin/command/discovery_node.py
+++ b/calicopin/command/discovery_node.py
@@ -44,7 +44,7 @@
 
     def check(_, param, value):
         if value is not None and not 0 < len(value) <= max_length:
-            raise click.BadParameter(f"is no word of 1 to {max_length} characters")
+            raise click.BadParameter(f"is not a word of 1 to {max_length} characters")
         return value
 
     return check
--- a/calicopin/lifecycle/renewal.py
+++ b/calicopin/lifecycle/renewal.py
@@ -130,7 +130,7 @@
         )
         if restart_keys:
             logger.warning(
-                "SIGHUP: {keys} changed and needs a restart",
+                "SIGHUP: {keys} changed, which needs a restart",
                 event="reload.restart",
                 keys=", ".join(restart_keys),
             )
--- a/calicopin/scale/one_courier.py
+++ b/calicopin/scale/one_courier.py
@@ -16,7 +16,7 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from calicopin.command.demo import Desk
+from calicopin.command.demo import DemoPartner
 from calicopin.scale import list_source
 from calicopin.scale.list_agent import ListAgent
 from calicopin.scale.nodes import ROOT, NodeProcess, free_port, process_cpu, process_resident
@@ -253,35 +253,35 @@
 
 def measure(plan: Plan, provider_class: type[WholeList] | type[Subscription], folder: Path) -> CourierFigures:
     """Starts, measures and stops one courier; raises MeasureError."""
-    desk = Desk("destination")
-    threading.Thread(target=desk.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
+    partner = DemoPartner("destination")
+    threading.Thread(target=partner.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
     folder.mkdir()
     try:
-        provider = provider_class(plan, folder, desk.server_address[1])
+        provider = provider_class(plan, folder, partner.server_address[1])
         try:
             courier = Courier(folder, provider.source)
             try:
-                return _measure_courier(plan, provider, courier, desk)
+                return _measure_courier(plan, provider, courier, partner)
             finally:
                 courier.end()
         finally:
             provider.close()
     finally:
-        desk.shutdown()
-        desk.server_close()
+        partner.shutdown()
+        partner.server_close()
 
 
 def _measure_courier(
-    plan: Plan, provider: WholeList | Subscription, courier: Courier, desk: Desk
+    plan: Plan, provider: WholeList | Subscription, courier: Courier, partner: DemoPartner
 ) -> CourierFigures:
-    draw, port = random.Random(plan.seed), desk.server_address[1]
+    draw, port = random.Random(plan.seed), partner.server_address[1]
     used = draw.sample(range(plan.destinations), plan.used)
     courier.wait_ready()
     if isinstance(provider, WholeList):
         courier.wait(lambda: courier.known() == plan.destinations, "given the whole list")
     for destination in used:
         courier.submit(destination)
-    courier.wait(lambda: len(desk.delivered) == plan.used, "delivered")
+    courier.wait(lambda: len(partner.delivered) == plan.used, "delivered")
     time.sleep(PAUSE_S)
     resident_bytes = process_resident(courier.process.pid)
     bytes_a_second, core_share = _control_load(plan, provider, courier, draw, port)
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -1278,7 +1278,7 @@
         (["--listen", "nowhere"], "is not an address"),
         (["--leases", "10"], "1024"),
         (["--lease", "30"], "is not a duration"),
-        (["--node", "x" * 200], "is no word of 1 to 128"),
+        (["--node", "x" * 200], "is not a word of 1 to 128"),
         (["--connections", "99999999"], "descriptors"),
     ],
 )
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -78,7 +78,7 @@
             2,
             "--once-only stok: is not a product of the file; known products: order, stock",
         ),
-        (("--senders", "40", "-o", "{old}"), 2, "is there already; nothing written"),
+        (("--senders", "40", "-o", "{old}"), 2, "already exists; nothing written"),
         (("--senders", "0", "-o", "{new}"), 2, "0 is not in the range"),
         (("--senders", "40"), 2, "give the new file with -o"),
     ],
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -360,7 +360,7 @@
     courier.posts.append(replace(courier.posts[0], nodes=(), fleet="other", disk=1_000_000))
     configuration_reload(courier).reload()
     logger.remove(sink)
-    assert any("fleet, nodes changed and needs a restart" in line for line in told)
+    assert any("fleet, nodes changed, which needs a restart" in line for line in told)
     assert courier.runtime.journal.most == journal_bytes(1_000_000) // 2
     assert courier.runtime.subscription.known_list.most == 50_000
     courier.advance()
