--- a/calicopin/capacity/traffic.py
+++ b/calicopin/capacity/traffic.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from calicopin.capacity.records import Measure, fit_line, start_record
-from calicopin.command.demo import DemoPartner, Notices, send_request, configuration
+from calicopin.command.demo import DemoPartner, Notices, configuration, send_request
 from calicopin.scale.nodes import free_port, process_cpu, process_resident
 
 RATES = (33, 66, 132)  # events per second
--- a/calicopin/lifecycle/node_settings.py
+++ b/calicopin/lifecycle/node_settings.py
@@ -8,7 +8,9 @@
 
 
 def parse_subscription(configuration: dict, path: str) -> dict:
-    """The fields of a `CourierConfiguration` for subscriptions; raises ValueError with the key of an invalid value."""
+    """The fields of a `CourierConfiguration` for subscriptions; raises ValueError with the key of an invalid
+    value.
+    """
     nodes, fleet = configuration.get("nodes") or [], configuration.get("fleet") or ""
     if not isinstance(nodes, list) or len(nodes) > MAX_NODES:
         raise ValueError(f"{path}: nodes: is not a list of at most {MAX_NODES} addresses")
--- a/tests/courier_helper.py
+++ b/tests/courier_helper.py
@@ -11,22 +11,22 @@
 from calicopin.wire.loop import Loop
 
 
-def place(ident="s-1", address="127.0.0.1:9", dest=7, kind="one", zone="a", ready=True, left=False):
+def make_place(ident="s-1", address="127.0.0.1:9", dest=7, kind="one", zone="a", ready=True, left=False):
     return Place(ident, address, dest, kind, zone, ready, 1.0, left)
 
 
-def facade(now=0.0, places=None, **other):
+def make_facade(now=0.0, places=None, **other):
     decisions = Facade(7, terms(**other), 8, now)
-    decisions.listed([place()] if places is None else list(places), True)
+    decisions.listed([make_place()] if places is None else list(places), True)
     decisions.tick(now)
     return decisions
 
 
-def text(ident, product=0, dest=7, until=20000.0, **other):
+def make_text(ident, product=0, dest=7, until=20000.0, **other):
     return Text(ident, dest, product, None, other.pop("key", None), until, b"", **other)
 
 
-def picked(decisions):
+def take_calls(decisions):
     calls = []
     while call := decisions.pick():
         calls.append(call)
@@ -35,7 +35,7 @@
     return calls
 
 
-def endings(decisions):
+def take_endings(decisions):
     ends = []
     while end := decisions.ended():
         ends.append((end.text.ident, end.verdict))
@@ -48,7 +48,7 @@
     """
 
     def __init__(
-        self, folder, clock=None, endpoint=None, disk=3_000_000, asked=True, system=None, **settings
+        self, folder, clock=None, endpoint=None, disk=3_000_000, list_answered=True, system=None, **settings
     ):
         self.loop = Loop(now=clock or Clock(), system=system or Rebooted())
         self.endpoint, self.platform = endpoint or Listener(self.loop), Listener(self.loop)
@@ -68,7 +68,7 @@
                 }
             ],
         }
-        self.posts = [
+        self.configurations = [
             CourierConfiguration(
                 "n0",
                 self.listen,
@@ -81,21 +81,21 @@
                 terms(**settings),
             )
         ]
-        self.runtime = build(self.posts[0], self.loop, SignalReader(), lambda: self.again())
-        if asked:
-            self.tell(self.known)
+        self.runtime = build(self.configurations[0], self.loop, SignalReader(), lambda: self.again())
+        if list_answered:
+            self.answer_list_request(self.known)
 
-    def tell(self, known):
+    def answer_list_request(self, known):
         """Lets the platform's agent answer the first request for the list."""
-        self.watch = self.platform.meet()
-        assert b"GET /api/targets HTTP" in self.watch.wait(b"\r\n\r\n"), (
+        self.list_client = self.platform.meet()
+        assert b"GET /api/targets HTTP" in self.list_client.wait(b"\r\n\r\n"), (
             "the first request is for the whole list"
         )
-        self.watch.say(answer(200, json.dumps(known).encode()))
-        assert b"index=4&wait=2000" in self.watch.wait(b"\r\n\r\n")
+        self.list_client.say(answer(200, json.dumps(known).encode()))
+        assert b"index=4&wait=2000" in self.list_client.wait(b"\r\n\r\n")
 
     def again(self):
-        return self.posts[-1]
+        return self.configurations[-1]
 
     def post(self, ident, product="notice", size=3, left=20.0, dest=7):
         peer = client(self.loop, self.listen)
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from courier_helper import CourierFixture, place
+from courier_helper import CourierFixture, make_place
 from helper import Clock, Listener, answer, client, spin, terms
 
 from calicopin import decisions
@@ -64,7 +64,7 @@
     courier.post("a", left=0.0)
     spin(courier.loop, lambda: courier.runtime.notices.owed)
     courier.kill()
-    assert CourierFixture(tmp_path, asked=False).notice() == [{"ref": "a", "result": "bounced"}]
+    assert CourierFixture(tmp_path, list_answered=False).notice() == [{"ref": "a", "result": "bounced"}]
 
 
 def test_a_message_with_a_known_id_is_refused_and_leaves_the_first_one_unchanged(tmp_path):
@@ -86,9 +86,9 @@
 
 def test_a_message_for_a_destination_that_was_never_listed_is_refused(tmp_path):
     """Such messages were held until they expired, and their destinations stayed in every table."""
-    courier = CourierFixture(tmp_path, asked=False)
+    courier = CourierFixture(tmp_path, list_answered=False)
     assert courier.post("a", dest=9) == b"503"
-    courier.tell(courier.known)
+    courier.answer_list_request(courier.known)
     assert (
         courier.post("b", dest=9) == b"404"
         and courier.post("c") == b"202"
@@ -98,7 +98,7 @@
 
 def assert_only_the_new_endpoint_is_called(courier, other):
     """The agent reports that the configured endpoint is leaving and that `other` is new."""
-    courier.tell(
+    courier.answer_list_request(
         {
             "version": 4,
             "full": True,
@@ -117,7 +117,7 @@
     """In a rolling restart of 186 couriers, a new process requested the list up to ten seconds late and
     called endpoints that had been announced as leaving before it started.
     """
-    courier = CourierFixture(tmp_path, asked=False)
+    courier = CourierFixture(tmp_path, list_answered=False)
     other = Listener(courier.loop)
     assert courier.post("a") == b"202", "accepted at once anyway"
     assert_only_the_new_endpoint_is_called(courier, other)
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("delay", [400.0, 800.0])
 def test_a_start_makes_no_call_by_an_old_list_where_its_agent_answers_late(tmp_path, delay):
     """On a busy machine the first answer took over 250 ms, and an endpoint that had left was called."""
-    courier = CourierFixture(tmp_path, asked=False)
+    courier = CourierFixture(tmp_path, list_answered=False)
     other = Listener(courier.loop)
     assert courier.post("a") == b"202", "accepted at once anyway"
     courier.pass_time(delay)
@@ -137,7 +137,7 @@
 
 
 def test_a_message_ends_in_time_while_a_start_awaits_its_first_list(tmp_path):
-    courier = CourierFixture(tmp_path, asked=False)
+    courier = CourierFixture(tmp_path, list_answered=False)
     assert courier.post("a", left=0.3) == b"202"
     courier.pass_time(350.0)
     assert courier.notice() == [{"ref": "a", "result": "bounced"}]
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("fault", ["silent", "refuses", "garbles"])
 def test_a_start_whose_agent_sends_no_list_uses_the_configured_one(tmp_path, fault):
-    courier = CourierFixture(tmp_path, asked=False)
+    courier = CourierFixture(tmp_path, list_answered=False)
     assert courier.post("a") == b"202"
     watch = courier.platform.meet()
     watch.wait(b"\r\n\r\n")
@@ -176,11 +176,11 @@
         "next_call_at",
         lambda route, next_call_at=decisions.Route.next_call_at: checked.append(route) or next_call_at(route),
     )
-    courier = CourierFixture(tmp_path, asked=False, groupSize=1024)
+    courier = CourierFixture(tmp_path, list_answered=False, groupSize=1024)
     assert courier.post("a") == b"202"
     entry, other = courier.known["servers"][0], Listener(courier.loop)
     many = [entry | {"id": f"s-{number}"} for number in range(1024)]
-    courier.tell({"version": 4, "full": True, "servers": many})
+    courier.answer_list_request({"version": 4, "full": True, "servers": many})
     courier.endpoint.meet().wait(b"\xfe\xfe\xfe")
     assert len(courier.runtime.facade.places) == len(courier.runtime.facade.module.dests[0].endpoints) == 1024
     assert len(checked) < 20, "their common route is checked a few times, not for each of them"
@@ -190,8 +190,8 @@
         "servers": [one | {"state": "leaving"} for one in many]
         + [entry | {"id": "s-new", "addr": other.address}],
     }
-    courier.watch.say(answer(200, json.dumps(change, indent=1).encode()))
-    courier.watch.wait(b"index=5")
+    courier.list_client.say(answer(200, json.dumps(change, indent=1).encode()))
+    courier.list_client.wait(b"index=5")
     assert courier.post("b") == b"202"
     assert b"\xfe\xfe\xfe" in other.meet().wait(b"\xfe\xfe\xfe")
     assert len(courier.runtime.facade.places) == 1025 and len(checked) < 40
@@ -199,8 +199,8 @@
 
 def test_an_empty_list_is_ignored_and_an_unreadable_configured_list_stops_no_start(tmp_path):
     courier = CourierFixture(tmp_path)
-    courier.watch.say(answer(200, b'{"version": 9, "full": true, "servers": []}'))
-    courier.watch.wait(b"index=9")
+    courier.list_client.say(answer(200, b'{"version": 9, "full": true, "servers": []}'))
+    courier.list_client.wait(b"index=9")
     assert courier.post("a") == b"202" and courier.endpoint.meet().wait(b"\xfe\xfe\xfe")
     for known in (
         {},
@@ -221,9 +221,10 @@
     facade = courier.runtime.facade
     for number in range(200):
         courier.runtime.update_list(
-            [place(f"t-{number}", courier.endpoint.address), place("s-1", ready=False, left=True)], False
+            [make_place(f"t-{number}", courier.endpoint.address), make_place("s-1", ready=False, left=True)],
+            False,
         )
-        courier.runtime.update_list([place(f"t-{number}", ready=False, left=True)], False)
+        courier.runtime.update_list([make_place(f"t-{number}", ready=False, left=True)], False)
         courier.loop.now.now += 1000.0
         courier.loop.once(courier.loop.now())
     assert not courier.runtime.lines.count and not peer.wait_end() and not facade.places
@@ -294,7 +295,7 @@
 
 
 def test_repeated_sigterm_before_the_first_list_stops_once_and_a_torn_record_is_tolerated(tmp_path):
-    courier = CourierFixture(tmp_path, asked=False)
+    courier = CourierFixture(tmp_path, list_answered=False)
     assert courier.post("a") == b"202"
     for _ in range(2):
         os.kill(os.getpid(), signal.SIGTERM)
@@ -349,7 +350,7 @@
 
 def send_reload(courier, **other):
     """Replaces the configuration and sends SIGHUP."""
-    courier.posts.append(replace(courier.posts[0], **other))
+    courier.configurations.append(replace(courier.configurations[0], **other))
     os.kill(os.getpid(), signal.SIGHUP)
 
 
@@ -379,7 +380,7 @@
 
 def test_a_configuration_that_cannot_be_read_changes_nothing(tmp_path):
     courier = CourierFixture(tmp_path)
-    old = courier.watch
+    old = courier.list_client
     before = courier.runtime.notices.task
     for broken in (
         {},
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -8,7 +8,7 @@
 import struct
 
 import pytest
-from courier_helper import CourierFixture, endings, facade, picked, text
+from courier_helper import CourierFixture, make_facade, make_text, take_calls, take_endings
 from forced_faults import SHORT, ForcedFaults
 from helper import Clock, Listener, Peer, Rebooted, answer, client, spin, terms
 from wire_helper import Out, call, clients, request
@@ -355,18 +355,18 @@
 
 
 def test_a_once_only_message_with_an_incomplete_refusal_is_not_resent_and_the_wait_applies():
-    decisions = facade()
-    decisions.hand_in(text("once", 2))
+    decisions = make_facade()
+    decisions.hand_in(make_text("once", 2))
     decisions.tick(0.0)
-    (sent,) = picked(decisions)
+    (sent,) = take_calls(decisions)
     decisions.report(sent, Answer(Far.SENT, wait=900.0), 50.0)
-    decisions.hand_in(text("other"))
+    decisions.hand_in(make_text("other"))
     decisions.tick(50.0)
-    assert endings(decisions) == [("once", "dead")] and not picked(decisions)
+    assert take_endings(decisions) == [("once", "dead")] and not take_calls(decisions)
     due = 50.0
     while due < 960.0:
         due = decisions.tick(due)
-    assert [sent.ident for batch in picked(decisions) for sent in batch.texts] == ["other"]
+    assert [sent.ident for batch in take_calls(decisions) for sent in batch.texts] == ["other"]
 
 
 def test_bytes_that_arrive_after_the_check_of_an_idle_connection_make_the_answer_unreadable(
@@ -456,13 +456,13 @@
     """
     ends = {}
     for restored in (False, True):
-        decisions = facade()
+        decisions = make_facade()
         for number in range(3):
-            decisions.hand_in(text(f"old-{number}", 1, until=4000.0), restored=restored)
-        decisions.hand_in(text("new", until=20000.0))
+            decisions.hand_in(make_text(f"old-{number}", 1, until=4000.0), restored=restored)
+        decisions.hand_in(make_text("new", until=20000.0))
         decisions.tick(0.0)
-        calls = [sent.ident for batch in picked(decisions) for sent in batch.texts]
-        ends[restored] = sorted(ident for ident, verdict in endings(decisions) if verdict), sorted(calls)
+        calls = [sent.ident for batch in take_calls(decisions) for sent in batch.texts]
+        ends[restored] = sorted(ident for ident, verdict in take_endings(decisions) if verdict), sorted(calls)
     assert ends[True] == ([], ["new", "old-0", "old-1", "old-2"]), ends
     assert ends[False] != ends[True]
 
@@ -506,7 +506,7 @@
         "calicopin.lifecycle.start.Clients",
         lambda *arguments: created.append(Clients(*arguments)) or created[0],
     )
-    courier = CourierFixture(tmp_path, asked=False)
+    courier = CourierFixture(tmp_path, list_answered=False)
     watch = courier.platform.meet()
     watch.wait(b"\r\n\r\n")
     idle = [client(courier.loop, courier.listen) for _ in range(250)]
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -1,8 +1,7 @@
 """The facade over the decisions: how results of calls become outcomes of texts."""
 
 import pytest
-from courier_helper import endings, picked, place, text
-from courier_helper import facade as make_facade
+from courier_helper import make_facade, make_place, make_text, take_calls, take_endings
 from helper import terms
 
 from calicopin.facade import Answer, Facade, Far, how
@@ -38,11 +37,11 @@
 
 
 def test_texts_in_a_shared_call_have_separate_outcomes():
-    facade = make_facade(places=[place(kind="many")])
+    facade = make_facade(places=[make_place(kind="many")])
     for ident in "abc":
-        facade.hand_in(text(ident))
+        facade.hand_in(make_text(ident))
     facade.tick(0.0)
-    (call,) = picked(facade)
+    (call,) = take_calls(facade)
     facade.report(
         call,
         Answer(Far.ANSWERED, status=200, wait=900.0, ends={"a": "delivered", "b": "refused", "c": "failed"}),
@@ -50,39 +49,39 @@
     )
     facade.tick(100.0)
     returned = [facade.back(), facade.back()]
-    assert endings(facade) == [("a", None)] and [(t.ident, ran) for t, ran in returned] == [
+    assert take_endings(facade) == [("a", None)] and [(t.ident, ran) for t, ran in returned] == [
         ("b", False),
         ("c", True),
     ]
-    assert not picked(facade)
+    assert not take_calls(facade)
     facade.tick(999.0)
-    assert not picked(facade)
+    assert not take_calls(facade)
     next_tick = 999.0
     while next_tick < 3400.0:
         next_tick = facade.tick(next_tick)
-    assert sorted(one.ident for call in picked(facade) for one in call.texts) == ["b"]  # c may have run
+    assert sorted(one.ident for call in take_calls(facade) for one in call.texts) == ["b"]  # c may have run
 
 
 def test_a_wait_in_an_answer_of_200_is_respected():
     facade = make_facade()
-    facade.hand_in(text("a"))
+    facade.hand_in(make_text("a"))
     facade.tick(0.0)
-    (call,) = picked(facade)
+    (call,) = take_calls(facade)
     facade.report(call, Answer(Far.ANSWERED, status=200, wait=600.0), 50.0)
-    facade.hand_in(text("b"))
+    facade.hand_in(make_text("b"))
     facade.tick(50.0)
-    assert endings(facade) == [("a", None)] and not picked(facade)
+    assert take_endings(facade) == [("a", None)] and not take_calls(facade)
     facade.tick(649.0)
-    assert not picked(facade)
+    assert not take_calls(facade)
 
 
 def test_a_call_is_checked_again_once_its_connection_is_established():
     """Meanwhile its endpoint may start or stop draining, a wait may begin, or a reference may expire."""
-    facade = make_facade(now=1000.0, places=[place(), place("s-2")])
-    facade.hand_in(text("a", 1, ran_at=-13000.0, ran_zone="a", tries=1))
-    facade.hand_in(text("b"))
+    facade = make_facade(now=1000.0, places=[make_place(), make_place("s-2")])
+    facade.hand_in(make_text("a", 1, ran_at=-13000.0, ran_zone="a", tries=1))
+    facade.hand_in(make_text("b"))
     facade.tick(1000.0)
-    calls = {call.texts[0].ident: call for call in picked(facade)}
+    calls = {call.texts[0].ident: call for call in take_calls(facade)}
     assert (
         facade.still(calls["a"], 1900.0)
         and not facade.still(calls["a"], 2000.0)
@@ -90,7 +89,7 @@
     )
     for ready in (False, True):
         endpoint = calls["b"].place.ident
-        facade.listed([place(endpoint, ready=ready)], False)
+        facade.listed([make_place(endpoint, ready=ready)], False)
         facade.tick(1100.0)
         assert facade.still(calls["b"], 1100.0) is ready
     facade.report(calls["a"], Answer(Far.ANSWERED, status=429, wait=500.0), 150.0)
@@ -101,18 +100,18 @@
 def test_no_text_is_sent_twice_when_a_shared_call_has_texts_with_different_time_outs():
     """A once-only text waits for the whole time-out; the call stayed open while the other was resent."""
     for products in ((0, 2), (2, 0)):
-        facade = make_facade(places=[place(kind="many")])
+        facade = make_facade(places=[make_place(kind="many")])
         for number, product in enumerate(products):
-            facade.hand_in(text(str(number), product))
+            facade.hand_in(make_text(str(number), product))
         next_tick = facade.tick(0.0)
-        (call,) = picked(facade)
+        (call,) = take_calls(facade)
         assert len(call.texts) == 2 and call.timeout == 2000.0
         while next_tick < 9000.0:
             next_tick = facade.tick(next_tick)
-        assert not picked(facade)
+        assert not take_calls(facade)
         facade.report(call, Answer(Far.SENT, late=True), 2000.0)
         facade.tick(9000.0)
-        assert [one.product for call in picked(facade) for one in call.texts] == [0]
+        assert [one.product for call in take_calls(facade) for one in call.texts] == [0]
 
 
 def test_a_shared_call_ends_with_the_earliest_validity_period_of_its_texts():
@@ -121,20 +120,20 @@
     A slow endpoint dropped the whole call when the first text expired, yet answered that all were delivered:
     the other texts were accepted and got no final answer.
     """
-    facade = make_facade(places=[place(kind="many")])
-    facade.hand_in(text("a", until=700.0))
-    facade.hand_in(text("b"))
+    facade = make_facade(places=[make_place(kind="many")])
+    facade.hand_in(make_text("a", until=700.0))
+    facade.hand_in(make_text("b"))
     facade.tick(0.0)
-    (call,) = picked(facade)
+    (call,) = take_calls(facade)
     assert len(call.texts) == 2 and call.timeout == 700.0
     facade.report(call, Answer(Far.SENT, late=True), 700.0)
     facade.tick(700.0)
-    assert endings(facade) == [("a", "bounced")]
-    (again,) = picked(facade)
+    assert take_endings(facade) == [("a", "bounced")]
+    (again,) = take_calls(facade)
     assert [one.ident for one in again.texts] == ["b"]
     facade.report(again, Answer(Far.ANSWERED, status=200), 100.0)
     facade.tick(800.0)
-    assert endings(facade) == [("b", None)]
+    assert take_endings(facade) == [("b", None)]
 
 
 def test_which_restored_texts_are_sent_again():
@@ -144,16 +143,16 @@
     nacked.
     """
     facade = make_facade(now=1000.0)
-    facade.hand_in(text("resendable", 0, ran_at=10.0, ran_zone="a", tries=1))
-    facade.hand_in(text("referenced", 1, ran_at=10.0, ran_zone="a", tries=1))
-    facade.hand_in(text("forgotten", 1, until=30000.0, ran_at=-15000.0, ran_zone="a", tries=1))
-    facade.hand_in(text("once", 2, ran_at=10.0, ran_zone="a", tries=1))
-    facade.hand_in(text("fresh", 2, tries=1))
-    facade.hand_in(text("spent", 0, tries=4))
-    facade.hand_in(text("late", 0, until=900.0))
+    facade.hand_in(make_text("resendable", 0, ran_at=10.0, ran_zone="a", tries=1))
+    facade.hand_in(make_text("referenced", 1, ran_at=10.0, ran_zone="a", tries=1))
+    facade.hand_in(make_text("forgotten", 1, until=30000.0, ran_at=-15000.0, ran_zone="a", tries=1))
+    facade.hand_in(make_text("once", 2, ran_at=10.0, ran_zone="a", tries=1))
+    facade.hand_in(make_text("fresh", 2, tries=1))
+    facade.hand_in(make_text("spent", 0, tries=4))
+    facade.hand_in(make_text("late", 0, until=900.0))
     facade.tick(1000.0)
-    assert sorted(call.texts[0].ident for call in picked(facade)) == ["fresh", "referenced", "resendable"]
-    assert sorted(endings(facade)) == [
+    assert sorted(call.texts[0].ident for call in take_calls(facade)) == ["fresh", "referenced", "resendable"]
+    assert sorted(take_endings(facade)) == [
         ("forgotten", "bounced"),
         ("late", "bounced"),
         ("once", "dead"),
@@ -164,84 +163,90 @@
 def test_a_key_is_blocked_for_its_settling_time_after_a_restart():
     """The last call of a key may still run, even if its text has ended and is no longer known."""
     facade = Facade(7, terms(), 8, 1000.0, restarted=True)
-    facade.listed([place()], True)
-    facade.hand_in(text("first", 2, key="van", ran_at=900.0, ran_zone="a", tries=1))
-    facade.hand_in(text("second", 2, key="van"))
-    facade.hand_in(text("free", 2))
+    facade.listed([make_place()], True)
+    facade.hand_in(make_text("first", 2, key="van", ran_at=900.0, ran_zone="a", tries=1))
+    facade.hand_in(make_text("second", 2, key="van"))
+    facade.hand_in(make_text("free", 2))
     next_tick = facade.tick(1000.0)
-    assert [one.ident for call in picked(facade) for one in call.texts] == ["free"]
+    assert [one.ident for call in take_calls(facade) for one in call.texts] == ["free"]
     while next_tick < 1700.0:
         next_tick = facade.tick(next_tick)
-    assert not picked(facade)
+    assert not take_calls(facade)
     facade.tick(next_tick)
-    assert [one.ident for call in picked(facade) for one in call.texts] == ["second"]
+    assert [one.ident for call in take_calls(facade) for one in call.texts] == ["second"]
 
 
 def test_the_first_tick_does_not_count_as_late():
     """If it counted as late by the whole clock value, bursts of that length would be allowed."""
     facade = make_facade(now=1e9)
-    facade.hand_in(text("a", until=1e9 + 9000.0))
+    facade.hand_in(make_text("a", until=1e9 + 9000.0))
     facade.tick(1e9)
     assert facade.module.scheduler.lag == 0.0 and facade.module.active
 
 
 def test_a_submit_of_a_withdrawn_text_is_not_made():
     facade = make_facade()
-    facade.hand_in(first := text("a"))
+    facade.hand_in(first := make_text("a"))
     facade.tick(0.0)
     facade.withdraw(first)
-    facade.hand_in(second := text("b"))
+    facade.hand_in(second := make_text("b"))
     facade.texts.pop(second.number)
     next_tick = facade.tick(1.0)
     while next_tick < 3000.0:
         next_tick = facade.tick(next_tick)
-    assert endings(facade) == [("a", None)] and [call.texts[0].ident for call in picked(facade)] == ["a"]
+    assert take_endings(facade) == [("a", None)] and [call.texts[0].ident for call in take_calls(facade)] == [
+        "a"
+    ]
     assert facade.module.pool.free == 7  # only the call that is out holds a slot
 
 
 def test_a_full_courier_gives_advice_when_to_retry():
     facade = make_facade()
-    facade.hand_in(text("a"))
+    facade.hand_in(make_text("a"))
     facade.tick(0.0)
-    facade.report(picked(facade)[0], Answer(Far.ANSWERED, status=429, wait=900.0), 100.0)
+    facade.report(take_calls(facade)[0], Answer(Far.ANSWERED, status=429, wait=900.0), 100.0)
     facade.tick(100.0)
     for number in range(40):
-        facade.hand_in(text(str(number), dest=9))
-    assert facade.full() and facade.advice(text("b")) == 2000.0 and facade.advice(text("c", dest=9)) == 0.0
+        facade.hand_in(make_text(str(number), dest=9))
+    assert (
+        facade.full()
+        and facade.advice(make_text("b")) == 2000.0
+        and facade.advice(make_text("c", dest=9)) == 0.0
+    )
 
 
 def test_an_expired_text_is_not_in_a_call_that_connects_later():
     """The text had its final answer and was then sent with the others in the call."""
-    facade = make_facade(places=[place(kind="many")])
-    facade.hand_in(text("a", until=700.0))
-    facade.hand_in(text("b"))
+    facade = make_facade(places=[make_place(kind="many")])
+    facade.hand_in(make_text("a", until=700.0))
+    facade.hand_in(make_text("b"))
     facade.tick(0.0)
-    (call,) = picked(facade)
+    (call,) = take_calls(facade)
     assert not facade.still(call, 700.0)
     facade.report(call, Answer(Far.UNCONNECTED), 700.0)
     next_tick = facade.tick(700.0)
-    assert endings(facade) == [("a", "bounced")]
+    assert take_endings(facade) == [("a", "bounced")]
     while next_tick < 3000.0 and not facade.calls:
         next_tick = facade.tick(next_tick)
-    assert [one.ident for call in picked(facade) for one in call.texts] == ["b"]
+    assert [one.ident for call in take_calls(facade) for one in call.texts] == ["b"]
 
 
 def test_a_shared_call_ends_with_the_time_out_of_a_text_in_order():
     """The settling time of its key counted from then, while the call was still in progress."""
-    facade = make_facade(places=[place(kind="many")])
-    facade.hand_in(text("a", product=2, until=19000.0, key="k"))
-    facade.hand_in(text("b", product=2))
+    facade = make_facade(places=[make_place(kind="many")])
+    facade.hand_in(make_text("a", product=2, until=19000.0, key="k"))
+    facade.hand_in(make_text("b", product=2))
     facade.tick(0.0)
-    (call,) = picked(facade)
+    (call,) = take_calls(facade)
     assert len(call.texts) == 2 and call.timeout == pytest.approx(2000.0)
 
 
 def endpoints_to_close(facade, *results):
     """Makes one call per (destination, result); returns endpoints whose idle connections are to be closed."""
     for now, (dest, answer) in enumerate(results):
-        facade.hand_in(text(f"t-{dest}", dest=dest, until=900.0))
+        facade.hand_in(make_text(f"t-{dest}", dest=dest, until=900.0))
         facade.tick(float(now))
-        for call in picked(facade):
+        for call in take_calls(facade):
             facade.report(call, answer, 5.0)
         facade.tick(now + 0.5)
     endpoints = set()
@@ -254,7 +259,9 @@
 
 def test_idle_connections_are_closed_for_a_kind_that_refused_a_connection():
     """The decisions name the endpoints, the connection pool closes their connections."""
-    facade = make_facade(places=[place("s-1"), place("s-2", dest=8), place("s-3", dest=9, kind="many")])
+    facade = make_facade(
+        places=[make_place("s-1"), make_place("s-2", dest=8), make_place("s-3", dest=9, kind="many")]
+    )
     delivered = Answer(Far.ANSWERED, status=200)
     to_close = endpoints_to_close(facade, (7, Answer(Far.UNCONNECTED)), (8, delivered), (9, delivered))
     assert "s-2" in to_close and "s-3" not in to_close
@@ -262,5 +269,5 @@
 
 def test_no_idle_connection_is_closed_if_the_settings_disable_it():
     ceilings = terms()["ceilings"] | {"giveBack": False}
-    facade = make_facade(places=[place("s-1"), place("s-2", dest=8)], ceilings=ceilings)
+    facade = make_facade(places=[make_place("s-1"), make_place("s-2", dest=8)], ceilings=ceilings)
     assert not endpoints_to_close(facade, (7, Answer(Far.UNCONNECTED)), (8, Answer(Far.ANSWERED, status=200)))
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 import pytest
-from courier_helper import facade, place, text
+from courier_helper import make_facade, make_place, make_text
 from helper import PRODUCT, DecisionsFixture, submits
 
 from calicopin.decisions import Courier, Endpoint, Route
@@ -198,11 +198,11 @@
 
 
 def facade_with(count):
-    return facade(places=[listed_place(ident) for ident in range(count)])
+    return make_facade(places=[listed_place(ident) for ident in range(count)])
 
 
 def listed_place(ident, **other):
-    return place(f"s-{ident}", f"127.0.0.1:{10000 + ident % 50000}", dest=ident // 4, **other)
+    return make_place(f"s-{ident}", f"127.0.0.1:{10000 + ident % 50000}", dest=ident // 4, **other)
 
 
 def test_one_changed_entry_costs_the_facade_and_the_connections_the_same_at_any_number():
@@ -320,7 +320,7 @@
 
 
 def test_nothing_is_left_of_10000_destinations_that_came_and_went():
-    courier_facade = facade(places=[listed_place(1)])
+    courier_facade = make_facade(places=[listed_place(1)])
     now = advance(courier_facade, 0.0, 1000.0)
     before = kept_objects(courier_facade)
     for group in range(100):
@@ -329,7 +329,7 @@
         courier_facade.listed([listed_place(4 * dest, ready=False, left=True) for dest in dests[:10]], False)
         if group % 10 == 0:
             for dest in dests[:5]:
-                courier_facade.hand_in(text(f"{group}-{dest}", dest=dest, until=now + 900.0))
+                courier_facade.hand_in(make_text(f"{group}-{dest}", dest=dest, until=now + 900.0))
         now = advance(courier_facade, now, 1000.0)
         for dest in dests:
             courier_facade.release(dest)
@@ -344,11 +344,11 @@
 
 
 def test_a_destination_that_comes_back_is_served():
-    courier_facade = facade(places=[listed_place(1), listed_place(40)])
+    courier_facade = make_facade(places=[listed_place(1), listed_place(40)])
     courier_facade.release(10)
     now = advance(courier_facade, 0.0, 3.0 * Route.RETENTION_MS)
     assert not courier_facade.serves(10)
     courier_facade.listed([listed_place(40)], False)
-    courier_facade.hand_in(text("a", dest=10, until=now + 5000.0))
+    courier_facade.hand_in(make_text("a", dest=10, until=now + 5000.0))
     courier_facade.tick(now)
     assert courier_facade.pick().place.ident == "s-40"
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -127,10 +127,10 @@
 
 def test_a_reload_is_retried_after_transient_errors(tmp_path):
     courier = CourierFixture(tmp_path)
-    configuration, refused = replace(courier.posts[0], disk=6_000_000), ["ENFILE", "EIO"]
+    configuration, refused = replace(courier.configurations[0], disk=6_000_000), ["ENFILE", "EIO"]
     read = courier.again
     courier.again = lambda: (_ for _ in ()).throw(fault(refused.pop())) if refused else read()
-    courier.posts.append(configuration)
+    courier.configurations.append(configuration)
     limit = courier.runtime.journal.most
     os.kill(os.getpid(), signal.SIGHUP)
     spin(courier.loop, lambda: len(refused) == 1)
--- a/tests/test_refusing_folder.py
+++ b/tests/test_refusing_folder.py
@@ -10,7 +10,7 @@
 from helper import Clock, Rebooted, answer, spin
 from loguru import logger
 
-from calicopin.lifecycle.runtime import TURN_RETRY_DELAY_MS, JOURNAL_RETRY_WINDOW_MS, REFUSAL_LEAD_MS
+from calicopin.lifecycle.runtime import JOURNAL_RETRY_WINDOW_MS, REFUSAL_LEAD_MS, TURN_RETRY_DELAY_MS
 from calicopin.system import System
 
 ERRORS = ("ENOSPC", "EIO", "EDQUOT", "EFBIG", "EROFS")
@@ -70,7 +70,7 @@
     courier.pass_time(2.0 * TURN_RETRY_DELAY_MS)
     assert not courier.runtime.failed_turns and courier.post("c") == b"202"
     courier.kill()
-    assert set(CourierFixture(tmp_path, asked=False).runtime.journal.texts) == {"c"}
+    assert set(CourierFixture(tmp_path, list_answered=False).runtime.journal.texts) == {"c"}
 
 
 def test_an_error_that_is_over_at_the_next_try_refuses_nothing(courier, system):
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -5,7 +5,7 @@
 import os
 
 import pytest
-from courier_helper import CourierFixture, facade, picked, text
+from courier_helper import CourierFixture, make_facade, make_text, take_calls
 from helper import answer, client, spin
 
 from calicopin.facade import Facade
@@ -24,10 +24,10 @@
 
 
 def one_call(**other):
-    courier_facade = facade()
-    courier_facade.hand_in(text("t1", **other))
+    courier_facade = make_facade()
+    courier_facade.hand_in(make_text("t1", **other))
     courier_facade.tick(10.0)
-    (call,) = picked(courier_facade)
+    (call,) = take_calls(courier_facade)
     return courier_facade, call
 
 
@@ -126,7 +126,7 @@
 
 def test_a_start_after_the_warm_up_needs_no_state():
     """The check took a destination that had warmed up by then for a forgotten outage."""
-    courier_facade = facade(now=20000.0)
+    courier_facade = make_facade(now=20000.0)
     cold = {(7, None): {"mode": "cold", "warm_at": 21000.0}}
     assert courier_facade.unknown([], cold, 20000.0) == ["destination 7"]
     assert courier_facade.unknown([], cold, 21000.0) == []
@@ -162,14 +162,14 @@
 def test_a_partial_record_that_cannot_be_truncated_hides_no_later_record(tmp_path):
     system = FailingDisk()
     journal = Journal(str(tmp_path), 200_000, 0.0, system)
-    journal.taken(text("t1"))
+    journal.taken(make_text("t1"))
     journal.flush()
     system.failing = True
-    journal.taken(text("t2"))
+    journal.taken(make_text("t2"))
     with pytest.raises(OSError):
         journal.flush()
     system.failing = False
-    journal.taken(text("t3"))
+    journal.taken(make_text("t3"))
     journal.flush()
     assert set(Journal(str(tmp_path), 200_000, 0.0).texts) == {"t1", "t2", "t3"}
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,9 +23,9 @@
         self.loop = type(self.loop)(now=self.loop.now, system=self.loop.system)
         self.endpoint.loop = self.platform.loop = self.loop
         self.listen = free_address()
-        self.posts = [replace(self.posts[0], listen=self.listen, admin=self.admin)]
-        self.runtime = build(self.posts[0], self.loop, self.signal_reader(), lambda: self.again())
-        self.tell(self.known)
+        self.configurations = [replace(self.configurations[0], listen=self.listen, admin=self.admin)]
+        self.runtime = build(self.configurations[0], self.loop, self.signal_reader(), lambda: self.again())
+        self.answer_list_request(self.known)
 
     @staticmethod
     def signal_reader():
@@ -258,7 +258,7 @@
     host, _, port = courier.listen.rpartition(":")
     with pytest.raises(OSError), socket.socket():
         build(
-            replace(courier.posts[0], listen=free_address(), admin=courier.listen),
+            replace(courier.configurations[0], listen=free_address(), admin=courier.listen),
             courier.loop,
             courier.signal_reader(),
             courier.again,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,13 +3,13 @@
 import json
 
 import pytest
-from courier_helper import place, text
+from courier_helper import make_place, make_text
 from helper import terms
 
 from calicopin.deployment_settings import check
 from calicopin.facade import Answer, Facade, Far
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import main, load_configuration
+from calicopin.lifecycle.start import load_configuration, main
 
 ABSENT = object()
 
@@ -121,9 +121,9 @@
     """
     check(settings := changed_settings(path, value))
     facade = Facade(7, settings, 8, 0.0)
-    facade.listed([place()], True)
+    facade.listed([make_place()], True)
     for number in range(6):
-        facade.hand_in(text(str(number), number % 3))
+        facade.hand_in(make_text(str(number), number % 3))
     results = [
         Answer(Far.SENT, late=True),
         Answer(Far.ANSWERED, status=429, wait=100.0),
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -4,7 +4,7 @@
 import tomllib
 
 import pytest
-from courier_helper import place, text
+from courier_helper import make_place, make_text
 from helper import Clock, free_address
 
 from calicopin.deployment_settings import check, load_columns, partners, product, pushed
@@ -77,10 +77,10 @@
     settings = settings_of(site)
     check(settings)
     facade = Facade(7, settings, 8, 0.0)
-    facade.listed([place()], True)
+    facade.listed([make_place()], True)
     assert len(partners(settings)) >= len(site["fam"]["kind"]) and 20 <= settings["groupSize"] <= 30
     for number, grade in enumerate(settings["grades"]):
-        facade.hand_in(text(str(number), number, until=grade["giveUp"] * 1000.0))
+        facade.hand_in(make_text(str(number), number, until=grade["giveUp"] * 1000.0))
     ends, now = [], 0.0
     while now < 30000.0:
         facade.tick(now)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,7 +1,7 @@
 """Slow start over a restart: what outlives the process, its clocks, and the run-time check."""
 
 import pytest
-from courier_helper import facade, picked, text
+from courier_helper import make_facade, make_text, take_calls
 from helper import PRODUCT, DecisionsFixture, submits
 
 from calicopin import route_state
@@ -285,10 +285,10 @@
 
 def test_the_stored_state_of_a_destination_is_dropped_with_it():
     """The records of a released destination would stay in the journal for good."""
-    courier_facade = facade()
-    courier_facade.hand_in(text("t1"))
+    courier_facade = make_facade()
+    courier_facade.hand_in(make_text("t1"))
     courier_facade.tick(10.0)
-    (call,) = picked(courier_facade)
+    (call,) = take_calls(courier_facade)
     courier_facade.report(call, Answer(Far.ANSWERED, status=429), 40.0)
     courier_facade.tick(50.0)
     assert [key[:2] for key in courier_facade.changed_routes()] == [(7, None)]
@@ -348,10 +348,10 @@
 
 
 def test_a_handover_sends_the_decisions_under_their_outer_names():
-    courier_facade = facade()
-    courier_facade.hand_in(text("t1"))
+    courier_facade = make_facade()
+    courier_facade.hand_in(make_text("t1"))
     courier_facade.tick(10.0)
-    (call,) = picked(courier_facade)
+    (call,) = take_calls(courier_facade)
     (known,) = courier_facade.module.dests.values()
     known.max_bundle, known.bundle_size, known.arrivals, known.arrival_rate = 5, 3, 2, 0.25
     endpoint = courier_facade.endpoint_of(call)
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -39,12 +39,14 @@
         nodes = tuple(nodes or [node.address])
         told = (f"n{os.getpid()}", self.listen, self.platform.address, str(folder), 5, 256, disk)
         known = {"version": 0, "full": True, "servers": []}
-        self.posts = [
+        self.configurations = [
             CourierConfiguration(
                 *told, known, terms(**settings), nodes=nodes, fleet=FLEET, max_age=max_age, status=True
             )
         ]
-        self.runtime = build(self.posts[0], self.loop, SignalReader(), lambda: self.posts[-1])
+        self.runtime = build(
+            self.configurations[0], self.loop, SignalReader(), lambda: self.configurations[-1]
+        )
         self.run_passes()
         self.loop.now.now += 100.0  # the first request has a random delay
 
@@ -350,14 +352,14 @@
 def test_a_reload_moves_the_subscription_to_other_nodes(tmp_path, node, endpoint):
     courier = started(tmp_path, node, endpoint)
     other = Node(courier.loop, "n2", "n2-1")
-    courier.posts.append(replace(courier.posts[0], nodes=(other.address,)))
+    courier.configurations.append(replace(courier.configurations[0], nodes=(other.address,)))
     told, sink = capture_log()
     configuration_reload(courier).reload()
     courier.advance(NEXT_NODE_JITTER_MS)
     _, asked = other.next_request()
     assert asked["lease"] is None and asked["subscribe"] == [7]
     other.respond(asked, 1, [served(endpoint)], full=True)
-    courier.posts.append(replace(courier.posts[0], nodes=(), fleet="other", disk=1_000_000))
+    courier.configurations.append(replace(courier.configurations[0], nodes=(), fleet="other", disk=1_000_000))
     configuration_reload(courier).reload()
     logger.remove(sink)
     assert any("fleet, nodes changed, which needs a restart" in line for line in told)
@@ -373,8 +375,8 @@
     return ConfigurationReload(
         courier.loop,
         SignalReader(),
-        courier.posts[0],
-        lambda: courier.posts[-1],
+        courier.configurations[0],
+        lambda: courier.configurations[-1],
         None,
         courier.runtime.subscription.subscriber,
         None,
@@ -411,9 +413,9 @@
 
 
 def places(count, each=1):
-    from courier_helper import place
+    from courier_helper import make_place
 
-    return {dest: [place(f"s-{dest}-{one}", dest=dest) for one in range(each)] for dest in range(count)}
+    return {dest: [make_place(f"s-{dest}-{one}", dest=dest) for one in range(each)] for dest in range(count)}
 
 
 def written(tmp_path, table, system=None, **other):
--- a/tests/test_subscription_settings.py
+++ b/tests/test_subscription_settings.py
@@ -17,8 +17,8 @@
 from calicopin.configuration import compare, convert
 from calicopin.configuration.read import read
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import main as serve
 from calicopin.lifecycle.start import load_configuration
+from calicopin.lifecycle.start import main as serve
 
 __all__ = ["platform"]
 
