--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -296,8 +296,9 @@
             )
 
     def refuse_unjournalled(self, now):
-        """Refuses messages that wait to be journalled once `JOURNAL_RETRY_WINDOW_MS` have passed. If
-        part of a record may be in the file, each is refused only shortly before its validity ends: a restart might still send it.
+        """Refuses messages that wait to be journalled once `JOURNAL_RETRY_WINDOW_MS` have passed. If part of
+        a record may be in the file, each is refused only shortly before its validity ends: a restart might
+        still send it.
         """
         window_passed = now >= self.first_failure_at + JOURNAL_RETRY_WINDOW_MS and not self.journal.torn
         unjournalled, self.unjournalled = self.unjournalled, []
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -428,7 +428,7 @@
         "more": 1,
     }
     (tmp_path / "c.json").write_text(json.dumps(configuration))
-    configuration = load_configuration({"LB_CONFIG": str(tmp_path / "c.json"), "LB_STATE": "/x"})
+    loaded = load_configuration({"LB_CONFIG": str(tmp_path / "c.json"), "LB_STATE": "/x"})
     assert (
         load_configuration(
             {"LB_CONFIG": str(tmp_path / "c.json"), "LB_STATE": "/x", "LB_DISCOVERY": "127.0.0.1:3"}
@@ -443,11 +443,11 @@
         == "127.0.0.1:2"
     )
     assert (
-        configuration.name,
-        configuration.folder,
-        configuration.seed,
-        configuration.descriptors,
-        configuration.disk,
+        loaded.name,
+        loaded.folder,
+        loaded.seed,
+        loaded.descriptors,
+        loaded.disk,
     ) == (
         "n3",
         "/x",
