--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -8,7 +8,7 @@
 import struct
 
 import pytest
-from courier_helper import CourierFixture, endings, facade, picked, text
+from courier_helper import CourierFixture, make_facade, make_text, take_calls, take_endings
 from forced_faults import SHORT, ForcedFaults
 from helper import Clock, Listener, Peer, Rebooted, answer, client, spin, terms
 from wire_helper import Out, call, clients, request
@@ -191,7 +191,7 @@
     peer = begin_request(stopping_courier, "a")
     stopping_courier.runtime.journal.flush = lambda: os.write(-1, b"")
     peer.say(b"c")
-    spin(stopping_courier.loop, lambda: stopping_courier.runtime.stuck)
+    spin(stopping_courier.loop, lambda: stopping_courier.runtime.failed_turns)
     advance(stopping_courier, STOP_LIMIT_MS - LAST_ACCEPT_MS + 99.0)
     stopping_courier.loop.now.now += POLL_INTERVAL_MS
     spin(stopping_courier.loop, lambda: not stopping_courier.loop.running)
@@ -356,18 +356,18 @@
 
 
 def test_a_once_only_message_with_an_incomplete_refusal_is_not_resent_and_the_wait_applies():
-    decisions = facade()
-    decisions.hand_in(text("once", 2))
+    decisions = make_facade()
+    decisions.hand_in(make_text("once", 2))
     decisions.tick(0.0)
-    (sent,) = picked(decisions)
+    (sent,) = take_calls(decisions)
     decisions.report(sent, Answer(Far.SENT, wait=900.0), 50.0)
-    decisions.hand_in(text("other"))
+    decisions.hand_in(make_text("other"))
     decisions.tick(50.0)
-    assert endings(decisions) == [("once", "dead")] and not picked(decisions)
+    assert take_endings(decisions) == [("once", "dead")] and not take_calls(decisions)
     due = 50.0
     while due < 960.0:
         due = decisions.tick(due)
-    assert [sent.ident for batch in picked(decisions) for sent in batch.texts] == ["other"]
+    assert [sent.ident for batch in take_calls(decisions) for sent in batch.texts] == ["other"]
 
 
 def test_bytes_that_arrive_after_the_check_of_an_idle_connection_make_the_answer_unreadable(
@@ -457,13 +457,13 @@
     """
     ends = {}
     for restored in (False, True):
-        decisions = facade()
+        decisions = make_facade()
         for number in range(3):
-            decisions.hand_in(text(f"old-{number}", 1, until=4000.0), restored=restored)
-        decisions.hand_in(text("new", until=20000.0))
+            decisions.hand_in(make_text(f"old-{number}", 1, until=4000.0), restored=restored)
+        decisions.hand_in(make_text("new", until=20000.0))
         decisions.tick(0.0)
-        calls = [sent.ident for batch in picked(decisions) for sent in batch.texts]
-        ends[restored] = sorted(ident for ident, verdict in endings(decisions) if verdict), sorted(calls)
+        calls = [sent.ident for batch in take_calls(decisions) for sent in batch.texts]
+        ends[restored] = sorted(ident for ident, verdict in take_endings(decisions) if verdict), sorted(calls)
     assert ends[True] == ([], ["new", "old-0", "old-1", "old-2"]), ends
     assert ends[False] != ends[True]
 
@@ -507,7 +507,7 @@
         "calicopin.lifecycle.start.Clients",
         lambda *arguments: created.append(Clients(*arguments)) or created[0],
     )
-    courier = CourierFixture(tmp_path, asked=False)
+    courier = CourierFixture(tmp_path, list_answered=False)
     watch = courier.platform.meet()
     watch.wait(b"\r\n\r\n")
     idle = [client(courier.loop, courier.listen) for _ in range(250)]
@@ -525,7 +525,7 @@
     again = courier.platform.meet()
     again.wait(b"\r\n\r\n")
     again.say(answer(200, json.dumps(courier.known).encode()))
-    spin(courier.loop, lambda: courier.runtime.current)
+    spin(courier.loop, lambda: courier.runtime.list_received)
     assert created[0].open == budget.clients + budget.other_clients, "all idle clients are still connected"
     courier.loop.now.now += NEW_CONNECTION_MIN_IDLE_MS
     spin(courier.loop, lambda: created[0].open < budget.clients)
@@ -552,6 +552,9 @@
     if again:
         assert b"X-Request-ID: a" in restarted.endpoint.meet().wait(b"\xfe\xfe\xfe")
     else:
-        assert restarted.notice() == [{"ref": "a", "result": "bounced"}] and not restarted.runtime.out
+        assert (
+            restarted.notice() == [{"ref": "a", "result": "bounced"}]
+            and not restarted.runtime.calls_in_progress
+        )
         with pytest.raises(BlockingIOError):
             restarted.endpoint.sock.accept()
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -5,7 +5,7 @@
 import os
 
 import pytest
-from courier_helper import CourierFixture, facade, picked, text
+from courier_helper import CourierFixture, make_facade, make_text, take_calls
 from helper import answer, client, spin
 
 from calicopin.facade import Facade
@@ -24,10 +24,10 @@
 
 
 def one_call(**other):
-    courier_facade = facade()
-    courier_facade.hand_in(text("t1", **other))
+    courier_facade = make_facade()
+    courier_facade.hand_in(make_text("t1", **other))
     courier_facade.tick(10.0)
-    (call,) = picked(courier_facade)
+    (call,) = take_calls(courier_facade)
     return courier_facade, call
 
 
@@ -104,7 +104,7 @@
     first.kill()
     second = CourierFixture(tmp_path, endpoint=first.endpoint)
     assert second.runtime.facade.state()[0]["mode"] == "out"
-    assert second.runtime.facade.state()[0]["waiting"] == 5 and not second.runtime.out
+    assert second.runtime.facade.state()[0]["waiting"] == 5 and not second.runtime.calls_in_progress
     assert not sum(second.runtime.guard.counts.values())
 
 
@@ -119,14 +119,14 @@
         second.loop.once(second.loop.now())
     assert second.runtime.guard.counts[Invariant.RESTORED] == 1
     assert second.runtime.guard.counts[Invariant.OUTAGE_ENDS] >= 1
-    assert second.runtime.guard.counts[Invariant.OUTAGE_KNOWN] > 0 and not second.runtime.out
+    assert second.runtime.guard.counts[Invariant.OUTAGE_KNOWN] > 0 and not second.runtime.calls_in_progress
     with pytest.raises(BlockingIOError):
         first.endpoint.sock.accept()
 
 
 def test_a_start_after_the_warm_up_needs_no_state():
     """The check took a destination that had warmed up by then for a forgotten outage."""
-    courier_facade = facade(now=20000.0)
+    courier_facade = make_facade(now=20000.0)
     cold = {(7, None): {"mode": "cold", "warm_at": 21000.0}}
     assert courier_facade.unknown([], cold, 20000.0) == ["destination 7"]
     assert courier_facade.unknown([], cold, 21000.0) == []
@@ -162,14 +162,14 @@
 def test_a_partial_record_that_cannot_be_truncated_hides_no_later_record(tmp_path):
     system = FailingDisk()
     journal = Journal(str(tmp_path), 200_000, 0.0, system)
-    journal.accepted(text("t1"))
+    journal.accepted(make_text("t1"))
     journal.flush()
     system.failing = True
-    journal.accepted(text("t2"))
+    journal.accepted(make_text("t2"))
     with pytest.raises(OSError):
         journal.flush()
     system.failing = False
-    journal.accepted(text("t3"))
+    journal.accepted(make_text("t3"))
     journal.flush()
     assert set(Journal(str(tmp_path), 200_000, 0.0).texts) == {"t1", "t2", "t3"}
 
@@ -202,10 +202,9 @@
     courier.runtime.journal.flush = lambda: os.write(-1, b"")  # the request waits for its journal record
     peer = client(courier.loop, courier.listen)
     peer.say(
-        b"POST /notice?n=1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\nX-Timeout: 9\r\n"
-        b"X-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n"
+        b"POST /notice?n=1 HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\nX-Timeout: 9\r\nX-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n"
     )
-    spin(courier.loop, lambda: courier.runtime.waiting)
+    spin(courier.loop, lambda: courier.runtime.unjournalled)
     (connection,) = clients.connections
     courier.loop.cancel(clients.connections[connection])
     assert courier.runtime.guard.counts[Invariant.ANSWERED] == 1
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,9 +23,9 @@
         self.loop = type(self.loop)(now=self.loop.now, system=self.loop.system)
         self.endpoint.loop = self.platform.loop = self.loop
         self.listen = free_address()
-        self.posts = [replace(self.posts[0], listen=self.listen, admin=self.admin)]
-        self.runtime = build(self.posts[0], self.loop, self.signal_reader(), lambda: self.again())
-        self.tell(self.known)
+        self.configurations = [replace(self.configurations[0], listen=self.listen, admin=self.admin)]
+        self.runtime = build(self.configurations[0], self.loop, self.signal_reader(), lambda: self.again())
+        self.answer_list_request(self.known)
 
     @staticmethod
     def signal_reader():
@@ -78,7 +78,7 @@
             else answer(500)
         )
     spin(courier.loop, lambda: len(courier.runtime.facade.texts) == 0)
-    courier.runtime.current = False  # as before the first list arrived
+    courier.runtime.list_received = False  # as before the first list arrived
     assert courier.post("d", dest=9) == b"503"
     statistics = courier.stats()
     assert statistics["succeeded"] == {"notice": 1, "order": 1, "once": 0} and statistics["aborted"] == {
@@ -258,7 +258,7 @@
     host, _, port = courier.listen.rpartition(":")
     with pytest.raises(OSError), socket.socket():
         build(
-            replace(courier.posts[0], listen=free_address(), admin=courier.listen),
+            replace(courier.configurations[0], listen=free_address(), admin=courier.listen),
             courier.loop,
             courier.signal_reader(),
             courier.again,
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -14,7 +14,7 @@
 
 from calicopin.decisions import Route
 from calicopin.lifecycle.signals import SignalReader
-from calicopin.lifecycle.start import Post, build
+from calicopin.lifecycle.start import CourierConfiguration, build
 from calicopin.state.known_list import CHECK_INTERVAL_MS, REFRESH_AGE_MS, KnownList, decode, journal_bytes
 from calicopin.subscription.interest import IDLE_JITTER_FRACTION, IDLE_TIMEOUT_MS
 from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS
@@ -39,10 +39,14 @@
         nodes = tuple(nodes or [node.address])
         told = (f"n{os.getpid()}", self.listen, self.platform.address, str(folder), 5, 256, disk)
         known = {"version": 0, "full": True, "servers": []}
-        self.posts = [
-            Post(*told, known, terms(**settings), nodes=nodes, fleet=FLEET, max_age=max_age, status=True)
+        self.configurations = [
+            CourierConfiguration(
+                *told, known, terms(**settings), nodes=nodes, fleet=FLEET, max_age=max_age, status=True
+            )
         ]
-        self.runtime = build(self.posts[0], self.loop, SignalReader(), lambda: self.posts[-1])
+        self.runtime = build(
+            self.configurations[0], self.loop, SignalReader(), lambda: self.configurations[-1]
+        )
         self.run_passes()
         self.loop.now.now += 100.0  # the first request has a random delay
 
@@ -59,8 +63,7 @@
         """Sends a client's request and returns its connection."""
         peer = client(self.loop, self.listen)
         peer.say(
-            f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: {left}\r\n"
-            f"X-Envelope: dest={dest}\r\nContent-Length: 3\r\n\r\n".encode()
+            f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: {left}\r\nX-Envelope: dest={dest}\r\nContent-Length: 3\r\n\r\n".encode()
             + b"\xfe" * 3
         )
         return peer
@@ -144,7 +147,7 @@
     call = endpoint.meet()
     call.wait(b"\xfe\xfe\xfe")
     call.say(answer(200))
-    spin(courier.loop, lambda: not courier.runtime.journal.texts and not courier.runtime.out)
+    spin(courier.loop, lambda: not courier.runtime.journal.texts and not courier.runtime.calls_in_progress)
     with pytest.raises(BlockingIOError):
         endpoint.sock.accept()
     with pytest.raises(BlockingIOError):  # the platform's agent is not watched as well
@@ -169,7 +172,9 @@
     assert courier.awaited and not peer.hear()
     courier.advance(81.0)
     assert courier.status_of(peer) == b"503" and not courier.awaited and not courier.runtime.journal.texts
-    assert not courier.runtime.subscribed.subscriber._settled, "no state is kept for it while no node answers"
+    assert not courier.runtime.subscription.subscriber._settled, (
+        "no state is kept for it while no node answers"
+    )
 
 
 def test_a_client_that_leaves_while_waiting_is_forgotten(tmp_path, node, endpoint):
@@ -207,7 +212,7 @@
     courier = SubscribedCourierFixture(tmp_path, node)
     peer = courier.send_message("a")
     spin(courier.loop, lambda: courier.awaited)
-    courier.runtime.refusing = True
+    courier.runtime.refuses_messages = True
     courier.runtime.stop_waiting()
     assert courier.status_of(peer) == b"503" and not courier.awaited
 
@@ -346,33 +351,33 @@
 def test_a_reload_moves_the_subscription_to_other_nodes(tmp_path, node, endpoint):
     courier = started(tmp_path, node, endpoint)
     other = Node(courier.loop, "n2", "n2-1")
-    courier.posts.append(replace(courier.posts[0], nodes=(other.address,)))
+    courier.configurations.append(replace(courier.configurations[0], nodes=(other.address,)))
     told, sink = capture_log()
-    renewal(courier).renew()
+    configuration_reload(courier).reload()
     courier.advance(NEXT_NODE_JITTER_MS)
     _, asked = other.next_request()
     assert asked["lease"] is None and asked["subscribe"] == [7]
     other.respond(asked, 1, [served(endpoint)], full=True)
-    courier.posts.append(replace(courier.posts[0], nodes=(), fleet="other", disk=1_000_000))
-    renewal(courier).renew()
+    courier.configurations.append(replace(courier.configurations[0], nodes=(), fleet="other", disk=1_000_000))
+    configuration_reload(courier).reload()
     logger.remove(sink)
-    assert any("fleet, nodes changed and needs a restart" in line for line in told)
+    assert any("fleet, nodes changed, which needs a restart" in line for line in told)
     assert courier.runtime.journal.max_bytes == journal_bytes(1_000_000) // 2
-    assert courier.runtime.subscribed.known_list.max_bytes == 50_000
+    assert courier.runtime.subscription.known_list.max_bytes == 50_000
     courier.advance()
     assert courier.post("b") == b"202"
 
 
-def renewal(courier):
-    from calicopin.lifecycle.renewal import Renewal
+def configuration_reload(courier):
+    from calicopin.lifecycle.renewal import ConfigurationReload
 
-    return Renewal(
+    return ConfigurationReload(
         courier.loop,
         SignalReader(),
-        courier.posts[0],
-        lambda: courier.posts[-1],
+        courier.configurations[0],
+        lambda: courier.configurations[-1],
         None,
-        courier.runtime.subscribed.subscriber,
+        courier.runtime.subscription.subscriber,
         None,
         courier.runtime,
     )
@@ -407,9 +412,9 @@
 
 
 def places(count, each=1):
-    from courier_helper import place
+    from courier_helper import make_place
 
-    return {dest: [place(f"s-{dest}-{one}", dest=dest) for one in range(each)] for dest in range(count)}
+    return {dest: [make_place(f"s-{dest}-{one}", dest=dest) for one in range(each)] for dest in range(count)}
 
 
 def written(tmp_path, table, system=None, **other):
@@ -534,7 +539,7 @@
         super().__init__(folder, None, clock=RealClock(system), system=system, nodes=[listen])
 
     def due(self):
-        return self.runtime.subscribed.known_list.due()
+        return self.runtime.subscription.known_list.due()
 
     def until(self, done, seconds=30.0):
         end = time.monotonic() + seconds
--- a/tests/wire_helper.py
+++ b/tests/wire_helper.py
@@ -56,7 +56,7 @@
     def first_answer(self, _):
         return None
 
-    def take(self, text):
+    def accept(self, text):
         if self.refusal is None:
             self.texts.append(text)
         return self.refusal
@@ -68,7 +68,7 @@
     def withdraw(self, text):
         self.withdrawn.append(text)
 
-    def answered(self, text):
+    def acknowledged(self, text):
         self.heard.append(text)
 
     def unanswered(self, request):
