--- a/calicopin/emulator/list_faults.py
+++ b/calicopin/emulator/list_faults.py
@@ -6,9 +6,9 @@
 from calicopin.discovery_node.source import Source
 from calicopin.emulator.faults import fault
 from calicopin.emulator.referee import DRAIN, KNOWN
-from calicopin.lifecycle import subscribed as subscribed_module
+from calicopin.lifecycle import courier_subscription as subscription_module
+from calicopin.lifecycle.courier_subscription import Subscribed
 from calicopin.lifecycle.runtime import Runtime
-from calicopin.lifecycle.subscribed import Subscribed
 from calicopin.state.known_list import KnownList
 from calicopin.subscription.leases import NOTHING, Lease
 from calicopin.subscription.nodes import NodeChoice
@@ -49,13 +49,13 @@
     """An unsubscribed destination is not forgotten, and messages for it are accepted at once."""
     change(Runtime, "released", lambda runtime, destination: None)
     change(Subscribed, "first_answer", lambda subscribed, destination: None)
-    change(subscribed_module, "REFUSALS", subscribed_module.REFUSALS | {Standing.WAITING: None})
+    change(subscription_module, "REFUSALS", subscription_module.REFUSALS | {Standing.WAITING: None})
 
 
 @fault("taken-on-before-the-first-answer", "subscriptions", KNOWN)
 def _(change):
     change(Subscribed, "first_answer", lambda subscribed, destination: None)
-    change(subscribed_module, "REFUSALS", subscribed_module.REFUSALS | {Standing.WAITING: None})
+    change(subscription_module, "REFUSALS", subscription_module.REFUSALS | {Standing.WAITING: None})
 
 
 @fault("list-in-the-folder-of-any-age", "subscriptions-old-list", KNOWN)
--- a/calicopin/emulator/nodes.py
+++ b/calicopin/emulator/nodes.py
@@ -22,7 +22,7 @@
 from calicopin.emulator.process import Handle, ListeningSocket, Process, SystemCalls
 from calicopin.emulator.scenario import Trouble
 from calicopin.emulator.standins import MessageParser
-from calicopin.lifecycle import subscribed as subscribed_module
+from calicopin.lifecycle import courier_subscription as subscription_module
 from calicopin.subscription.leases import LeaseBounds
 from calicopin.wire.subscriber import Subscriber
 
@@ -415,9 +415,9 @@
     if not seconds:
         yield
         return
-    original = subscribed_module.Subscriber
-    subscribed_module.Subscriber = partial(Subscriber, idle=seconds * 1000.0)
+    original = subscription_module.Subscriber
+    subscription_module.Subscriber = partial(Subscriber, idle=seconds * 1000.0)
     try:
         yield
     finally:
-        subscribed_module.Subscriber = original
+        subscription_module.Subscriber = original
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -12,7 +12,7 @@
 from calicopin.admin.server import AdminServer
 from calicopin.deployment_settings import check, pushed
 from calicopin.facade import Facade
-from calicopin.lifecycle.renewal import Renewal
+from calicopin.lifecycle.reload import Renewal
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.stop import Shutdown
@@ -196,7 +196,7 @@
         version, places = receiver.snapshot["version"], ()
         runtime.restore_from_handover(receiver)
     if post.nodes:
-        from calicopin.lifecycle.subscribed import build_subscription
+        from calicopin.lifecycle.courier_subscription import build_subscription
 
         runtime.subscribed = build_subscription(
             post, loop, runtime, long_poll_timeout, facade.places.values() if receiver else None
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -13,7 +13,7 @@
 
 from calicopin.discovery_node.source import POLL_INTERVAL_MS as SOURCE_POLL_INTERVAL_MS
 from calicopin.discovery_node.source import Source
-from calicopin.lifecycle.renewal import PATIENCE as RELOAD_RETRY_LIMIT
+from calicopin.lifecycle.reload import PATIENCE as RELOAD_RETRY_LIMIT
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.state.journal import Journal
 from calicopin.system import RETRY_LIMIT_MS, System, patiently
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -364,7 +364,7 @@
 
 
 def renewal(courier):
-    from calicopin.lifecycle.renewal import Renewal
+    from calicopin.lifecycle.reload import Renewal
 
     return Renewal(
         courier.loop,
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -9,7 +9,7 @@
 from calicopin.configuration import partners
 from calicopin.configuration.read import read
 from calicopin.configuration.startup import partner_list_loader
-from calicopin.lifecycle.renewal import Renewal
+from calicopin.lifecycle.reload import Renewal
 from calicopin.lifecycle.start import posted
 from calicopin.wire.listfile import CHECK_INTERVAL_MS, ListFile
 from calicopin.wire.loop import Loop
