--- a/calicopin/capacity/backlog.py
+++ b/calicopin/capacity/backlog.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 from calicopin.capacity.records import Measure, fit_line, start_record
-from calicopin.facade import Answer, Call, Facade, Far, Place
+from calicopin.facade import Call, CallProgress, CallResult, Facade, Place
 from calicopin.state.texts import Text
 
 SIZES = (10_000, 30_000, 100_000)
@@ -55,19 +55,19 @@
     def __init__(self, waiting: int):
         self.now, self.next_tick_at, self.message_count = 0.0, float("inf"), 0
         self.calls_in_flight: deque[tuple[float, Call]] = deque()
-        self.answer, self.delivered = Answer(Far.SENT, late=True), 0
+        self.answer, self.delivered = CallResult(CallProgress.SENT, timed_out=True), 0
         self.facade = Facade(SEED, settings(2 * waiting + 1_000), CALL_SLOTS, self.now)
         # Without a ready endpoint nothing is decided while the backlog builds up.
-        self.facade.listed([place(False)], True)
+        self.facade.update_list([place(False)], True)
         for _ in range(waiting):
             self.add_message()
         self.run_decisions()
-        self.facade.listed([place(True)], False)
+        self.facade.update_list([place(True)], False)
 
     def add_message(self) -> None:
         """Submits one more message for the destination."""
         expires_at, self.message_count = self.now + VALIDITY_S * 1000.0, self.message_count + 1
-        self.facade.hand_in(
+        self.facade.add_text(
             Text(
                 f"{self.message_count:024x}", DESTINATION, 0, f"r{self.message_count}", None, expires_at, b""
             )
@@ -76,11 +76,15 @@
     def run_decisions(self) -> None:
         """Runs the decisions on all pending input and starts the resulting calls."""
         self.next_tick_at = self.facade.tick(self.now)
-        while call := self.facade.pick():
+        while call := self.facade.next_call():
             self.calls_in_flight.append((self.now + ANSWER_TIME_MS, call))
-        while end := self.facade.ended():
+        while end := self.facade.next_final_answer():
             self.delivered += end.delivered
-        while self.facade.back() or self.facade.said() or self.facade.given_back():
+        while (
+            self.facade.next_returned_text()
+            or self.facade.next_log_line()
+            or self.facade.next_endpoint_to_close()
+        ):
             pass
 
     def next_event_at(self) -> float:
@@ -131,7 +135,7 @@
 def measure_delivery(waiting: int) -> float:
     """Returns ms of processor time per delivery from the backlog while the destination is up."""
     simulation = BacklogSimulation(waiting)
-    simulation.answer = Answer(Far.ANSWERED, status=200)
+    simulation.answer = CallResult(CallProgress.ANSWERED, status=200)
     began = time.process_time()
     simulation.run_decisions()
     while simulation.delivered < MEASURED_DELIVERIES:
--- a/calicopin/decisions.py
+++ b/calicopin/decisions.py
@@ -717,7 +717,7 @@
         if ident in self.endpoints:
             self.endpoints[ident].route.halt(wait)
 
-    def advice(self, dest):
+    def retry_after(self, dest):
         """After how many ms a text that was turned away for lack of room may be handed in again."""
         return min(
             max(0.0, self.dest(dest).next_call_at() - self.scheduler.now), self.registry.max_retry_after
--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -233,7 +233,7 @@
 
 @fault("notice-after-delivery", "calm", ANSWER, 1)
 def _(change):
-    ended = Facade.ended
+    ended = Facade.next_final_answer
 
     def ended_with_notice(facade):
         end = ended(facade)
@@ -241,13 +241,13 @@
             end.verdict = "dead"
         return end
 
-    change(Facade, "ended", ended_with_notice)
+    change(Facade, "next_final_answer", ended_with_notice)
 
 
 @fault("failed-is-delivered", "loss", ANSWER)
 def _(change):
-    change(facade, "ANSWERS", facade.ANSWERS | {500: How.DELIVERED})
-    change(facade, "how", _how_with(facade.how, lambda answer: answer.status == 500))
+    change(facade, "OUTCOMES_BY_STATUS", facade.OUTCOMES_BY_STATUS | {500: How.DELIVERED})
+    change(facade, "outcome_of", _how_with(facade.outcome_of, lambda answer: answer.status == 500))
 
 
 @fault("bulk-answer-misread", "loss", ANSWER)
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -17,7 +17,7 @@
 from calicopin.emulator.scenario import PARTNER_TROUBLES
 from calicopin.emulator.simulation import CLIENTS_START_MS, arrivals, draw_troubles, settings
 from calicopin.emulator.world import World
-from calicopin.facade import Answer, Facade, Far, Place
+from calicopin.facade import CallProgress, CallResult, Facade, Place
 from calicopin.state.texts import Text
 
 FLEET_TROUBLES = ("refuse", "hang", "shut", "vanish", "slow", "errors", "lose", "spoil")
@@ -32,7 +32,7 @@
         self.facade = Facade(
             seed, settings(fleet.scenario, number), fleet.scenario.couriers.slots, self.world.now
         )
-        self.facade.listed([replace(place) for place in fleet.places], True)
+        self.facade.update_list([replace(place) for place in fleet.places], True)
         self.next_due, self.wake_serial = float("inf"), 0
         self.world.record("start", self.name)
 
@@ -40,13 +40,13 @@
         """Decides on pending input and carries the decisions out."""
         facade, world = self.facade, self.world
         due = facade.tick(world.now)
-        while returned := facade.back():
+        while returned := facade.next_returned_text():
             returned[0].came_back(returned[1])
-        while facade.said():
+        while facade.next_log_line():
             pass
-        while call := facade.pick():
+        while call := facade.next_call():
             self.fleet.call(self, call)
-        while end := facade.ended():
+        while end := facade.next_final_answer():
             if end.verdict is not None:
                 world.record("notice", self.name, end.text.ident, end.verdict, end.wait)
                 self.fleet.on_notice(end.text.ident, end.verdict, end.wait)
@@ -119,10 +119,10 @@
         )
         if courier.facade.full():
             self.world.record("answer", ident, 503)
-            self.retry(text, courier, courier.facade.advice(message))
+            self.retry(text, courier, courier.facade.retry_after(message))
             return
         self.world.record("answer", ident, 202)
-        courier.facade.hand_in(message)
+        courier.facade.add_text(message)
         courier.process()
 
     def on_notice(self, ident, verdict, wait):
@@ -154,7 +154,14 @@
             text.went_out(started_at, call.place.zone)
         self.world.call_later(self.latency(), self.arrive, number, courier, call, started_at)
         self.world.call_later(
-            call.timeout, self.end, number, courier, call, started_at, Answer(Far.SENT, late=True), False
+            call.timeout,
+            self.end,
+            number,
+            courier,
+            call,
+            started_at,
+            CallResult(CallProgress.SENT, timed_out=True),
+            False,
         )
 
     def arrive(self, number, courier, call, started_at):
@@ -167,7 +174,14 @@
         if destination.overloaded or destination.active_troubles.get("refuse"):
             destination.couriers_in_outage.add(courier.name)
             self.world.call_later(
-                self.latency(), self.end, number, courier, call, started_at, Answer(Far.UNCONNECTED), False
+                self.latency(),
+                self.end,
+                number,
+                courier,
+                call,
+                started_at,
+                CallResult(CallProgress.UNCONNECTED),
+                False,
             )
             return
         if destination.active_troubles.get("vanish"):
@@ -179,7 +193,7 @@
                 courier,
                 call,
                 started_at,
-                Answer(Far.UNCONNECTED),
+                CallResult(CallProgress.UNCONNECTED),
                 False,
             )
             return
@@ -204,17 +218,17 @@
             states = states or {ident: "delivered" for ident in reply.processed}
         if lost:
             self.world.record("lost", number)
-            answer = Answer(Far.SENT)
+            answer = CallResult(CallProgress.SENT)
         else:
             self.world.record(
                 "reply", number, reply.status, reply.retry_after_ms, tuple((states or {}).items())
             )
-            answer = Answer(
-                Far.ANSWERED,
+            answer = CallResult(
+                CallProgress.ANSWERED,
                 status=reply.status,
                 wait=reply.retry_after_ms,
                 load=reply.load or {},
-                ends=states,
+                text_states=states,
             )
         self.world.call_later(self.latency(), self.end, number, courier, call, started_at, answer, not lost)
 
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -36,7 +36,7 @@
 DESTINATION_NAME = re.compile(r"^destination (\d+)")  # how the decisions name a destination in log lines
 
 
-class Far(IntEnum):
+class CallProgress(IntEnum):
     """The stage that a submit had reached when it ended."""
 
     CALLED_OFF = 0  # cancelled before anything was sent
@@ -47,22 +47,23 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class CallResult:
     """The result of one call.
 
-    `late` marks a time-out; `wait` is the wait in ms that the answer asked for; `no_slot` is set where a
-    header says that the endpoint had no free slot; `load` holds the reported load by column; `ends` holds
-    the state of each text by id, from the body of a bulk answer (None for a single text).
+    `timed_out` marks a time-out; `wait` is the wait in ms that the answer asked for; `no_slot` is set where a
+    header says that the endpoint had no free slot; `load` holds the reported load by column; `text_states`
+    holds the state of each text by id, from the body of a bulk answer (None for a single text).
     """
 
-    far: Far
-    late: bool = False
-    gone: bool = False  # closed before the call: not the endpoint's failure, but the submit may have run
+    progress: CallProgress
+    timed_out: bool = False
+    # closed before the call: not the endpoint's failure, but the submit may have run
+    stale_connection: bool = False
     status: int = 0
     wait: float = 0.0
     no_slot: bool = False
     load: dict = field(default_factory=dict)
-    ends: dict | None = None
+    text_states: dict | None = None
 
 
 @dataclass(slots=True)
@@ -98,7 +99,7 @@
 
 
 @dataclass(slots=True)
-class End:
+class FinalAnswer:
     """The final answer of a text, given once.
 
     `verdict` is the result that the notice names, None where no notice is owed; `wait` is the time in ms
@@ -112,7 +113,7 @@
     why: str = ""
 
 
-ANSWERS = {
+OUTCOMES_BY_STATUS = {
     200: How.DELIVERED,
     429: How.FULL,
     503: How.FULL,
@@ -130,20 +131,22 @@
 }
 
 
-def how(answer, ident):
+def outcome_of(answer, ident):
     """Returns the outcome of the text `ident` and whether its processing ends with it."""
-    if answer.far == Far.CALLED_OFF:
+    if answer.progress == CallProgress.CALLED_OFF:
         return How.NOT_SENT, False
-    if answer.far <= Far.UNSENT:
+    if answer.progress <= CallProgress.UNSENT:
         return How.UNREACHED, False
-    if answer.far == Far.SENT:
-        return (How.CALLED_OFF if answer.gone else How.TIMEOUT if answer.late else How.BROKEN), False
-    if answer.ends is not None:
-        state = str(answer.ends.get(ident))
+    if answer.progress == CallProgress.SENT:
+        return (
+            How.CALLED_OFF if answer.stale_connection else How.TIMEOUT if answer.timed_out else How.BROKEN
+        ), False
+    if answer.text_states is not None:
+        state = str(answer.text_states.get(ident))
         return OUTCOMES_BY_TEXT_STATE.get(state, How.ERROR), state in ("delivered", "over")
     if answer.status == 503 and answer.no_slot:
         return How.NOT_SENT, False
-    return ANSWERS.get(answer.status, How.ERROR), answer.status in (200, 410)
+    return OUTCOMES_BY_STATUS.get(answer.status, How.ERROR), answer.status in (200, 410)
 
 
 class Facade:
@@ -163,9 +166,9 @@
         self.zones = deployment_settings.Indices(settings.get("zones") or [])
         self.dests, self.endpoints = deployment_settings.Indices(), deployment_settings.Indices()
         restart = {"restarted": now} if restarted else {}
-        self.module = deployment_settings.courier(seed, settings, slots=slots, asks=False, **restart)
+        self.decisions = deployment_settings.courier(seed, settings, slots=slots, asks=False, **restart)
         self.max_texts = settings["ceilings"]["mostHeld"]
-        self.awaited = 0  # requests that wait for the first list of their destination
+        self.waiting_for_list = 0  # requests that wait for the first list of their destination
         self.texts, self.places, self.events = {}, {}, []
         self.places_of = {}  # numbers of the listed endpoints, by destination id
         self.dropped_dests = []  # forgotten destinations not yet returned by dropped_destinations
@@ -184,15 +187,15 @@
 
     def full(self):
         """Whether the limit on texts from the settings is reached."""
-        return len(self.texts) + self.awaited >= self.max_texts
+        return len(self.texts) + self.waiting_for_list >= self.max_texts
 
-    def advice(self, text):
+    def retry_after(self, text):
         """The ms after which a text that is turned away may be sent again; 0: no advice."""
         if text.dest not in self.dests.index:  # creates no state for an unknown destination
-            return self.module.registry.max_retry_after
-        return self.module.advice(self.dests(text.dest))
+            return self.decisions.registry.max_retry_after
+        return self.decisions.retry_after(self.dests(text.dest))
 
-    def hand_in(self, text, restored=False):
+    def add_text(self, text, restored=False):
         """Adds a new text, or one restored after a restart."""
         text.number, self.next_number = self.next_number, self.next_number + 1
         self.texts[text.number] = text
@@ -233,7 +236,7 @@
 
         A state of None means that nothing has to be persisted any more.
         """
-        changed, self.module.scheduler.changed_routes = self.module.scheduler.changed_routes, {}
+        changed, self.decisions.scheduler.changed_routes = self.decisions.scheduler.changed_routes, {}
         for route in changed:
             dest, endpoint = route.key
             if dest in self.dests.ident and (endpoint is None or endpoint in self.endpoints.ident):
@@ -246,25 +249,25 @@
 
     def over_budget(self):
         """Names of the routes that exceeded their slow-start limit since the last call of this method."""
-        names, self.module.scheduler.over_budget = self.module.scheduler.over_budget, []
+        names, self.decisions.scheduler.over_budget = self.decisions.scheduler.over_budget, []
         return [self._with_destination_id(name) for name in names]
 
     def endpoint_of(self, call):
         """The decisions' record of the endpoint of a call, or None."""
-        return self.module.endpoints.get(call.endpoint)
+        return self.decisions.endpoints.get(call.endpoint)
 
-    def unknown(self, texts, routes, now):
+    def not_restored(self, texts, routes, now):
         """Names of what a restart should have restored but the decisions do not know.
 
         These are texts that are held, and routes, by (destination, endpoint), whose outage or slow start has
         not ended at `now`.
         """
-        known_texts, names = self.module.registry.texts, []
+        known_texts, names = self.decisions.registry.texts, []
         for text in texts:
             if text.number in self.texts and text.number not in known_texts:
                 names.append(text.ident)
         for (dest, endpoint), state in routes.items():
-            known_dest = self.module.dests.get(self.dests.index.get(dest))
+            known_dest = self.decisions.dests.get(self.dests.index.get(dest))
             number = None if endpoint is None else self.endpoints.index.get(endpoint)
             route = known_dest and known_dest.routes.get(number)
             restricted = state["mode"] == OUT or (state["mode"] == COLD and now < state["warm_at"])
@@ -276,17 +279,17 @@
         """Drops a text whose client has left; no answer is owed for it."""
         if self.texts.pop(text.number, None):
             self.events.append(Withdrawn(text.number))
-            self.final_answers.append(End(text, None, why="its client has left"))
+            self.final_answers.append(FinalAnswer(text, None, why="its client has left"))
 
-    def hand_back(self):
+    def nack_waiting_texts(self):
         """Nacks every waiting text that is safe to send elsewhere; used by a drain."""
         self.events.append(Emptied())
 
-    def serves(self, dest):
+    def knows_destination(self, dest):
         """Whether the destination is known."""
         return dest in self.dests.index
 
-    def listed(self, places, whole):
+    def update_list(self, places, whole):
         """Applies an update of the server list; `whole` replaces the list.
 
         Endpoints that left are forgotten once the decisions no longer use them. Returns, by the number of
@@ -338,7 +341,7 @@
             if number not in self.places and number in before:
                 continue  # checked again with the next update
             del self.unlisted[number]
-            in_use = number in self.places or number in self.module.endpoints
+            in_use = number in self.places or number in self.decisions.endpoints
             if not in_use and number in self.endpoints.ident:
                 self.endpoints.forget(self.endpoints.ident[number])
 
@@ -356,7 +359,7 @@
     def in_use(self, dest):
         """Whether a text for the destination is queued, in a call, or added since the last tick."""
         number = self.dests.index.get(dest)
-        known = self.module.dests.get(number)
+        known = self.decisions.dests.get(number)
         return (known is not None and bool(known.queue or known.slots_in_use)) or any(
             isinstance(event, Taken) and event.dest == number for event in self.events
         )
@@ -370,12 +373,12 @@
         load = {column: answer.load.get(column) for column in self.load_columns}
         for text in call.texts:
             if text.number in call.open:
-                outcome, ended = how(answer, text.ident)
+                outcome, ended = outcome_of(answer, text.ident)
                 self._outcome(call, text, outcome, elapsed, ended, answer.wait, load)
         if answer.wait > call.waited:
             # the status line gave the outcome before; the wait came later, with the headers
             if not call.open and call.told:
-                self.module.halt(call.endpoint, answer.wait)
+                self.decisions.halt(call.endpoint, answer.wait)
             call.waited = answer.wait
         call.told = True
 
@@ -389,12 +392,12 @@
             self.returned_texts.append((text, outcome not in NEVER_RAN))
         elif self.texts.pop(text.number, None):
             delivered = outcome == How.DELIVERED
-            why = f"delivered to {call.place.ident}" if delivered else f"over, says {call.place.ident}"
-            self.final_answers.append(End(text, None, delivered=delivered, why=why))
+            why = f"delivered to {call.place.ident}" if delivered else f"ended by {call.place.ident}"
+            self.final_answers.append(FinalAnswer(text, None, delivered=delivered, why=why))
 
-    def avoided(self):
+    def count_endpoints_in_outage(self):
         """The number of listed endpoints in an outage; these get next to no calls."""
-        known = self.module.endpoints
+        known = self.decisions.endpoints
         return sum(number in known and known[number].route.mode == "out" for number in self.places)
 
     def state(self):
@@ -404,7 +407,7 @@
         """
         states = []
         for ident, number in self.dests.index.items():
-            dest = self.module.dests.get(number)
+            dest = self.decisions.dests.get(number)
             routes = list(dest.routes.values()) if dest else []
             worst = max(routes, key=lambda route: ("well", "cold", "out").index(route.mode), default=None)
             states.append(
@@ -416,7 +419,7 @@
                     endpoints=len(dest.endpoints) if dest else 0,
                     pace=round(worst.rate * 1000.0, 3) if worst and worst.rate else None,
                     usual_ms=round(worst.usual_latency, 1) if worst else 0.0,
-                    wait_ms=round(max(0.0, worst.blocked_until - self.module.scheduler.now), 1)
+                    wait_ms=round(max(0.0, worst.blocked_until - self.decisions.scheduler.now), 1)
                     if worst
                     else 0.0,
                 )
@@ -432,12 +435,12 @@
             self.wake = None
         if self.events:
             events, self.events = self.events, []
-            self._apply_actions(now, self.module.handle(now, events))
-            self.unlisted |= dict.fromkeys(self.module.forgotten_endpoints)
-            for number in self.module.forgotten_destinations:
+            self._apply_actions(now, self.decisions.handle(now, events))
+            self.unlisted |= dict.fromkeys(self.decisions.forgotten_endpoints)
+            for number in self.decisions.forgotten_destinations:
                 self.dropped_dests.append(self.dests.ident[number])
                 self.dests.forget(self.dests.ident[number])
-            if self.module.forgotten_destinations:
+            if self.decisions.forgotten_destinations:
                 self._forget_unlisted(())
         return self.wake[0] if self.wake else float("inf")
 
@@ -452,7 +455,7 @@
                     nack = isinstance(action, Nack)
                     stay_away = action.stay_away if nack else 0.0
                     self.final_answers.append(
-                        End(text, "bounced" if nack else "dead", stay_away, why=action.why)
+                        FinalAnswer(text, "bounced" if nack else "dead", stay_away, why=action.why)
                     )
             elif isinstance(action, Wake):
                 self.wake = (now + action.after, action.token)
@@ -488,30 +491,30 @@
         """Stops or resumes all calls; while stopped, texts wait in their queues and still expire."""
         self.events.append(CallsPaused(paused))
 
-    def pick(self):
+    def next_call(self):
         """Returns the next call to make, or None."""
         return self.calls.popleft() if self.calls else None
 
-    def still(self, call, now):
+    def may_still_send(self, call, now):
         """Whether a picked call may still be sent, once its connection is established."""
-        return bool(self.module.may_begin(now, call.endpoint, [text.number for text in call.texts]))
+        return bool(self.decisions.may_begin(now, call.endpoint, [text.number for text in call.texts]))
 
-    def back(self):
+    def next_returned_text(self):
         """Returns the next text whose submit ended without a final answer, or None.
 
         The result is (text, whether that submit may have run).
         """
         return self.returned_texts.popleft() if self.returned_texts else None
 
-    def ended(self):
+    def next_final_answer(self):
         """Returns the next final answer, or None."""
         return self.final_answers.popleft() if self.final_answers else None
 
-    def given_back(self):
+    def next_endpoint_to_close(self):
         """Returns the next endpoint whose idle connections should be closed, or None."""
         return self.endpoints_to_close.popleft() if self.endpoints_to_close else None
 
-    def said(self):
+    def next_log_line(self):
         """Returns the next log line for on-call staff, or None; destinations appear by their listed id."""
         return self._with_destination_id(self.log_lines.popleft()) if self.log_lines else None
 
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -25,7 +25,7 @@
 
 def snapshot(facade, calls):
     """The state of the decisions behind `facade`, with the calls in flight, in values that JSON can hold."""
-    module, endpoints, texts = facade.module, facade.endpoints.ident, {}
+    module, endpoints, texts = facade.decisions, facade.endpoints.ident, {}
     registry = module.registry
     held = {text.number: text for text in facade.texts.values()}
     for call in calls:
@@ -91,7 +91,7 @@
 
 def call_state(facade, call):
     """One call in flight."""
-    module = facade.module
+    module = facade.decisions
     known = next(
         (
             text.call
@@ -120,10 +120,10 @@
     """Restores the state into a new facade; `texts` are those in its journal, in the order in which they were
     accepted. Returns the calls in flight.
     """
-    module, scheduler = facade.module, facade.module.scheduler
+    module, scheduler = facade.decisions, facade.decisions.scheduler
     for one in state["dests"]:
         facade.dests(one["ident"])
-    facade.listed([Place(**place) for place in state["places"]], True)
+    facade.update_list([Place(**place) for place in state["places"]], True)
     facade.tick(now)
     module.registry.settled_at = state["calm"]
     for one in state["dests"]:
@@ -164,7 +164,7 @@
     module.departures.append(
         endpoint for endpoint in module.endpoints.values() if endpoint.ident not in endpoint.dest.endpoints
     )
-    facade.listed([], False)  # an empty change of the list, so that the next batch delivers all messages
+    facade.update_list([], False)  # an empty change of the list, so that the next batch delivers all messages
     for dest in module.dests.values():
         if not dest.idle() and dest not in module.active:
             module.active[dest] = None
@@ -174,12 +174,12 @@
 
 def restore_destination(facade, one):
     """Restores a destination and its routes."""
-    dest = facade.module.dest(facade.dests(one["ident"]))
+    dest = facade.decisions.dest(facade.dests(one["ident"]))
     write_fields(dest, DESTINATION, one)
     for state in one.get("routes", ()):
         if state["endpoint"] is not None and state["endpoint"] not in facade.endpoints.index:
             continue  # it has left the list, and its route with it
-        route = facade.module.route(
+        route = facade.decisions.route(
             dest, None if state["endpoint"] is None else facade.endpoints(state["endpoint"])
         )
         route_state.set_values(route, state)
@@ -190,7 +190,7 @@
 
 def restore_endpoint(facade, one):
     """Restores an endpoint, also one that is not listed now: it may come back."""
-    module, number = facade.module, facade.endpoints(one["ident"])
+    module, number = facade.decisions, facade.endpoints(one["ident"])
     if number not in module.endpoints:
         dest = module.dest(facade.dests(one["dest"]))
         route = module.route(dest, number if one["apart"] else None)
@@ -205,7 +205,7 @@
 
 def restore_text(facade, text, state, in_flight, ended, now):
     """Restores a text: queued, in flight, or (`ended`) known only for the sake of its call."""
-    module, dest = facade.module, facade.module.dest(facade.dests(text.dest))
+    module, dest = facade.decisions, facade.decisions.dest(facade.dests(text.dest))
     zone = None if text.ran_zone is None else facade.zones(text.ran_zone)
     event = Taken(
         text.number,
@@ -231,7 +231,7 @@
 
 def restore_call(facade, one, by_ident):
     """Restores a call in flight: for the decisions, and for the code that reads its answer."""
-    module, place = facade.module, Place(**one["place"])
+    module, place = facade.decisions, Place(**one["place"])
     number = facade.endpoints(place.ident)
     if number not in module.endpoints:
         restore_endpoint(facade, dict(ident=place.ident, dest=place.dest, zone=place.zone, apart=False))
--- a/calicopin/lifecycle/call_log.py
+++ b/calicopin/lifecycle/call_log.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from calicopin.facade import Call, End, Far, how
+from calicopin.facade import Call, CallProgress, FinalAnswer, outcome_of
 from calicopin.interface import How
 
 MAX_LOGGED_IDS = 10  # message ids in one line
@@ -38,7 +38,7 @@
 
 def log_call_failed(call: Call, answer, elapsed: float) -> None:
     """Logs a call in which at least one message was not delivered."""
-    outcomes = [how(answer, text.ident)[0] for text in call.texts]
+    outcomes = [outcome_of(answer, text.ident)[0] for text in call.texts]
     worst = next((outcome for outcome in outcomes if outcome != How.DELIVERED), None)
     if worst is None:
         return
@@ -49,7 +49,7 @@
         endpoint=call.place.ident,
         destination=call.place.dest,
         outcome=worst.name.lower(),
-        reached=Far(answer.far).name.lower(),
+        reached=CallProgress(answer.progress).name.lower(),
         status=answer.status,
         elapsed_ms=elapsed,
         wait_ms=answer.wait,
@@ -58,7 +58,7 @@
     )
 
 
-def log_given_up(end: End) -> None:
+def log_given_up(end: FinalAnswer) -> None:
     """Logs a message that ends undelivered with a notice, with the reason."""
     logger.info(
         "message {message} for destination {destination} given up after {attempts} attempts: {why}",
@@ -72,7 +72,7 @@
     )
 
 
-def log_ended(end: End, now: float) -> None:
+def log_ended(end: FinalAnswer, now: float) -> None:
     """Logs a message that ends without a notice, with the reason."""
     logger.log(
         "DEBUG" if end.delivered else "INFO",
--- a/calicopin/lifecycle/courier_subscription.py
+++ b/calicopin/lifecycle/courier_subscription.py
@@ -119,7 +119,7 @@
         event = FirstAnswer(self.loop)
         self.pending[event] = destination
         self.pending_by_destination[destination] += 1
-        self.facade.awaited += 1
+        self.facade.waiting_for_list += 1
         self.subscriber.settled(destination, event)
         return event
 
@@ -127,7 +127,7 @@
         """Removes the event: its message no longer waits."""
         if (destination := self.pending.pop(event, None)) is not None:
             self.subscriber.unsettled(destination, event)
-            self.facade.awaited -= 1
+            self.facade.waiting_for_list -= 1
             self.pending_by_destination[destination] -= 1
             if not self.pending_by_destination[destination]:
                 del self.pending_by_destination[destination]
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from calicopin.facade import Answer, Far
+from calicopin.facade import CallProgress, CallResult
 from calicopin.lifecycle import call_log
 from calicopin.send_guard import SendGuard
 from calicopin.wire.clients import Kept
@@ -52,7 +52,7 @@
         self.outstanding_calls, self.ledger = {}, ledger
         # consecutive failed turns and the time of the first; no message is accepted until a turn succeeds
         self.stuck, self.first_failure_at = 0, 0.0
-        self.guard = SendGuard(facade.module.fail_back.cold, log_broken_invariant)
+        self.guard = SendGuard(facade.decisions.fail_back.cold, log_broken_invariant)
         self.restored_state = None  # (texts, routes) of the last process, for the check after the first tick
         loop.turn = self.turn
 
@@ -87,7 +87,7 @@
             if text.verdict is not None:
                 self.notices.owe(text)
             else:
-                self.facade.hand_in(text, restored=True)
+                self.facade.add_text(text, restored=True)
         if texts:
             logger.info(
                 "{texts} texts restored, {ran} of them may have run",
@@ -107,7 +107,7 @@
 
     def lost(self, call):
         """A call whose connection was not handed over; the endpoint may have processed it."""
-        self.facade.report(call, Answer(Far.SENT), 0.0)
+        self.facade.report(call, CallResult(CallProgress.SENT), 0.0)
 
     # Interface of the acceptor, called by `wire.clients`.
 
@@ -128,7 +128,7 @@
             return 503, self.retry_after(text)
         self.journal.taken(text)
         call_log.log_accepted(text, self.loop.now())
-        self.facade.hand_in(text)
+        self.facade.add_text(text)
         self.ledger.taken += 1
         return None
 
@@ -136,8 +136,8 @@
         """The status and the retry delay (ms) for a text with an unknown destination; None if it is known."""
         if self.subscribed is not None:
             status = self.subscribed.refusal_status(text.dest)
-            return status and (status, self.facade.advice(text) if status == 503 else 0.0)
-        return None if self.facade.serves(text.dest) else ((404 if self.current else 503), 0.0)
+            return status and (status, self.facade.retry_after(text) if status == 503 else 0.0)
+        return None if self.facade.knows_destination(text.dest) else ((404 if self.current else 503), 0.0)
 
     def refusal_reason(self, text):
         """The reason why no message, or not this one, can be accepted; "" if it can."""
@@ -168,7 +168,7 @@
 
     def retry_after(self, text):
         """The milliseconds after which the client of a refused message may retry (0: no advice)."""
-        return max(self.facade.advice(text), HOLD if self.stuck else 0.0)
+        return max(self.facade.retry_after(text), HOLD if self.stuck else 0.0)
 
     def kept(self, text):
         """An event that is set once the message is in the journal or is refused."""
@@ -207,7 +207,7 @@
             )
             return
         if whole or places:
-            former, now_listed = self.facade.listed(places, whole), self.facade.places
+            former, now_listed = self.facade.update_list(places, whole), self.facade.places
             if whole or self.lines.listed is None:
                 self.lines.list(now_listed.values())
             else:
@@ -235,9 +235,9 @@
             logger.info("turns succeed again after {turns} failures", event="turn.again", turns=self.stuck)
             self.stuck, due = 0, self.loop.now()
             self.facade.pause_calls(self.list_deadline is not None)
-        while place := self.facade.given_back():
+        while place := self.facade.next_endpoint_to_close():
             self.lines.close_idle(place)
-        while line := self.facade.said():
+        while line := self.facade.next_log_line():
             logger.info("{line}", event="decided", line=line)
         waiting, self.waiting = self.waiting, []
         for event in waiting:
@@ -263,7 +263,7 @@
         # validity period may have ended meanwhile. Each text has used up one of its submits.
         delayed, self.calls = self.calls, []
         for call in delayed:
-            self.facade.report(call, Answer(Far.CALLED_OFF), 0.0)
+            self.facade.report(call, CallResult(CallProgress.CALLED_OFF), 0.0)
         self.refuse_unjournalled(now)
         # An end that is not in the journal is reported only once the message's validity has ended: before, a
         # restart might still send the message.
@@ -316,7 +316,7 @@
         if self.list_deadline is not None:
             due = min(due, self.list_deadline)
         if self.restored_state is not None:
-            self.guard.started(self.facade.unknown(*self.restored_state, now))
+            self.guard.started(self.facade.not_restored(*self.restored_state, now))
             self.restored_state = None
         for name in self.facade.over_budget():
             self.guard.over_budget(name)
@@ -333,7 +333,7 @@
         """
         now, kept = self.loop.now(), self.journal.routes.of(call.place)
         if not self.guard.may_call(call, self.facade.endpoint_of(call), kept, now):
-            self.facade.report(call, Answer(Far.CALLED_OFF), 0.0)
+            self.facade.report(call, CallResult(CallProgress.CALLED_OFF), 0.0)
             return False
         call_log.log_call_sent(call)
         outstanding = OutstandingCall(call, min(now + call.timeout, call.valid_until))
@@ -344,7 +344,7 @@
                 self.lines,
                 outstanding,
                 self.connect_timeout,
-                self.facade.still,
+                self.facade.may_still_send,
                 on_written,
                 report,
             ),
@@ -368,13 +368,13 @@
     def journal_decisions(self):
         """Writes the decisions to the journal; they take effect outside only once it holds them."""
         facade, journal, now = self.facade, self.journal, self.loop.now()
-        while back := facade.back():
+        while back := facade.next_returned_text():
             journal.back(*back)
-        while self.calling and (call := facade.pick()):
+        while self.calling and (call := facade.next_call()):
             for text in call.texts:
                 journal.sent(text, now, call.place.zone)
             self.calls.append(call)
-        while end := facade.ended():
+        while end := facade.next_final_answer():
             self.ledger.ended(end)
             if end.verdict is None:
                 call_log.log_ended(end, now)
@@ -395,7 +395,7 @@
     def run_call(self, outstanding, exchange):
         """One call as a coroutine; its texts get an outcome whatever happens."""
         call, started = outstanding.call, outstanding.began or self.loop.now()
-        answer = Answer(Far.SENT)  # after an exception the endpoint may have processed it
+        answer = CallResult(CallProgress.SENT)  # after an exception the endpoint may have processed it
         collected = False
 
         def on_written():
@@ -411,7 +411,7 @@
             answer = yield from exchange(on_written, report)
         except GeneratorExit:
             # cancelled, or garbage-collected with its loop, which may happen within any other code
-            answer, collected = Answer(outstanding.progress), not outstanding.task.finished
+            answer, collected = CallResult(outstanding.progress), not outstanding.task.finished
             raise
         except Exception as fault:
             self.loop.faults.tell(
@@ -428,7 +428,7 @@
         return self.ledger.told() | dict(
             outstanding=len(self.facade.texts),
             discovered=len(self.facade.places),
-            ejected=self.facade.avoided(),
+            ejected=self.facade.count_endpoints_in_outage(),
         )
 
     def status(self):
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -205,7 +205,7 @@
         version, places = (
             (None, runtime.subscribed.places()) if post.nodes else initial_list(post.configured_list)
         )
-        facade.listed(places, True)
+        facade.update_list(places, True)
         runtime.restore()
     if post.nodes:
         discovery = runtime.subscribed.start()
--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -45,7 +45,7 @@
             if step.closes_connections:
                 self.clients.close_between_requests()
             if step.hands_back and self.runtime.facade.texts:
-                self.runtime.facade.hand_back()
+                self.runtime.facade.nack_waiting_texts()
             yield Until(now() + POLL_INTERVAL_MS)
 
     def wait_for_request(self):
--- a/calicopin/scale/measures.py
+++ b/calicopin/scale/measures.py
@@ -13,7 +13,7 @@
 
 from calicopin import deployment_settings
 from calicopin.decisions import Courier
-from calicopin.facade import Answer, Call, Facade, Far, Place
+from calicopin.facade import Call, CallProgress, CallResult, Facade, Place
 from calicopin.interface import Entry, Listed, Taken
 from calicopin.scale.list_source import ListSize, encode, entries
 from calicopin.state.journal import Journal
@@ -94,7 +94,7 @@
 def _time_list_update(facade: Facade, now: float, changed_places: list[Place], whole: bool) -> float:
     """Processor time (ms) to take one update of the list and run the next tick."""
     began = time.process_time()
-    facade.listed(changed_places, whole)
+    facade.update_list(changed_places, whole)
     facade.tick(now)
     return (time.process_time() - began) * 1000.0
 
@@ -102,7 +102,7 @@
 def list_memory(destinations: int, seed: int) -> dict[str, float]:
     """Memory of a list including its parsed form, not only what the decisions add."""
     facade, empty = Facade(seed, settings(400), 400, 0.0), resident_bytes()
-    facade.listed(places(destinations, seed), True)
+    facade.update_list(places(destinations, seed), True)
     facade.tick(100.0)
     return {"whole": resident_bytes() - empty}
 
@@ -147,7 +147,7 @@
             now = number * 0.01
             text = make_text(number, now)
             journal.taken(text)
-            facade.hand_in(text)
+            facade.add_text(text)
             facade.tick(now)
             if number % 100 == 99:
                 journal.flush()
@@ -163,7 +163,7 @@
     Runs in virtual time; each message causes one tick when it arrives and one when its call is answered.
     """
     facade = Facade(seed, settings(100_000), 400, 0.0)
-    facade.listed(places(USED_DESTINATIONS, seed), True)
+    facade.update_list(places(USED_DESTINATIONS, seed), True)
     facade.tick(0.0)
     traffic = _TrafficRun(facade, journal)
     texts = [make_text(number, 0.0) for number in range(int(per_second * seconds))]
@@ -194,7 +194,7 @@
             )
             while self.answers and self.answers[0][0] <= now:
                 self.facade.report(
-                    self.answers.popleft()[1], Answer(Far.ANSWERED, status=200), ANSWER_DELAY_MS
+                    self.answers.popleft()[1], CallResult(CallProgress.ANSWERED, status=200), ANSWER_DELAY_MS
                 )
             while arrivals and arrivals[0][0] <= now:
                 self._submit(arrivals.popleft()[1], now)
@@ -204,20 +204,20 @@
         text.until = now + VALIDITY_S * 1000.0
         if self.journal:
             self.journal.taken(text)
-        self.facade.hand_in(text)
+        self.facade.add_text(text)
 
     def _tick(self, now: float) -> None:
         self.next_wake = self.facade.tick(now)
-        while call := self.facade.pick():
+        while call := self.facade.next_call():
             if self.journal:
                 for text in call.texts:
                     self.journal.sent(text, now, call.place.zone)
             self.answers.append((now + ANSWER_DELAY_MS, call))
-        while end := self.facade.ended():
+        while end := self.facade.next_final_answer():
             self.delivered += end.delivered
             if self.journal:
                 self.journal.over(end.text, now)
-        while self.facade.said():
+        while self.facade.next_log_line():
             pass
         if self.journal:
             self.journal.flush()
--- a/calicopin/wire/endpoints.py
+++ b/calicopin/wire/endpoints.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from calicopin.facade import Answer, Far
+from calicopin.facade import CallProgress, CallResult
 from calicopin.wire.http import NO_RESOURCES, TOO_LONG, open_connection
 from calicopin.wire.loop import AGAIN, Until
 
@@ -77,8 +77,8 @@
 def answer(head):
     """Decodes the head of an answer."""
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
-    return Answer(
-        Far.ANSWERED,
+    return CallResult(
+        CallProgress.ANSWERED,
         status=head.status_code,
         wait=parse_number(headers.get("x-retry-in-ms")) or 0.0,
         no_slot=headers.get("x-no-slot") == "1",
@@ -106,11 +106,11 @@
     def __init__(self, call, until):
         self.call, self.until, self.line, self.began, self.task = call, until, None, 0.0, None
         # progress: the outcome if it were cancelled now
-        self.progress, self.handed_over = Far.CALLED_OFF, False
+        self.progress, self.handed_over = CallProgress.CALLED_OFF, False
 
 
 def submit(loop, pool, outstanding, connect_timeout, still_wanted, on_written, report):
-    """A coroutine that makes one call; returns its outcome as an `Answer`.
+    """A coroutine that makes one call; returns its outcome as an `CallResult`.
 
     `still_wanted(call, now)` is asked again once a new connection is open: meanwhile the endpoint may have
     begun to drain, told a wait, or forgotten a reference. `on_written` is called once the last byte is
@@ -126,9 +126,11 @@
                 yield Until(loop.now() + AGAIN)
                 continue
             if not line:
-                return Answer(Far.CALLED_OFF if line is NO_RESOURCES else Far.UNCONNECTED)
+                return CallResult(
+                    CallProgress.CALLED_OFF if line is NO_RESOURCES else CallProgress.UNCONNECTED
+                )
             if not still_wanted(call, loop.now()):
-                return Answer(Far.CALLED_OFF)
+                return CallResult(CallProgress.CALLED_OFF)
         outstanding.line, outstanding.began = line, loop.now()
         head, body = encode(call, max(1.0, until - loop.now()))
         data = line.encode(head, body)
@@ -174,19 +176,21 @@
     all the same. If this process was suspended and reads such an answer only after that time, the call may or
     may not have been executed: it counts as sent, and not as a failure of the endpoint.
     """
-    line, outstanding.progress, call = outstanding.line, Far.SENT, outstanding.call
+    line, outstanding.progress, call = outstanding.line, CallProgress.SENT, outstanding.call
 
     def report_in_time(partial):
         if loop.now() < call.valid_until:
             report(partial)
 
     outcome, complete = yield from read_outcome(line, call, outstanding.until, report_in_time)
-    if outcome.far == Far.ANSWERED:
+    if outcome.progress == CallProgress.ANSWERED:
         pool.answered(call.place, loop.now() - outstanding.began)
         if outcome.status == 200 and loop.now() >= call.valid_until:
-            outcome = Answer(Far.SENT, gone=True, wait=outcome.wait, load=outcome.load)
-    elif outcome.far == Far.SENT and line.ended and not line.unread():
-        outcome.gone = pool.was_closed_before(call.place, line, loop.now() - outstanding.began)
+            outcome = CallResult(
+                CallProgress.SENT, stale_connection=True, wait=outcome.wait, load=outcome.load
+            )
+    elif outcome.progress == CallProgress.SENT and line.ended and not line.unread():
+        outcome.stale_connection = pool.was_closed_before(call.place, line, loop.now() - outstanding.began)
     return outcome, complete and line.again() and not line.has_extra_data()
 
 
@@ -195,19 +199,26 @@
     for _ in range(MAX_INTERIM_ANSWERS):
         while (status := parse_status(line.unread())) is None and not line.ended:
             if not (yield from line.read_more(until)):
-                return Answer(Far.SENT, late=True), False
+                return CallResult(CallProgress.SENT, timed_out=True), False
         if not status or status >= 200:
             break
         if not isinstance((yield from line.event(until)), h11.InformationalResponse):
-            return Answer(Far.SENT), False
+            return CallResult(CallProgress.SENT), False
     if status == 200 and len(call.texts) == 1:
         return (yield from read_delivered(line, until, report))
-    return (yield from read_complete_answer(line, call, until)) if status else (Answer(Far.SENT), False)
+    return (
+        (yield from read_complete_answer(line, call, until))
+        if status
+        else (CallResult(CallProgress.SENT), False)
+    )
 
 
 def read_delivered(line, until, report):
     """As `read_outcome` after status 200 to a single text: delivered, whatever follows the status line."""
-    outcome, deadline = Answer(Far.ANSWERED, status=200), min(until, line.loop.now() + ANSWER_REMAINDER_MS)
+    outcome, deadline = (
+        CallResult(CallProgress.ANSWERED, status=200),
+        min(until, line.loop.now() + ANSWER_REMAINDER_MS),
+    )
     event = line.parse()
     if event is h11.NEED_DATA:
         report(outcome)
@@ -226,11 +237,13 @@
     It has not been executed, but the endpoint may have answered, and a wait in its answer is heeded.
     """
     if not line.peek():
-        return Answer(Far.UNSENT)
+        return CallResult(CallProgress.UNSENT)
     outcome, _ = yield from read_complete_answer(line, call, until)
-    if outcome.far == Far.ANSWERED and (outcome.status in NOT_EXECUTED_STATUSES or outcome.status == 200):
+    if outcome.progress == CallProgress.ANSWERED and (
+        outcome.status in NOT_EXECUTED_STATUSES or outcome.status == 200
+    ):
         return outcome
-    return Answer(Far.UNSENT, wait=outcome.wait)
+    return CallResult(CallProgress.UNSENT, wait=outcome.wait)
 
 
 def read_complete_answer(line, call, until):
@@ -241,12 +254,12 @@
     deadline = min(until, line.loop.now() + ANSWER_REMAINDER_MS)
     event = yield from line.event(deadline)
     if not isinstance(event, h11.Response):
-        return Answer(Far.SENT, late=line.loop.now() >= until), False
+        return CallResult(CallProgress.SENT, timed_out=line.loop.now() >= until), False
     outcome, body = answer(event), (yield from line.body(MAX_ANSWER_BYTES, deadline))
     if body is None or body is TOO_LONG:
-        return Answer(Far.SENT, late=line.loop.now() >= until, wait=outcome.wait), False
+        return CallResult(CallProgress.SENT, timed_out=line.loop.now() >= until, wait=outcome.wait), False
     if len(call.texts) > 1 and outcome.status == 200:
-        outcome.ends = ends(body)
-        if outcome.ends is None:  # any of the texts may have been executed
-            return Answer(Far.SENT, wait=outcome.wait), False
+        outcome.text_states = ends(body)
+        if outcome.text_states is None:  # any of the texts may have been executed
+            return CallResult(CallProgress.SENT, wait=outcome.wait), False
     return outcome, True
--- a/tests/courier_helper.py
+++ b/tests/courier_helper.py
@@ -17,7 +17,7 @@
 
 def facade(now=0.0, places=None, **other):
     decisions = Facade(7, terms(**other), 8, now)
-    decisions.listed([place()] if places is None else list(places), True)
+    decisions.update_list([place()] if places is None else list(places), True)
     decisions.tick(now)
     return decisions
 
@@ -28,7 +28,7 @@
 
 def picked(decisions):
     calls = []
-    while call := decisions.pick():
+    while call := decisions.next_call():
         calls.append(call)
         for sent in call.texts:
             sent.went_out(0.0, call.place.zone)
@@ -37,7 +37,7 @@
 
 def endings(decisions):
     ends = []
-    while end := decisions.ended():
+    while end := decisions.next_final_answer():
         ends.append((end.text.ident, end.verdict))
     return ends
 
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -182,7 +182,9 @@
     many = [entry | {"id": f"s-{number}"} for number in range(1024)]
     courier.tell({"version": 4, "full": True, "servers": many})
     courier.endpoint.meet().wait(b"\xfe\xfe\xfe")
-    assert len(courier.runtime.facade.places) == len(courier.runtime.facade.module.dests[0].endpoints) == 1024
+    assert (
+        len(courier.runtime.facade.places) == len(courier.runtime.facade.decisions.dests[0].endpoints) == 1024
+    )
     assert len(checked) < 20, "their common route is checked a few times, not for each of them"
     change = {
         "version": 5,
@@ -228,7 +230,10 @@
         courier.loop.once(courier.loop.now())
     assert not courier.runtime.lines.count and not peer.wait_end() and not facade.places
     assert (
-        max(len(table) for table in (facade.endpoints.index, facade.endpoints.ident, facade.module.endpoints))
+        max(
+            len(table)
+            for table in (facade.endpoints.index, facade.endpoints.ident, facade.decisions.endpoints)
+        )
         <= 62
     )
 
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -13,7 +13,7 @@
 from helper import Clock, Listener, Peer, Rebooted, answer, client, spin, terms
 from wire_helper import Out, call, clients, request
 
-from calicopin.facade import Answer, Far, how
+from calicopin.facade import CallProgress, CallResult, outcome_of
 from calicopin.interface import How
 from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, STOP_LIMIT_MS
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
@@ -253,7 +253,13 @@
 
 
 @pytest.mark.parametrize(
-    "status,far", [(429, Far.ANSWERED), (503, Far.ANSWERED), (500, Far.UNSENT), (200, Far.ANSWERED)]
+    "status,far",
+    [
+        (429, CallProgress.ANSWERED),
+        (503, CallProgress.ANSWERED),
+        (500, CallProgress.UNSENT),
+        (200, CallProgress.ANSWERED),
+    ],
 )
 @pytest.mark.parametrize("then", ["holds", "ends"])
 def test_an_answer_that_comes_while_the_call_is_still_written_is_read(loop, status, far, then):
@@ -265,16 +271,20 @@
     if then == "ends":
         peer.sock.shutdown(socket.SHUT_WR)
     ended = exchange.end()
-    assert (ended.far, ended.wait) == (far, 700.0) and (far == Far.UNSENT or ended.status == status)
+    assert (ended.progress, ended.wait) == (far, 700.0) and (
+        far == CallProgress.UNSENT or ended.status == status
+    )
 
 
 def test_a_reset_while_the_call_is_written_counts_as_not_sent(loop):
     exchange, peer = blocked(loop, Listener(loop))
     reset(peer)
-    assert exchange.end() == Answer(Far.UNSENT)
+    assert exchange.end() == CallResult(CallProgress.UNSENT)
 
 
-@pytest.mark.parametrize("said,far", [(b"HTTP/1.1 200 OK\r\n", Far.ANSWERED), (b"HTTP/1.1 200 O", Far.SENT)])
+@pytest.mark.parametrize(
+    "said,far", [(b"HTTP/1.1 200 OK\r\n", CallProgress.ANSWERED), (b"HTTP/1.1 200 O", CallProgress.SENT)]
+)
 def test_an_answer_that_arrives_together_with_the_time_out_counts_if_its_status_line_is_complete(
     loop, said, far
 ):
@@ -289,7 +299,7 @@
     loop.now.now += 501.0
     peer.say(said)
     loop.resume(task, False)  # as the loop does if the bytes arrive after its poll
-    assert exchange.end().far == far
+    assert exchange.end().progress == far
 
 
 @pytest.mark.parametrize("texts", [1, 2])
@@ -310,12 +320,12 @@
     loop.now.now += 500.0 if late else 499.0
     ended = exchange.end()
     if late:
-        assert (ended.far, ended.gone, exchange.told) == (Far.SENT, True, [])
-        assert how(ended, outgoing.texts[0].ident) == (How.CALLED_OFF, False), (
+        assert (ended.progress, ended.stale_connection, exchange.told) == (CallProgress.SENT, True, [])
+        assert outcome_of(ended, outgoing.texts[0].ident) == (How.CALLED_OFF, False), (
             "not a failure of the endpoint, and it may have run"
         )
     else:
-        assert (ended.far, ended.status) == (Far.ANSWERED, 200)
+        assert (ended.progress, ended.status) == (CallProgress.ANSWERED, 200)
 
 
 def test_the_time_out_of_a_call_ends_with_its_first_message_however_long_a_turn_takes(tmp_path):
@@ -351,16 +361,16 @@
     else:
         loop.now.now += 501.0
     ended = exchange.end()
-    assert (ended.far, ended.wait) == (Far.SENT, 900.0)
+    assert (ended.progress, ended.wait) == (CallProgress.SENT, 900.0)
 
 
 def test_a_once_only_message_with_an_incomplete_refusal_is_not_resent_and_the_wait_applies():
     decisions = facade()
-    decisions.hand_in(text("once", 2))
+    decisions.add_text(text("once", 2))
     decisions.tick(0.0)
     (sent,) = picked(decisions)
-    decisions.report(sent, Answer(Far.SENT, wait=900.0), 50.0)
-    decisions.hand_in(text("other"))
+    decisions.report(sent, CallResult(CallProgress.SENT, wait=900.0), 50.0)
+    decisions.add_text(text("other"))
     decisions.tick(50.0)
     assert endings(decisions) == [("once", "dead")] and not picked(decisions)
     due = 50.0
@@ -392,7 +402,7 @@
     exchange = Out(loop, call(listener.address), lines)
     peer.wait(b"\x00\xff")
     peer.say(answer(200))
-    assert exchange.end().far == Far.SENT and lines.count == 0
+    assert exchange.end().progress == CallProgress.SENT and lines.count == 0
 
 
 # Discovery.
@@ -458,8 +468,8 @@
     for restored in (False, True):
         decisions = facade()
         for number in range(3):
-            decisions.hand_in(text(f"old-{number}", 1, until=4000.0), restored=restored)
-        decisions.hand_in(text("new", until=20000.0))
+            decisions.add_text(text(f"old-{number}", 1, until=4000.0), restored=restored)
+        decisions.add_text(text("new", until=20000.0))
         decisions.tick(0.0)
         calls = [sent.ident for batch in picked(decisions) for sent in batch.texts]
         ends[restored] = sorted(ident for ident, verdict in endings(decisions) if verdict), sorted(calls)
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -5,51 +5,56 @@
 from courier_helper import facade as make_facade
 from helper import terms
 
-from calicopin.facade import Answer, Facade, Far, how
+from calicopin.facade import CallProgress, CallResult, Facade, outcome_of
 from calicopin.interface import How
 
 
 @pytest.mark.parametrize(
     "answer,outcome,ended",
     [
-        (Answer(Far.CALLED_OFF), How.NOT_SENT, False),
-        (Answer(Far.UNCONNECTED), How.UNREACHED, False),
-        (Answer(Far.UNSENT), How.UNREACHED, False),
-        (Answer(Far.SENT), How.BROKEN, False),
-        (Answer(Far.SENT, gone=True), How.CALLED_OFF, False),
-        (Answer(Far.SENT, late=True), How.TIMEOUT, False),
-        (Answer(Far.ANSWERED, status=200), How.DELIVERED, True),
-        (Answer(Far.ANSWERED, status=500), How.ERROR, False),
-        (Answer(Far.ANSWERED, status=429), How.FULL, False),
-        (Answer(Far.ANSWERED, status=503), How.FULL, False),
-        (Answer(Far.ANSWERED, status=503, no_slot=True), How.NOT_SENT, False),
-        (Answer(Far.ANSWERED, status=504), How.NOT_SENT, False),
-        (Answer(Far.ANSWERED, status=410), How.NOT_SENT, True),
-        (Answer(Far.ANSWERED, status=418), How.ERROR, False),
-        (Answer(Far.ANSWERED, status=200, ends={"x": "refused"}), How.FULL, False),
-        (Answer(Far.ANSWERED, status=200, ends={"x": "over"}), How.NOT_SENT, True),
-        (Answer(Far.ANSWERED, status=200, ends={"x": "spent"}), How.NOT_SENT, False),
-        (Answer(Far.ANSWERED, status=200, ends={"x": ["odd"]}), How.ERROR, False),
-        (Answer(Far.ANSWERED, status=200, ends={}), How.ERROR, False),
+        (CallResult(CallProgress.CALLED_OFF), How.NOT_SENT, False),
+        (CallResult(CallProgress.UNCONNECTED), How.UNREACHED, False),
+        (CallResult(CallProgress.UNSENT), How.UNREACHED, False),
+        (CallResult(CallProgress.SENT), How.BROKEN, False),
+        (CallResult(CallProgress.SENT, stale_connection=True), How.CALLED_OFF, False),
+        (CallResult(CallProgress.SENT, timed_out=True), How.TIMEOUT, False),
+        (CallResult(CallProgress.ANSWERED, status=200), How.DELIVERED, True),
+        (CallResult(CallProgress.ANSWERED, status=500), How.ERROR, False),
+        (CallResult(CallProgress.ANSWERED, status=429), How.FULL, False),
+        (CallResult(CallProgress.ANSWERED, status=503), How.FULL, False),
+        (CallResult(CallProgress.ANSWERED, status=503, no_slot=True), How.NOT_SENT, False),
+        (CallResult(CallProgress.ANSWERED, status=504), How.NOT_SENT, False),
+        (CallResult(CallProgress.ANSWERED, status=410), How.NOT_SENT, True),
+        (CallResult(CallProgress.ANSWERED, status=418), How.ERROR, False),
+        (CallResult(CallProgress.ANSWERED, status=200, text_states={"x": "refused"}), How.FULL, False),
+        (CallResult(CallProgress.ANSWERED, status=200, text_states={"x": "over"}), How.NOT_SENT, True),
+        (CallResult(CallProgress.ANSWERED, status=200, text_states={"x": "spent"}), How.NOT_SENT, False),
+        (CallResult(CallProgress.ANSWERED, status=200, text_states={"x": ["odd"]}), How.ERROR, False),
+        (CallResult(CallProgress.ANSWERED, status=200, text_states={}), How.ERROR, False),
     ],
 )
 def test_the_outcome_follows_from_the_result_of_the_call(answer, outcome, ended):
-    assert how(answer, "x") == (outcome, ended)
+    assert outcome_of(answer, "x") == (outcome, ended)
 
 
 def test_texts_in_a_shared_call_have_separate_outcomes():
     facade = make_facade(places=[place(kind="many")])
     for ident in "abc":
-        facade.hand_in(text(ident))
+        facade.add_text(text(ident))
     facade.tick(0.0)
     (call,) = picked(facade)
     facade.report(
         call,
-        Answer(Far.ANSWERED, status=200, wait=900.0, ends={"a": "delivered", "b": "refused", "c": "failed"}),
+        CallResult(
+            CallProgress.ANSWERED,
+            status=200,
+            wait=900.0,
+            text_states={"a": "delivered", "b": "refused", "c": "failed"},
+        ),
         100.0,
     )
     facade.tick(100.0)
-    returned = [facade.back(), facade.back()]
+    returned = [facade.next_returned_text(), facade.next_returned_text()]
     assert endings(facade) == [("a", None)] and [(t.ident, ran) for t, ran in returned] == [
         ("b", False),
         ("c", True),
@@ -65,11 +70,11 @@
 
 def test_a_wait_in_an_answer_of_200_is_respected():
     facade = make_facade()
-    facade.hand_in(text("a"))
+    facade.add_text(text("a"))
     facade.tick(0.0)
     (call,) = picked(facade)
-    facade.report(call, Answer(Far.ANSWERED, status=200, wait=600.0), 50.0)
-    facade.hand_in(text("b"))
+    facade.report(call, CallResult(CallProgress.ANSWERED, status=200, wait=600.0), 50.0)
+    facade.add_text(text("b"))
     facade.tick(50.0)
     assert endings(facade) == [("a", None)] and not picked(facade)
     facade.tick(649.0)
@@ -79,23 +84,23 @@
 def test_a_call_is_checked_again_once_its_connection_is_established():
     """Meanwhile its endpoint may start or stop draining, a wait may begin, or a reference may expire."""
     facade = make_facade(now=1000.0, places=[place(), place("s-2")])
-    facade.hand_in(text("a", 1, ran_at=-13000.0, ran_zone="a", tries=1))
-    facade.hand_in(text("b"))
+    facade.add_text(text("a", 1, ran_at=-13000.0, ran_zone="a", tries=1))
+    facade.add_text(text("b"))
     facade.tick(1000.0)
     calls = {call.texts[0].ident: call for call in picked(facade)}
     assert (
-        facade.still(calls["a"], 1900.0)
-        and not facade.still(calls["a"], 2000.0)
-        and facade.still(calls["b"], 2000.0)
+        facade.may_still_send(calls["a"], 1900.0)
+        and not facade.may_still_send(calls["a"], 2000.0)
+        and facade.may_still_send(calls["b"], 2000.0)
     )
     for ready in (False, True):
         endpoint = calls["b"].place.ident
-        facade.listed([place(endpoint, ready=ready)], False)
+        facade.update_list([place(endpoint, ready=ready)], False)
         facade.tick(1100.0)
-        assert facade.still(calls["b"], 1100.0) is ready
-    facade.report(calls["a"], Answer(Far.ANSWERED, status=429, wait=500.0), 150.0)
+        assert facade.may_still_send(calls["b"], 1100.0) is ready
+    facade.report(calls["a"], CallResult(CallProgress.ANSWERED, status=429, wait=500.0), 150.0)
     facade.tick(1150.0)
-    assert not facade.still(calls["b"], 1600.0) and facade.still(calls["b"], 1650.0)
+    assert not facade.may_still_send(calls["b"], 1600.0) and facade.may_still_send(calls["b"], 1650.0)
 
 
 def test_no_text_is_sent_twice_when_a_shared_call_has_texts_with_different_time_outs():
@@ -103,14 +108,14 @@
     for products in ((0, 2), (2, 0)):
         facade = make_facade(places=[place(kind="many")])
         for number, product in enumerate(products):
-            facade.hand_in(text(str(number), product))
+            facade.add_text(text(str(number), product))
         next_tick = facade.tick(0.0)
         (call,) = picked(facade)
         assert len(call.texts) == 2 and call.timeout == 2000.0
         while next_tick < 9000.0:
             next_tick = facade.tick(next_tick)
         assert not picked(facade)
-        facade.report(call, Answer(Far.SENT, late=True), 2000.0)
+        facade.report(call, CallResult(CallProgress.SENT, timed_out=True), 2000.0)
         facade.tick(9000.0)
         assert [one.product for call in picked(facade) for one in call.texts] == [0]
 
@@ -122,17 +127,17 @@
     the other texts were accepted and got no final answer.
     """
     facade = make_facade(places=[place(kind="many")])
-    facade.hand_in(text("a", until=700.0))
-    facade.hand_in(text("b"))
+    facade.add_text(text("a", until=700.0))
+    facade.add_text(text("b"))
     facade.tick(0.0)
     (call,) = picked(facade)
     assert len(call.texts) == 2 and call.timeout == 700.0
-    facade.report(call, Answer(Far.SENT, late=True), 700.0)
+    facade.report(call, CallResult(CallProgress.SENT, timed_out=True), 700.0)
     facade.tick(700.0)
     assert endings(facade) == [("a", "bounced")]
     (again,) = picked(facade)
     assert [one.ident for one in again.texts] == ["b"]
-    facade.report(again, Answer(Far.ANSWERED, status=200), 100.0)
+    facade.report(again, CallResult(CallProgress.ANSWERED, status=200), 100.0)
     facade.tick(800.0)
     assert endings(facade) == [("b", None)]
 
@@ -144,13 +149,13 @@
     nacked.
     """
     facade = make_facade(now=1000.0)
-    facade.hand_in(text("resendable", 0, ran_at=10.0, ran_zone="a", tries=1))
-    facade.hand_in(text("referenced", 1, ran_at=10.0, ran_zone="a", tries=1))
-    facade.hand_in(text("forgotten", 1, until=30000.0, ran_at=-15000.0, ran_zone="a", tries=1))
-    facade.hand_in(text("once", 2, ran_at=10.0, ran_zone="a", tries=1))
-    facade.hand_in(text("fresh", 2, tries=1))
-    facade.hand_in(text("spent", 0, tries=4))
-    facade.hand_in(text("late", 0, until=900.0))
+    facade.add_text(text("resendable", 0, ran_at=10.0, ran_zone="a", tries=1))
+    facade.add_text(text("referenced", 1, ran_at=10.0, ran_zone="a", tries=1))
+    facade.add_text(text("forgotten", 1, until=30000.0, ran_at=-15000.0, ran_zone="a", tries=1))
+    facade.add_text(text("once", 2, ran_at=10.0, ran_zone="a", tries=1))
+    facade.add_text(text("fresh", 2, tries=1))
+    facade.add_text(text("spent", 0, tries=4))
+    facade.add_text(text("late", 0, until=900.0))
     facade.tick(1000.0)
     assert sorted(call.texts[0].ident for call in picked(facade)) == ["fresh", "referenced", "resendable"]
     assert sorted(endings(facade)) == [
@@ -164,10 +169,10 @@
 def test_a_key_is_blocked_for_its_settling_time_after_a_restart():
     """The last call of a key may still run, even if its text has ended and is no longer known."""
     facade = Facade(7, terms(), 8, 1000.0, restarted=True)
-    facade.listed([place()], True)
-    facade.hand_in(text("first", 2, key="van", ran_at=900.0, ran_zone="a", tries=1))
-    facade.hand_in(text("second", 2, key="van"))
-    facade.hand_in(text("free", 2))
+    facade.update_list([place()], True)
+    facade.add_text(text("first", 2, key="van", ran_at=900.0, ran_zone="a", tries=1))
+    facade.add_text(text("second", 2, key="van"))
+    facade.add_text(text("free", 2))
     next_tick = facade.tick(1000.0)
     assert [one.ident for call in picked(facade) for one in call.texts] == ["free"]
     while next_tick < 1700.0:
@@ -180,45 +185,49 @@
 def test_the_first_tick_does_not_count_as_late():
     """If it counted as late by the whole clock value, bursts of that length would be allowed."""
     facade = make_facade(now=1e9)
-    facade.hand_in(text("a", until=1e9 + 9000.0))
+    facade.add_text(text("a", until=1e9 + 9000.0))
     facade.tick(1e9)
-    assert facade.module.scheduler.lag == 0.0 and facade.module.active
+    assert facade.decisions.scheduler.lag == 0.0 and facade.decisions.active
 
 
 def test_a_submit_of_a_withdrawn_text_is_not_made():
     facade = make_facade()
-    facade.hand_in(first := text("a"))
+    facade.add_text(first := text("a"))
     facade.tick(0.0)
     facade.withdraw(first)
-    facade.hand_in(second := text("b"))
+    facade.add_text(second := text("b"))
     facade.texts.pop(second.number)
     next_tick = facade.tick(1.0)
     while next_tick < 3000.0:
         next_tick = facade.tick(next_tick)
     assert endings(facade) == [("a", None)] and [call.texts[0].ident for call in picked(facade)] == ["a"]
-    assert facade.module.pool.free == 7  # only the call that is out holds a slot
+    assert facade.decisions.pool.free == 7  # only the call that is out holds a slot
 
 
 def test_a_full_courier_gives_advice_when_to_retry():
     facade = make_facade()
-    facade.hand_in(text("a"))
+    facade.add_text(text("a"))
     facade.tick(0.0)
-    facade.report(picked(facade)[0], Answer(Far.ANSWERED, status=429, wait=900.0), 100.0)
+    facade.report(picked(facade)[0], CallResult(CallProgress.ANSWERED, status=429, wait=900.0), 100.0)
     facade.tick(100.0)
     for number in range(40):
-        facade.hand_in(text(str(number), dest=9))
-    assert facade.full() and facade.advice(text("b")) == 2000.0 and facade.advice(text("c", dest=9)) == 0.0
+        facade.add_text(text(str(number), dest=9))
+    assert (
+        facade.full()
+        and facade.retry_after(text("b")) == 2000.0
+        and facade.retry_after(text("c", dest=9)) == 0.0
+    )
 
 
 def test_an_expired_text_is_not_in_a_call_that_connects_later():
     """The text had its final answer and was then sent with the others in the call."""
     facade = make_facade(places=[place(kind="many")])
-    facade.hand_in(text("a", until=700.0))
-    facade.hand_in(text("b"))
+    facade.add_text(text("a", until=700.0))
+    facade.add_text(text("b"))
     facade.tick(0.0)
     (call,) = picked(facade)
-    assert not facade.still(call, 700.0)
-    facade.report(call, Answer(Far.UNCONNECTED), 700.0)
+    assert not facade.may_still_send(call, 700.0)
+    facade.report(call, CallResult(CallProgress.UNCONNECTED), 700.0)
     next_tick = facade.tick(700.0)
     assert endings(facade) == [("a", "bounced")]
     while next_tick < 3000.0 and not facade.calls:
@@ -229,8 +238,8 @@
 def test_a_shared_call_ends_with_the_time_out_of_a_text_in_order():
     """The settling time of its key counted from then, while the call was still in progress."""
     facade = make_facade(places=[place(kind="many")])
-    facade.hand_in(text("a", product=2, until=19000.0, key="k"))
-    facade.hand_in(text("b", product=2))
+    facade.add_text(text("a", product=2, until=19000.0, key="k"))
+    facade.add_text(text("b", product=2))
     facade.tick(0.0)
     (call,) = picked(facade)
     assert len(call.texts) == 2 and call.timeout == pytest.approx(2000.0)
@@ -239,7 +248,7 @@
 def endpoints_to_close(facade, *results):
     """Makes one call per (destination, result); returns endpoints whose idle connections are to be closed."""
     for now, (dest, answer) in enumerate(results):
-        facade.hand_in(text(f"t-{dest}", dest=dest, until=900.0))
+        facade.add_text(text(f"t-{dest}", dest=dest, until=900.0))
         facade.tick(float(now))
         for call in picked(facade):
             facade.report(call, answer, 5.0)
@@ -247,7 +256,7 @@
     endpoints = set()
     for now in range(len(results), 200):
         facade.tick(float(now))
-        while (endpoint := facade.given_back()) is not None:
+        while (endpoint := facade.next_endpoint_to_close()) is not None:
             endpoints.add(endpoint.ident)
     return endpoints
 
@@ -255,12 +264,16 @@
 def test_idle_connections_are_closed_for_a_kind_that_refused_a_connection():
     """The decisions name the endpoints, the connection pool closes their connections."""
     facade = make_facade(places=[place("s-1"), place("s-2", dest=8), place("s-3", dest=9, kind="many")])
-    delivered = Answer(Far.ANSWERED, status=200)
-    to_close = endpoints_to_close(facade, (7, Answer(Far.UNCONNECTED)), (8, delivered), (9, delivered))
+    delivered = CallResult(CallProgress.ANSWERED, status=200)
+    to_close = endpoints_to_close(
+        facade, (7, CallResult(CallProgress.UNCONNECTED)), (8, delivered), (9, delivered)
+    )
     assert "s-2" in to_close and "s-3" not in to_close
 
 
 def test_no_idle_connection_is_closed_if_the_settings_disable_it():
     ceilings = terms()["ceilings"] | {"giveBack": False}
     facade = make_facade(places=[place("s-1"), place("s-2", dest=8)], ceilings=ceilings)
-    assert not endpoints_to_close(facade, (7, Answer(Far.UNCONNECTED)), (8, Answer(Far.ANSWERED, status=200)))
+    assert not endpoints_to_close(
+        facade, (7, CallResult(CallProgress.UNCONNECTED)), (8, CallResult(CallProgress.ANSWERED, status=200))
+    )
--- a/tests/test_list_cost.py
+++ b/tests/test_list_cost.py
@@ -14,7 +14,7 @@
 from helper import PRODUCT, DecisionsFixture, submits
 
 from calicopin.decisions import Courier, Endpoint, Route
-from calicopin.facade import Answer, Far
+from calicopin.facade import CallProgress, CallResult
 from calicopin.interface import (
     Entry,
     How,
@@ -212,7 +212,7 @@
         lines.list(courier_facade.places.values())
 
         def change(places, courier_facade=courier_facade, lines=lines):
-            former = courier_facade.listed(places, False)
+            former = courier_facade.update_list(places, False)
             now = [courier_facade.places[number] for number in former if number in courier_facade.places]
             lines.change([one for one in former.values() if one], now)
             courier_facade.tick(10.0)
@@ -292,7 +292,7 @@
 
 def kept_objects(courier_facade):
     """How many objects are kept for destinations and endpoints, in all places."""
-    module = courier_facade.module
+    module = courier_facade.decisions
     return dict(
         destinations=len(module.dests),
         endpoints=len(module.endpoints),
@@ -325,30 +325,34 @@
     before = kept_objects(courier_facade)
     for group in range(100):
         dests = range(10 + 100 * group, 110 + 100 * group)
-        courier_facade.listed([listed_place(4 * dest + some) for dest in dests for some in (0, 1)], False)
-        courier_facade.listed([listed_place(4 * dest, ready=False, left=True) for dest in dests[:10]], False)
+        courier_facade.update_list(
+            [listed_place(4 * dest + some) for dest in dests for some in (0, 1)], False
+        )
+        courier_facade.update_list(
+            [listed_place(4 * dest, ready=False, left=True) for dest in dests[:10]], False
+        )
         if group % 10 == 0:
             for dest in dests[:5]:
-                courier_facade.hand_in(text(f"{group}-{dest}", dest=dest, until=now + 900.0))
+                courier_facade.add_text(text(f"{group}-{dest}", dest=dest, until=now + 900.0))
         now = advance(courier_facade, now, 1000.0)
         for dest in dests:
             courier_facade.release(dest)
-        while call := courier_facade.pick():
-            courier_facade.report(call, Answer(Far.ANSWERED, status=200), 20.0)
+        while call := courier_facade.next_call():
+            courier_facade.report(call, CallResult(CallProgress.ANSWERED, status=200), 20.0)
         now = advance(courier_facade, now, 1000.0)
     now = advance(courier_facade, now, 2.0 * Route.RETENTION_MS)
-    courier_facade.listed([], False)
+    courier_facade.update_list([], False)
     now = advance(courier_facade, now, 1000.0)
     assert kept_objects(courier_facade) == before
-    assert courier_facade.serves(0) and not courier_facade.serves(10)
+    assert courier_facade.knows_destination(0) and not courier_facade.knows_destination(10)
 
 
 def test_a_destination_that_comes_back_is_served():
     courier_facade = facade(places=[listed_place(1), listed_place(40)])
     courier_facade.release(10)
     now = advance(courier_facade, 0.0, 3.0 * Route.RETENTION_MS)
-    assert not courier_facade.serves(10)
-    courier_facade.listed([listed_place(40)], False)
-    courier_facade.hand_in(text("a", dest=10, until=now + 5000.0))
+    assert not courier_facade.knows_destination(10)
+    courier_facade.update_list([listed_place(40)], False)
+    courier_facade.add_text(text("a", dest=10, until=now + 5000.0))
     courier_facade.tick(now)
-    assert courier_facade.pick().place.ident == "s-40"
+    assert courier_facade.next_call().place.ident == "s-40"
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -112,7 +112,7 @@
     "status,event,level,why",
     [
         (200, "message.delivered", "DEBUG", "delivered to s-1"),
-        (410, "message.over", "INFO", "over, says s-1"),
+        (410, "message.over", "INFO", "ended by s-1"),
     ],
 )
 def test_a_message_that_ends_without_a_notice_is_logged(tmp_path, status, event, level, why):
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -25,7 +25,7 @@
 
 def one_call(**other):
     courier_facade = facade()
-    courier_facade.hand_in(text("t1", **other))
+    courier_facade.add_text(text("t1", **other))
     courier_facade.tick(10.0)
     (call,) = picked(courier_facade)
     return courier_facade, call
@@ -128,10 +128,10 @@
     """The check took a destination that had warmed up by then for a forgotten outage."""
     courier_facade = facade(now=20000.0)
     cold = {(7, None): {"mode": "cold", "warm_at": 21000.0}}
-    assert courier_facade.unknown([], cold, 20000.0) == ["destination 7"]
-    assert courier_facade.unknown([], cold, 21000.0) == []
-    assert courier_facade.unknown([], {(7, None): OUTAGE}, 21000.0) == ["destination 7"]
-    assert courier_facade.unknown([], {(9, "s-9"): OUTAGE}, 21000.0) == ["destination 9 endpoint s-9"]
+    assert courier_facade.not_restored([], cold, 20000.0) == ["destination 7"]
+    assert courier_facade.not_restored([], cold, 21000.0) == []
+    assert courier_facade.not_restored([], {(7, None): OUTAGE}, 21000.0) == ["destination 7"]
+    assert courier_facade.not_restored([], {(9, "s-9"): OUTAGE}, 21000.0) == ["destination 9 endpoint s-9"]
 
 
 def test_operators_read_the_counts(tmp_path):
@@ -180,8 +180,8 @@
     first.endpoint.meet().wait(b"\r\n\r\n")
     first.kill()
     second = CourierFixture(tmp_path, endpoint=first.endpoint)
-    spin(second.loop, lambda: second.runtime.facade.module.dests)
-    route = second.runtime.facade.module.dests[0].routes[None]
+    spin(second.loop, lambda: second.runtime.facade.decisions.dests)
+    route = second.runtime.facade.decisions.dests[0].routes[None]
     assert route.slow_start.failures == 1
     assert client(second.loop, second.listen) is not None
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -204,7 +204,7 @@
 
 
 def test_a_once_only_message_that_may_have_run_is_not_nacked_by_a_drain(courier):
-    products = courier.runtime.facade.module.products
+    products = courier.runtime.facade.decisions.products
     products[2] = replace(products[2], sla=10000.0)  # so that the call times out only after the hand-back
     courier.post("once", "once")
     peer = courier.endpoint.meet()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 from helper import terms
 
 from calicopin.deployment_settings import check
-from calicopin.facade import Answer, Facade, Far
+from calicopin.facade import CallProgress, CallResult, Facade
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.start import main, posted
 
@@ -121,24 +121,24 @@
     """
     check(settings := changed_settings(path, value))
     facade = Facade(7, settings, 8, 0.0)
-    facade.listed([place()], True)
+    facade.update_list([place()], True)
     for number in range(6):
-        facade.hand_in(text(str(number), number % 3))
+        facade.add_text(text(str(number), number % 3))
     results = [
-        Answer(Far.SENT, late=True),
-        Answer(Far.ANSWERED, status=429, wait=100.0),
-        Answer(Far.UNCONNECTED),
-        Answer(Far.ANSWERED, status=503),
-        Answer(Far.ANSWERED, status=200),
+        CallResult(CallProgress.SENT, timed_out=True),
+        CallResult(CallProgress.ANSWERED, status=429, wait=100.0),
+        CallResult(CallProgress.UNCONNECTED),
+        CallResult(CallProgress.ANSWERED, status=503),
+        CallResult(CallProgress.ANSWERED, status=200),
     ]
     ends, now = [], 0.0
     for step in range(500):
         facade.tick(now)
-        while call := facade.pick():
+        while call := facade.next_call():
             for one in call.texts:
                 one.went_out(now, call.place.zone)
             facade.report(call, results[step % 5], 50.0)
-        while end := facade.ended():
+        while end := facade.next_final_answer():
             ends.append(end.text.ident)
         now += 50.0
     assert sorted(ends) == [str(number) for number in range(6)]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,7 +8,7 @@
 from helper import Clock, free_address
 
 from calicopin.deployment_settings import check, load_columns, partners, product, pushed
-from calicopin.facade import Answer, Facade, Far
+from calicopin.facade import CallProgress, CallResult, Facade
 from calicopin.interface import Repeat
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.start import Post, build
@@ -77,18 +77,18 @@
     settings = settings_of(site)
     check(settings)
     facade = Facade(7, settings, 8, 0.0)
-    facade.listed([place()], True)
+    facade.update_list([place()], True)
     assert len(partners(settings)) >= len(site["fam"]["kind"]) and 20 <= settings["groupSize"] <= 30
     for number, grade in enumerate(settings["grades"]):
-        facade.hand_in(text(str(number), number, until=grade["giveUp"] * 1000.0))
+        facade.add_text(text(str(number), number, until=grade["giveUp"] * 1000.0))
     ends, now = [], 0.0
     while now < 30000.0:
         facade.tick(now)
-        while call := facade.pick():
+        while call := facade.next_call():
             for one in call.texts:
                 one.went_out(now, call.place.zone)
-            facade.report(call, Answer(Far.SENT, late=True), 50.0)
-        while end := facade.ended():
+            facade.report(call, CallResult(CallProgress.SENT, timed_out=True), 50.0)
+        while end := facade.next_final_answer():
             ends.append((end.text.product, end.verdict))
         now += 25.0
     once = {
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -6,7 +6,7 @@
 
 from calicopin import route_state
 from calicopin.decisions import Courier
-from calicopin.facade import Answer, Far
+from calicopin.facade import CallProgress, CallResult
 from calicopin.handover.state import snapshot
 from calicopin.interface import (
     CourierSettings,
@@ -286,10 +286,10 @@
 def test_the_stored_state_of_a_destination_is_dropped_with_it():
     """The records of a released destination would stay in the journal for good."""
     courier_facade = facade()
-    courier_facade.hand_in(text("t1"))
+    courier_facade.add_text(text("t1"))
     courier_facade.tick(10.0)
     (call,) = picked(courier_facade)
-    courier_facade.report(call, Answer(Far.ANSWERED, status=429), 40.0)
+    courier_facade.report(call, CallResult(CallProgress.ANSWERED, status=429), 40.0)
     courier_facade.tick(50.0)
     assert [key[:2] for key in courier_facade.changed_routes()] == [(7, None)]
     courier_facade.withdraw(next(iter(courier_facade.texts.values())))
@@ -349,10 +349,10 @@
 
 def test_a_handover_sends_the_decisions_under_their_outer_names():
     courier_facade = facade()
-    courier_facade.hand_in(text("t1"))
+    courier_facade.add_text(text("t1"))
     courier_facade.tick(10.0)
     (call,) = picked(courier_facade)
-    (known,) = courier_facade.module.dests.values()
+    (known,) = courier_facade.decisions.dests.values()
     known.max_bundle, known.bundle_size, known.arrivals, known.arrival_rate = 5, 3, 2, 0.25
     endpoint = courier_facade.endpoint_of(call)
     endpoint.consecutive_failures, endpoint.retry_at = 4, 70.0
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -76,7 +76,7 @@
 
     @property
     def awaited(self):
-        return self.runtime.facade.awaited
+        return self.runtime.facade.waiting_for_list
 
     def first_request(self, *destinations):
         """The first request of a courier started with these destinations."""
@@ -196,7 +196,7 @@
     peer = courier.send_message("b", dest=99)
     heard = peer.wait(b"\r\n\r\n")
     assert heard.split()[1] == b"503" and b"Retry-After: 2.000" in heard
-    assert not courier.runtime.facade.dests.index and not courier.runtime.facade.module.dests
+    assert not courier.runtime.facade.dests.index and not courier.runtime.facade.decisions.dests
     waiting[0].sock.close()
     spin(courier.loop, lambda: courier.awaited == 39)
     waiting.append(courier.send_message("c", dest=99))
@@ -329,8 +329,8 @@
         courier.node.respond(asked, 3)
         courier.advance(2000.0)
         passed += 2000.0
-    assert not facade.places and not facade.dests.index and not facade.module.dests
-    assert not facade.module.endpoints and not courier.runtime.lines.listed
+    assert not facade.places and not facade.dests.index and not facade.decisions.dests
+    assert not facade.decisions.endpoints and not courier.runtime.lines.listed
     for number in range(2):
         _, asked = courier.node.next_request()
         courier.node.respond(asked, 4 + number)
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -35,7 +35,7 @@
     """The counters of endpoint failures, which a failed call would change."""
     return [
         (each.consecutive_failures, each.route.slow_start.failures)
-        for each in courier.runtime.facade.module.endpoints.values()
+        for each in courier.runtime.facade.decisions.endpoints.values()
     ]
 
 
--- a/tests/test_wire_calls.py
+++ b/tests/test_wire_calls.py
@@ -7,7 +7,7 @@
 from helper import Listener, answer, free_address, spin
 from wire_helper import Out, call
 
-from calicopin.facade import Far
+from calicopin.facade import CallProgress
 from calicopin.state.connections import Lines
 
 
@@ -20,7 +20,11 @@
     assert b"X-Timeout: 0.500" in received and b"Idempotency-Key" not in received
     peer.say(answer(200, b"fine", X_Server_Load='{"x0":0.4,"x1":25}'))
     result = out.end()
-    assert (result.far, result.status, result.load) == (Far.ANSWERED, 200, {"x0": 0.4, "x1": 25.0})
+    assert (result.progress, result.status, result.load) == (
+        CallProgress.ANSWERED,
+        200,
+        {"x0": 0.4, "x1": 25.0},
+    )
     again = Out(loop, call(listener.address), out.lines)
     assert peer.wait(b"\x00\xff")
     peer.say(answer(429, X_Retry_In_Ms="640", X_Server_Load="broken"))
@@ -29,14 +33,18 @@
 
 
 def test_a_refused_connection_counts_as_unconnected(loop):
-    assert Out(loop, call(free_address())).end().far == Far.UNCONNECTED
+    assert Out(loop, call(free_address())).end().progress == CallProgress.UNCONNECTED
 
 
 def test_a_call_no_longer_wanted_once_connected_is_not_sent(loop):
     listener = Listener(loop)
     out = Out(loop, call(listener.address))
     out.wanted = False
-    assert out.end().far == Far.CALLED_OFF and not listener.meet().wait_end() and out.lines.used == 0
+    assert (
+        out.end().progress == CallProgress.CALLED_OFF
+        and not listener.meet().wait_end()
+        and out.lines.used == 0
+    )
 
 
 def test_a_call_whose_connection_breaks_after_sending_is_not_sent_again(loop):
@@ -45,7 +53,7 @@
     peer = listener.meet()
     peer.wait(b"\x00\xff")
     peer.sock.close()
-    assert out.end().far == Far.SENT and not out.answer.late and out.lines.count == 0
+    assert out.end().progress == CallProgress.SENT and not out.answer.timed_out and out.lines.count == 0
     with pytest.raises(AssertionError):
         spin(loop, lambda: bool(peer_waiting(listener)), passes=20)
 
@@ -72,7 +80,10 @@
             loop.now.now += 700.0 if lines.trusted_idle_ms > 1000.0 else 300.0
         else:
             peer.sock.close()
-            assert (out.end().far, out.answer.gone) == (Far.SENT, gone) and lines.trusted_idle_ms == 350.0
+            assert (out.end().progress, out.answer.stale_connection) == (
+                CallProgress.SENT,
+                gone,
+            ) and lines.trusted_idle_ms == 350.0
     assert not lines.take(call(listener.address).place, loop.now())
 
 
@@ -83,7 +94,7 @@
     peer.wait(b"\x00\xff")
     peer.say(b"HTTP/1.1 500 X\r\n")
     loop.now.now += 501.0
-    assert out.end().late and out.answer.far == Far.SENT
+    assert out.end().timed_out and out.answer.progress == CallProgress.SENT
     peer.wait_end()
 
 
@@ -112,7 +123,7 @@
     for _ in range(20):
         loop.once(loop.now())
     loop.now.now += 501.0
-    assert out.end().far == Far.SENT and out.lines.count == 0 and not out.told
+    assert out.end().progress == CallProgress.SENT and out.lines.count == 0 and not out.told
     peer.wait_end()
 
 
@@ -136,9 +147,14 @@
     peer.wait(b"\x00\xff")
     peer.say(b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK" + rest)
     spin(loop, lambda: out.told or out.answer)
-    assert all((result.far, result.status) == (Far.ANSWERED, 200) for result in out.told)
+    assert all((result.progress, result.status) == (CallProgress.ANSWERED, 200) for result in out.told)
     loop.now.now += 501.0
-    assert (out.end().far, out.answer.status, out.lines.count, out.lines.used) == (Far.ANSWERED, 200, 0, 0)
+    assert (out.end().progress, out.answer.status, out.lines.count, out.lines.used) == (
+        CallProgress.ANSWERED,
+        200,
+        0,
+        0,
+    )
     peer.wait_end()
 
 
@@ -176,7 +192,7 @@
     out, late = Out(loop, call(listener.address)), Out(loop, call(listener.address, timeout=150.0))
     spin(loop, lambda: len(loop.due) == 2)
     loop.now.now += 100.0
-    assert late.end().far == Far.CALLED_OFF and not out.answer
+    assert late.end().progress == CallProgress.CALLED_OFF and not out.answer
     monkeypatch.setattr(socket, "socket", sock)
     loop.now.now += 100.0
     listener.meet().say(answer(200))
@@ -208,7 +224,7 @@
     peer.say(
         answer(200, b'[{"id":"id0","state":"delivered"},{"id":"id1","state":"refused"}]', X_Retry_In_Ms="90")
     )
-    assert out.end().ends == {"id0": "delivered", "id1": "refused"} and out.answer.wait == 90.0
+    assert out.end().text_states == {"id0": "delivered", "id1": "refused"} and out.answer.wait == 90.0
 
 
 @pytest.mark.parametrize("body", [b"", b"{}x", b"[1]", b'[{"id":[],"state":1}]'])
@@ -218,4 +234,4 @@
     peer = listener.meet()
     peer.wait(b"]")
     peer.say(answer(200, body))
-    assert out.end().far == Far.SENT
+    assert out.end().progress == CallProgress.SENT
