--- a/calicopin/admin/server.py
+++ b/calicopin/admin/server.py
@@ -8,7 +8,7 @@
 import h11
 from loguru import logger
 
-from calicopin.system import patiently
+from calicopin.system import call_with_retries
 from calicopin.wire.http import TOO_LONG, Line, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Until
 
@@ -30,7 +30,10 @@
         self.loop, self.handlers, self.max_connections, self.connections = loop, handlers, max_connections, {}
         host, _, port = address.rpartition(":")
         system = loop.system
-        self.listener, self.last_refusal_logged = patiently(system, system.listen, host, int(port)), -FOREVER
+        self.listener, self.last_refusal_logged = (
+            call_with_retries(system, system.listen, host, int(port)),
+            -FOREVER,
+        )
         self.accepting = loop.keep(self.accept, ahead=True)
 
     def accept(self):
--- a/calicopin/configuration/read.py
+++ b/calicopin/configuration/read.py
@@ -14,7 +14,7 @@
 
 from calicopin.configuration import model
 from calicopin.configuration.model import VERSION, Configuration
-from calicopin.system_errors import of_a_moment
+from calicopin.system_errors import is_transient_file_error
 
 MAX_FILE_BYTES = 4 << 20  # a larger file is not a configuration
 MAX_INCLUDE_DEPTH = 8  # also ends a cycle of includes
@@ -99,7 +99,7 @@
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        error_class = TemporarilyUnreadableError if of_a_moment(error) else UnusableError
+        error_class = TemporarilyUnreadableError if is_transient_file_error(error) else UnusableError
         raise error_class(
             [Finding(path, error.strerror or "cannot be read", "check the path and its permissions")]
         ) from error
--- a/calicopin/decisions.py
+++ b/calicopin/decisions.py
@@ -27,26 +27,26 @@
 
     def __init__(self, event, dest, product, accepted_at):
         self.ident, self.dest, self.product, self.tries = event.text, dest, product, event.tries
-        self.key, self.accepted_at, self.until = (
+        self.key, self.accepted_at, self.valid_until = (
             event.key if product.in_order else None,
             accepted_at,
             event.valid_until,
         )
-        self.call, self.ran_at, self.ran_zone, self.over = None, event.ran_at, event.ran_zone, False
+        self.call, self.ran_at, self.ran_zone, self.finished = None, event.ran_at, event.ran_zone, False
         self.restored = event.restored
 
-    def last_submit(self):
+    def submit_deadline(self):
         """The time after which no submit is allowed, so that the text never takes effect twice."""
         if self.ran_at is None or self.product.repeat == Repeat.RESENDABLE:
-            return self.until
+            return self.valid_until
         once_only = self.product.repeat == Repeat.ONCE_ONLY
-        return -1.0 if once_only else min(self.until, self.ran_at + self.product.memory)
+        return -1.0 if once_only else min(self.valid_until, self.ran_at + self.product.memory)
 
     def revenue_share(self, at):
         """The share of the revenue, 0 to 1, that a delivery at the time `at` (ms) still earns."""
-        product, late_by = self.product, at - (self.until - self.product.validity + self.product.sla)
-        if late_by <= 0.0 or at >= self.until:
-            return float(at < self.until)
+        product, late_by = self.product, at - (self.valid_until - self.product.validity + self.product.sla)
+        if late_by <= 0.0 or at >= self.valid_until:
+            return float(at < self.valid_until)
         if product.late_halves:
             return max(product.late_revenue, 0.5 ** (late_by / product.sla))
         return 1.0 - (1.0 - product.late_revenue) * late_by / (product.validity - product.sla)
@@ -164,7 +164,7 @@
             if text.product.repeat == Repeat.ONCE_ONLY:  # a time-out ends it: not while it earns in full
                 usual_timeout = max(usual_timeout, text.product.sla)
             timeout = min(
-                text.until - now,
+                text.valid_until - now,
                 max(usual_timeout, 2.0 * route.longest_timeout) if patient else usual_timeout,
             )
             self.scheduler.actions.append(Submit(text.ident, self.ident, max(1.0, timeout)))
@@ -187,9 +187,9 @@
             self.idle_since = self.scheduler.now
             if self.dest.closes_idle:
                 self.keep_open_until = self.idle_since + max(route.usual_latency, self.dest.tick)
-                self.scheduler.later(self.keep_open_until, self, "close_idle")
+                self.scheduler.schedule(self.keep_open_until, self, "close_idle")
                 if (idle_limit := self.kind.current_idle_limit(self.idle_since)) < float("inf"):
-                    self.scheduler.later(self.idle_since + idle_limit, self, "close_idle")
+                    self.scheduler.schedule(self.idle_since + idle_limit, self, "close_idle")
         if first_of_call and event.limit is not None:
             route.note_limit(event.limit / 1000.0, event.left or 0.0, call.size)
         if outcome == How.UNREACHED:
@@ -221,7 +221,7 @@
             self.kind.note_stale_connection(self.scheduler, self.suspect_idle[0])
             self.suspect_idle = (0.0, self.scheduler.now)
         if event.wait > 0.0:
-            route.halt(event.wait)
+            route.apply_wait(event.wait)
         if first_of_outcome and outcome == How.DELIVERED:
             route.delivered(event.elapsed)
             self.dest.bundle_size = min(self.dest.max_bundle, self.dest.bundle_size + 1)
@@ -288,11 +288,11 @@
     def on_submit_ended(self, text, event):
         """A submit has ended: the text is finished, waits for its next submit, or is given up."""
         self.scheduler.post(self.registry, "settle", text, event.how)
-        if event.ended or text.over:
+        if event.ended or text.finished:
             self.scheduler.post(self.registry, "withdrawn", text.ident)
         elif text.tries >= self.max_attempts:
             self.scheduler.post(self.registry, "give_up", text, 0.0, "no attempts left")
-        elif self.scheduler.now >= min(text.until - self.tick, text.last_submit()):
+        elif self.scheduler.now >= min(text.valid_until - self.tick, text.submit_deadline()):
             self.scheduler.post(self.registry, "give_up", text, 0.0, "no time left to repeat it")
         else:
             at = next(
@@ -300,8 +300,8 @@
                 len(self.queue),
             )
             self.queue.insert(at, text)
-            self.scheduler.later(
-                min(text.until - 2 * self.tick, text.last_submit()), self.registry, "lapse", text
+            self.scheduler.schedule(
+                min(text.valid_until - 2 * self.tick, text.submit_deadline()), self.registry, "expire", text
             )
         self.on_dispatch()
 
@@ -343,7 +343,7 @@
 
     def expected_answers(self):
         """Yields each waiting text with the time (ms) at which its answer can be expected."""
-        rate = max((route.speed() or 0.0 for route in self.listed_routes()), default=0.0)
+        rate = max((route.allowed_rate() or 0.0 for route in self.listed_routes()), default=0.0)
         at, interval = (
             self.next_call_at() + self.usual_latency(),
             1.0 / rate / min(self.bundle_size, self.max_bundle) if rate else 0.0,
@@ -386,7 +386,7 @@
 
     def next_text(self):
         """The first text in the queue that may go now, or None."""
-        return next((text for text in self.queue if self.registry.turn(text)), None)
+        return next((text for text in self.queue if self.registry.may_go(text)), None)
 
     def choose_endpoint(self, text):
         """Draws one of the available endpoints, or returns None. Recent failures and calls in flight lower an
@@ -424,7 +424,7 @@
                 route.demand_waited = True
             if not self.scheduler.now < self.dispatch_at <= opens:
                 self.dispatch_at = max(opens, self.scheduler.now + self.tick)
-                self.scheduler.later(self.dispatch_at, self, "dispatch")
+                self.scheduler.schedule(self.dispatch_at, self, "dispatch")
             return
         self.slot_requested = True
         revenue_rate = (
@@ -460,7 +460,7 @@
         others = (
             other
             for other in self.queue
-            if other is not head and other.ran_at is None and self.registry.turn(other)
+            if other is not head and other.ran_at is None and self.registry.may_go(other)
         )
         texts = [head, *islice(others, min(self.bundle_size, self.max_bundle) - 1)]
         for text in texts:
@@ -528,7 +528,9 @@
         self.texts[text.ident] = text
         if text.key is not None:
             self.keys.setdefault(text.key, deque()).append(text)
-        self.scheduler.later(min(text.until - 2 * self.tick, text.last_submit()), self, "lapse", text)
+        self.scheduler.schedule(
+            min(text.valid_until - 2 * self.tick, text.submit_deadline()), self, "expire", text
+        )
         self.scheduler.post(text.dest, "take", text)
         if len(self.texts) >= self.capacity - max(1, self.capacity // 20):
             self.scheduler.post(self, "shed")
@@ -538,7 +540,7 @@
         the oldest text in its queue that is worth no more.
         """
         dests = dict.fromkeys(
-            waiting.dest for waiting in self.texts.values() if waiting.call is None and not waiting.over
+            waiting.dest for waiting in self.texts.values() if waiting.call is None and not waiting.finished
         )
         expected = [
             entry for dest in dests for entry in dest.expected_answers() if not entry[0].is_restored_untried()
@@ -553,15 +555,15 @@
                 for text in queue
                 if text.product.revenue <= least.product.revenue and not text.is_restored_untried()
             )
-            self.on_lapse(oldest, at - self.scheduler.now, "store nearly full")
+            self.on_expire(oldest, at - self.scheduler.now, "store nearly full")
 
-    def turn(self, text):
+    def may_go(self, text):
         """Whether a text may go now. In the order of its key it has to be the first unfinished text, and
         submits of earlier ones must have had their settle time.
         """
         return (
-            not text.over
-            and self.scheduler.now < text.last_submit()
+            not text.finished
+            and self.scheduler.now < text.submit_deadline()
             and (
                 text.key is None
                 or (
@@ -576,7 +578,7 @@
         """A submit has ended that may still run: the texts behind it wait for the settle time."""
         if text.key is not None and how in (How.TIMEOUT, How.BROKEN, How.CALLED_OFF):
             self.settling[text.key] = (self.scheduler.now + self.settle, text)
-            self.scheduler.later(self.scheduler.now + self.settle, self, "key_settled", text.key)
+            self.scheduler.schedule(self.scheduler.now + self.settle, self, "key_settled", text.key)
 
     def on_key_settled(self, key):
         """The settle time of a key has passed: its next text may go."""
@@ -598,14 +600,14 @@
             else:
                 del self.keys[text.key]
 
-    def on_lapse(self, text, stay_away=None, why="no time left to send it"):
+    def on_expire(self, text, stay_away=None, why="no time left to send it"):
         """Gives up a waiting text once it has no time left for a submit or, with `stay_away` (ms) given, at
         once: nacked if that is safe, with the advice to stay away for so long.
         """
         due = stay_away is not None or self.scheduler.now >= min(
-            text.until - 2 * self.tick, text.last_submit()
+            text.valid_until - 2 * self.tick, text.submit_deadline()
         )
-        if due and text.call is None and not text.over:
+        if due and text.call is None and not text.finished:
             self.scheduler.post(text.dest, "remove", text)
             self.on_give_up(text, stay_away or 0.0, why)
 
@@ -613,8 +615,8 @@
         """Sends the final answer: a nack with the advice to stay away for so long (ms) where that is safe,
         undeliverable otherwise.
         """
-        if not text.over:
-            text.over, advice = True, min(stay_away, self.max_retry_after)
+        if not text.finished:
+            text.finished, advice = True, min(stay_away, self.max_retry_after)
             self.scheduler.actions.append(
                 Nack(text.ident, advice, why) if text.nackable() else Undeliverable(text.ident, why)
             )
@@ -624,7 +626,7 @@
         """The text needs no answer any more."""
         text = self.texts.get(ident)
         if text is not None:
-            text.over = True
+            text.finished = True
             self.scheduler.post(text.dest, "remove", text)
             self.remove(text)
 
@@ -646,8 +648,8 @@
         self.dests, self.endpoints, self.inbox, self.active, self.maintenance_runs = {}, {}, deque(), {}, 0
         # the endpoints and the destinations that the last batch forgot
         self.departures, self.forgotten_endpoints, self.forgotten_destinations = Departures(), [], []
-        self.scheduler.later(0.0, self, "maintain")  # after the texts that a restart hands in
-        if settings.asks:
+        self.scheduler.schedule(0.0, self, "maintain")  # after the texts that a restart hands in
+        if settings.requests_list:
             self.scheduler.post(self, "request_list")
 
     def dest(self, ident):
@@ -703,19 +705,19 @@
             and ident in endpoint.dest.endpoints
             and now >= endpoint.route.blocked_until
             and endpoint.route.slow_start.admits(self.decided_at(texts, now))
-            and all(now < self.registry.texts[text].last_submit() for text in texts)
+            and all(now < self.registry.texts[text].submit_deadline() for text in texts)
         )
 
     def decided_at(self, texts, now):
         """The time (ms) at which the call that these texts share was decided."""
         return min((self.registry.texts[text].call.sent_at for text in texts), default=now)
 
-    def halt(self, ident, wait):
+    def apply_wait(self, ident, wait):
         """Applies a wait (ms) that an endpoint asked for. The facade calls it where the wait was read only
         after the call's outcome.
         """
         if ident in self.endpoints:
-            self.endpoints[ident].route.halt(wait)
+            self.endpoints[ident].route.apply_wait(wait)
 
     def retry_after(self, dest):
         """After how many ms a text that was turned away for lack of room may be handed in again."""
@@ -725,7 +727,7 @@
 
     def on_maintain(self):
         """Periodic maintenance of the destinations that are not idle."""
-        self.scheduler.later(self.scheduler.now + MAINTENANCE_INTERVAL_MS, self, "maintain")
+        self.scheduler.schedule(self.scheduler.now + MAINTENANCE_INTERVAL_MS, self, "maintain")
         self.maintenance_runs += 1
         self.active = {dest: None for dest in self.active if not dest.idle()}
         for dest in self.active:
@@ -742,7 +744,7 @@
         dest = self.dest(event.dest)
         text = Text(event, dest, self.products[event.product], self.scheduler.now)
         if event.restored:
-            dest.note_restored(text.until - text.product.validity)
+            dest.note_restored(text.valid_until - text.product.validity)
         if dest not in self.active:
             self.active[dest] = None
             self.scheduler.post(dest, "maintain", self.maintenance_runs)
@@ -752,7 +754,7 @@
         """A submit has ended; unknown texts and second outcomes are ignored."""
         text = self.registry.texts.get(event.text)
         if text and text.call:
-            text.over = text.over or event.ended
+            text.finished = text.finished or event.ended
             self.scheduler.post(text.call.endpoint, "outcome", text, event)
 
     def on_withdrawn(self, event):
@@ -767,7 +769,7 @@
     def on_emptied(self, _):
         """A drain: nacks the waiting texts that can safely be handed in elsewhere."""
         for text in [text for text in self.registry.texts.values() if text.call is None and text.nackable()]:
-            self.scheduler.post(self.registry, "lapse", text, 0.0, "drain")
+            self.scheduler.post(self.registry, "expire", text, 0.0, "drain")
 
     def on_request_list(self):
         """Asks for the list of endpoints."""
@@ -779,7 +781,7 @@
         """
         self.list_failures += 1
         wait = min(self.settings.ask_within / 4.0, 500.0 * 2.0 ** min(self.list_failures, 8))
-        self.scheduler.later(
+        self.scheduler.schedule(
             self.scheduler.now + wait * (0.5 + self.scheduler.draw("list")), self, "request_list"
         )
 
@@ -840,7 +842,7 @@
             unlisted, dest.released_at = list(dest.endpoints.values()), self.scheduler.now
             dest.endpoints.clear()
             self.departures.update(unlisted, self.scheduler.now)
-            self.scheduler.later(
+            self.scheduler.schedule(
                 self.scheduler.now + Route.RETENTION_MS + MAINTENANCE_INTERVAL_MS,
                 self,
                 "expire_destination",
@@ -859,6 +861,6 @@
             del self.dests[dest.ident]
             self.forgotten_destinations.append(dest.ident)
         else:
-            self.scheduler.later(
+            self.scheduler.schedule(
                 self.scheduler.now + Route.RETENTION_MS, self, "expire_destination", dest, since
             )
--- a/calicopin/deployment_settings.py
+++ b/calicopin/deployment_settings.py
@@ -137,7 +137,7 @@
     return settings.get("weights") in ("nominal", "rough", "live")
 
 
-def pushed(settings):
+def list_is_pushed(settings):
     """Whether a local agent receives the list, so that asking it is immediate and free."""
     return settings.get("discovery") != "ask"
 
@@ -174,7 +174,7 @@
         settle=milliseconds(rules.get("orderSettle")),
         closes_idle=closes_idle(ceilings),
         max_retry_after=milliseconds(ceilings.get("maxRetryAfter")) if ceilings.get("retryAfter") else 0.0,
-        asks=not pushed(settings),
+        requests_list=not list_is_pushed(settings),
         ask_within=milliseconds(rules.get("askWithin", 10.0)),
     )
     return Courier(CourierSettings(**(values | overrides)))
--- a/calicopin/discovery_node/catalogue.py
+++ b/calicopin/discovery_node/catalogue.py
@@ -97,7 +97,7 @@
         # current destination of endpoints that changed since the load
         self._moved_to: dict[str, int | None] = {}
         self.destinations = self.endpoints = 0
-        self.work = 0  # rows examined by lookups and changes
+        self.examined_rows = 0  # rows examined by lookups and changes
 
     def load(self, lines: Iterable[Line]) -> Iterator[None]:
         """Loads the lines of the initial read, yielding at intervals. A later line of an endpoint replaces an
@@ -187,14 +187,14 @@
 
     def _row_has_ident(self, row: int, ident: str) -> bool:
         """Whether the row belongs to the endpoint rather than to another one with the same hash."""
-        self.work += 1
+        self.examined_rows += 1
         return decode_entry(self._row_line(row)).id == ident
 
     def _live_rows(self, row: int) -> list[int]:
         """The rows of a destination, from its first row, that were not removed."""
         found = []
         while row != NO_ROW:
-            self.work += 1
+            self.examined_rows += 1
             if not self._is_removed[row]:
                 found.append(row)
             row = self._next_row[row]
--- a/calicopin/discovery_node/measure.py
+++ b/calicopin/discovery_node/measure.py
@@ -128,7 +128,7 @@
     opening = open_all(catalogue, table, requests)
     subscribed = table.subscribed()
     changed = random.Random(seed).sample(subscribed, min(changes, len(subscribed)))
-    leases, rows = table.work, catalogue.work
+    leases, rows = table.examined_leases, catalogue.examined_rows
     resident_before, started_at = resident_bytes(), time.process_time()
     for number in changed:
         change_one(catalogue, table, number)
@@ -145,8 +145,8 @@
         full_answer_bytes=opening.largest_answer,
         change_cpu_us=round(change_cpu * MICROSECONDS / len(changed), 1),
         change_resident_bytes=round(change_resident / len(changed), 1),
-        change_leases_looked_at=round((table.work - leases) / len(changed), 3),
-        change_rows_looked_at=round((catalogue.work - rows) / len(changed), 3),
+        change_leases_looked_at=round((table.examined_leases - leases) / len(changed), 3),
+        change_rows_looked_at=round((catalogue.examined_rows - rows) / len(changed), 3),
     )
 
 
--- a/calicopin/discovery_node/node.py
+++ b/calicopin/discovery_node/node.py
@@ -15,7 +15,7 @@
 from calicopin.discovery_node.upstream import Upstream
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.subscription.leases import LeaseBounds, LeaseTable
-from calicopin.system import HERE, System
+from calicopin.system import REAL_SYSTEM, System
 from calicopin.wire.loop import FOREVER, READ, Loop, Until
 
 SPARE_DESCRIPTORS = 64  # besides connections: files, the log, connections being refused
@@ -52,7 +52,7 @@
 class Node:
     """A node with its components on one event loop."""
 
-    def __init__(self, settings: NodeSettings, system: System = HERE):
+    def __init__(self, settings: NodeSettings, system: System = REAL_SYSTEM):
         self.loop = Loop(system=system)
         run = system.token(4)  # distinguishes the leases of this run from those of earlier runs
         self.table = LeaseTable(settings.fleet, settings.node, run, settings.leases)
@@ -70,7 +70,7 @@
         self.loop.spawn(self._wait_for_stop(signal_reader), ahead=True)
 
     def _wait_for_stop(self, signal_reader: SignalReader) -> Iterator[Until]:
-        while not signal_reader.heard().intersection(SignalReader.STOPS):
+        while not signal_reader.take_pending().intersection(SignalReader.STOP_SIGNALS):
             yield Until(FOREVER, signal_reader.fd, READ)
         logger.info("stopping", event="stopping")
         yield from self.server.stop()
@@ -99,11 +99,11 @@
     run(settings, signal_reader)
 
 
-def run(settings: NodeSettings, signal_reader: SignalReader, system: System = HERE) -> None:
+def run(settings: NodeSettings, signal_reader: SignalReader, system: System = REAL_SYSTEM) -> None:
     """Runs a node on that system until it is stopped."""
     node = Node(settings, system)
     node.stop_on_signal(signal_reader)
-    system.settle()
+    system.freeze_loaded_objects()
     logger.info(
         "{node} listens on {host}:{port}",
         event="listening",
--- a/calicopin/discovery_node/source.py
+++ b/calicopin/discovery_node/source.py
@@ -13,8 +13,8 @@
 
 from calicopin.discovery_node.catalogue import Catalogue
 from calicopin.discovery_node.entry import EntryError, Line, check_header, read_line
-from calicopin.system import HERE, System
-from calicopin.system_errors import of_a_moment
+from calicopin.system import REAL_SYSTEM, System
+from calicopin.system_errors import is_transient_file_error
 from calicopin.wire.loop import Loop, Until
 
 POLL_INTERVAL_MS = 250.0  # ms between two polls of the file
@@ -66,7 +66,7 @@
 class SourceFile:
     """A file opened at the source's path; it stays open if the path is replaced by another file."""
 
-    def __init__(self, path: str, system: System = HERE):
+    def __init__(self, path: str, system: System = REAL_SYSTEM):
         self.path, self.offset, self.splitter, self.system = path, 0, LineSplitter(), system
         self.descriptor = system.open_to_read(path)
         file_status = system.open_status(self.descriptor)
@@ -149,7 +149,7 @@
             )
 
 
-def open_source(path: str, fleet: str, system: System = HERE) -> SourceFile:
+def open_source(path: str, fleet: str, system: System = REAL_SYSTEM) -> SourceFile:
     """Opens the file and checks its header if that is complete; raises SourceError."""
     try:
         file = SourceFile(path, system)
@@ -167,7 +167,7 @@
 
 
 def _unreadable(path: str, fault: OSError) -> "SourceError":
-    kind = TemporarilyUnreadableError if of_a_moment(fault) else SourceError
+    kind = TemporarilyUnreadableError if is_transient_file_error(fault) else SourceError
     return kind(f"{path}: {fault.strerror}")
 
 
@@ -225,7 +225,7 @@
             yield from self._reload(stamp)
         elif file_status.st_size > self.file.offset:
             self._last_logged = ""
-            yield from self._take_appended(file_status.st_size)
+            yield from self._apply_appended(file_status.st_size)
 
     def _is_replaced(self, file_status: os.stat_result) -> bool:
         other = (file_status.st_dev, file_status.st_ino) != self.file.identity
@@ -236,7 +236,7 @@
         catalogue = self.catalogue
         return catalogue.changed > max(RELOAD_MIN_CHANGED, RELOAD_CHANGED_FRACTION * catalogue.destinations)
 
-    def _take_appended(self, size: int) -> Iterator[Until]:
+    def _apply_appended(self, size: int) -> Iterator[Until]:
         """Applies the appended lines, one time slice per pass of the event loop."""
         report, changed_destinations, slice_started = FaultReport(self.path), set(), self.loop.now()
         try:
@@ -351,7 +351,7 @@
     def _finish_read(self, report: FaultReport) -> None:
         report.log_total()
         self.faults += report.count
-        self.read_at = self.loop.system.wall()
+        self.read_at = self.loop.system.wall_clock_ms()
 
     def _reject(self, stamp: tuple, why: str) -> None:
         """Ignores the file until it is replaced or written to."""
--- a/calicopin/discovery_node/status.py
+++ b/calicopin/discovery_node/status.py
@@ -34,7 +34,7 @@
         "answers": server.answers,
         "destinations_changed": server.destinations_changed,
         "changes_told": server.changes_told,
-        "leases_looked_at": server.table.work,
+        "leases_looked_at": server.table.examined_leases,
         "refused": {reason.value: count for reason, count in sorted(server.refused.items())},
         "source": {
             "file": source.path,
--- a/calicopin/discovery_node/upstream.py
+++ b/calicopin/discovery_node/upstream.py
@@ -87,7 +87,7 @@
 
     def _append(self, chunk: bytes) -> bool:
         """Processes one chunk. Returns whether more data may be available at once."""
-        self.heard_at = self.loop.system.wall()
+        self.heard_at = self.loop.system.wall_clock_ms()
         name, _, data = chunk.partition(b"\n")
         identity = name.decode("latin-1")
         if identity != self._identity:
--- a/calicopin/emulator/__main__.py
+++ b/calicopin/emulator/__main__.py
@@ -113,11 +113,11 @@
 
         def on_result(result):
             results.append(result)
-            if result.breaks:
+            if result.violations:
                 word = next(word for word, scenario in loaded.items() if scenario.name == result.scenario)
                 extra = f" --fault {fault}" if fault else ""
                 console.print(
-                    f"[bold]{result.breaks[0]}[/bold] (+{len(result.breaks) - 1} more)\n  replay: "
+                    f"[bold]{result.violations[0]}[/bold] (+{len(result.violations) - 1} more)\n  replay: "
                     f"python -m calicopin.emulator play {word} --seed {result.seed}{extra}",
                     highlight=False,
                     soft_wrap=True,
@@ -138,13 +138,13 @@
                             scenario=result.scenario,
                             seed=result.seed,
                             digest=result.digest,
-                            breaks=list(map(str, result.breaks)),
+                            breaks=list(map(str, result.violations)),
                             **result.figures,
                         )
                     )
                     + "\n"
                 )
-    sys.exit(1 if any(result.breaks for result in results) else 0)
+    sys.exit(1 if any(result.violations for result in results) else 0)
 
 
 def summary(console, results, elapsed_s):
@@ -152,8 +152,8 @@
     table = Table("scenario", "runs", "broken", "rules", "texts", *TABLE_FIGURES, "times real", box=None)
     for name in sorted({result.scenario for result in results}):
         of_scenario = [result for result in results if result.scenario == name]
-        broken = [result for result in of_scenario if result.breaks]
-        rules = Counter(rule for result in broken for rule in {one.rule for one in result.breaks})
+        broken = [result for result in of_scenario if result.violations]
+        rules = Counter(rule for result in broken for rule in {one.rule for one in result.violations})
         means = [
             sum(result.figures[key] for result in of_scenario) / len(of_scenario) for key in TABLE_FIGURES
         ]
@@ -194,9 +194,9 @@
     def on_result(result):
         nonlocal broken, killed, done
         done, killed = done + 1, killed + (result.starts > len(result.kills))
-        if result.breaks:
+        if result.violations:
             broken += 1
-            click.echo(f"killed at {result.kills}: {result.breaks[0]}")
+            click.echo(f"killed at {result.kills}: {result.violations[0]}")
 
     runs.run_jobs(jobs_to_run, min(jobs, len(jobs_to_run)), on_result)
     click.echo(f"{done} runs, {killed} of them with every kill carried out, {broken} broken")
@@ -224,11 +224,11 @@
         lines.sort(key=lambda line: float(line.split(" ms", 1)[0]))
     for line in lines:
         click.echo(line)
-    for one in referee.breaks:
+    for one in referee.violations:
         click.echo(f"BROKEN {one}")
     click.echo(json.dumps(referee.figures()))
     click.echo(f"digest {simulation.world.digest()}, {simulation.world.now / 1000.0:.1f} s in {cpu:.2f} s")
-    sys.exit(1 if referee.breaks else 0)
+    sys.exit(1 if referee.violations else 0)
 
 
 @main.command()
@@ -269,8 +269,8 @@
     broken = False
     for seed in seeds:
         result = fleet.play(read(scenario), seed, couriers, texts)
-        broken = broken or bool(result.breaks)
-        for one in result.breaks[:5]:
+        broken = broken or bool(result.violations)
+        for one in result.violations[:5]:
             click.echo(f"BROKEN {one}")
         click.echo(
             json.dumps(
--- a/calicopin/emulator/faults.py
+++ b/calicopin/emulator/faults.py
@@ -110,11 +110,11 @@
 
 def submit_to_the_end(change, repeat):
     """Texts of that kind are submitted until the end of their validity, even if they may have run."""
-    last = decisions.Text.last_submit
+    last = decisions.Text.submit_deadline
     change(
         decisions.Text,
-        "last_submit",
-        lambda text: text.until if text.product.repeat == repeat else last(text),
+        "submit_deadline",
+        lambda text: text.valid_until if text.product.repeat == repeat else last(text),
     )
 
 
@@ -141,7 +141,7 @@
 
 @fault("wait-forgotten", "limits", WAIT)
 def _(change):
-    change(decisions.Route, "halt", lambda route, wait: None)
+    change(decisions.Route, "apply_wait", lambda route, wait: None)
 
 
 @fault("wait-in-other-unit", "shut", WAIT)
@@ -158,8 +158,8 @@
 
 @fault("wait-ends-early", "shut", WAIT)
 def _(change):
-    halt = decisions.Route.halt
-    change(decisions.Route, "halt", lambda route, wait: halt(route, wait * 0.5))
+    apply_wait = decisions.Route.apply_wait
+    change(decisions.Route, "apply_wait", lambda route, wait: apply_wait(route, wait * 0.5))
 
 
 @fault("drain-missed", "drains", DRAIN)
@@ -176,7 +176,7 @@
 
 @fault("no-fail-back", "return", PUSH, 4)
 def _(change):
-    change(decisions.Route, "speed", lambda route: route.pace_now())
+    change(decisions.Route, "allowed_rate", lambda route: route.paced_rate())
 
 
 @fault("restart-forgets-outage", "restart-in-outage", PUSH, 4)
@@ -189,8 +189,8 @@
 def _(change):
     change(
         decisions.Registry,
-        "turn",
-        lambda registry, text: not text.over and registry.scheduler.now < text.last_submit(),
+        "may_go",
+        lambda registry, text: not text.finished and registry.scheduler.now < text.submit_deadline(),
     )
 
 
@@ -201,15 +201,15 @@
 
 @fault("late-final-answer", "outage", ANSWER)
 def _(change):
-    lapse = decisions.Registry.on_lapse
+    expire = decisions.Registry.on_expire
     change(
         decisions.Registry,
-        "on_lapse",
-        lambda registry, text, *back: registry.scheduler.later(
-            registry.scheduler.now + 900.0, registry, "lapsed", text, *back
+        "on_expire",
+        lambda registry, text, *back: registry.scheduler.schedule(
+            registry.scheduler.now + 900.0, registry, "expired", text, *back
         ),
     )
-    change(decisions.Registry, "on_lapsed", lapse)
+    change(decisions.Registry, "on_expired", expire)
 
 
 @fault("lost-notice", "outage", ANSWER)
@@ -314,7 +314,7 @@
 
 @fault("first-list-late", "roll-large", DRAIN, 2)
 def _(change):
-    change(start_module, "pushed", lambda settings: False)
+    change(start_module, "list_is_pushed", lambda settings: False)
 
 
 @fault("client-cut-off", "calm", ANSWER, 1)
--- a/calicopin/emulator/fleet.py
+++ b/calicopin/emulator/fleet.py
@@ -300,7 +300,7 @@
         fleet.world.digest(),
         fleet.world.now / 1000.0,
         cpu,
-        referee.breaks,
+        referee.violations,
         referee.figures(),
         fleet.world.events_run,
     )
--- a/calicopin/emulator/list_faults.py
+++ b/calicopin/emulator/list_faults.py
@@ -10,9 +10,9 @@
 from calicopin.lifecycle.courier_subscription import Subscribed
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.state.known_list import KnownList
-from calicopin.subscription.leases import NOTHING, Lease
+from calicopin.subscription.leases import NO_DESTINATIONS, Lease
 from calicopin.subscription.nodes import NodeChoice
-from calicopin.subscription.session import Standing
+from calicopin.subscription.session import DestinationState
 from calicopin.wire.subscriber import Subscriber
 
 
@@ -49,13 +49,13 @@
     """An unsubscribed destination is not forgotten, and messages for it are accepted at once."""
     change(Runtime, "released", lambda runtime, destination: None)
     change(Subscribed, "first_answer", lambda subscribed, destination: None)
-    change(subscription_module, "REFUSALS", subscription_module.REFUSALS | {Standing.WAITING: None})
+    change(subscription_module, "REFUSALS", subscription_module.REFUSALS | {DestinationState.WAITING: None})
 
 
 @fault("taken-on-before-the-first-answer", "subscriptions", KNOWN)
 def _(change):
     change(Subscribed, "first_answer", lambda subscribed, destination: None)
-    change(subscription_module, "REFUSALS", subscription_module.REFUSALS | {Standing.WAITING: None})
+    change(subscription_module, "REFUSALS", subscription_module.REFUSALS | {DestinationState.WAITING: None})
 
 
 @fault("list-in-the-folder-of-any-age", "subscriptions-old-list", KNOWN)
@@ -86,7 +86,7 @@
         return
         yield
 
-    change(Source, "_take_appended", take_nothing)
+    change(Source, "_apply_appended", take_nothing)
 
 
 @fault("answer-lost-is-not-told-again", "subscriptions-partition", KNOWN, 8)
@@ -95,7 +95,7 @@
     acknowledge = Lease.acknowledge
 
     def acknowledge_anything(lease, index):
-        lease.in_flight = NOTHING
+        lease.in_flight = NO_DESTINATIONS
         return acknowledge(lease, index)
 
     change(Lease, "acknowledge", acknowledge_anything)
--- a/calicopin/emulator/list_referee.py
+++ b/calicopin/emulator/list_referee.py
@@ -172,7 +172,7 @@
             for courier in simulation.couriers
         }
         self._judge()
-        referee.breaks.sort(key=lambda one: (one.at, one.rule))
+        referee.violations.sort(key=lambda one: (one.at, one.rule))
 
     def _unreachable_spans(self, courier: str, node: str) -> list[Span]:
         parties = self.parties[courier].silent() + self.parties[node].silent()
--- a/calicopin/emulator/process.py
+++ b/calicopin/emulator/process.py
@@ -256,24 +256,24 @@
 class SignalReader(Handle):
     """Pending signals, with the interface of `lifecycle/signals.py`."""
 
-    STOPS = (signal.SIGTERM, signal.SIGINT)
+    STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
     def __init__(self, calls):
-        self.calls, self.signs, self.fd = calls, set(), calls.take_fd(self)
+        self.calls, self.pending, self.fd = calls, set(), calls.take_fd(self)
 
     def ready(self):
         """The events that are ready, as an epoll mask."""
-        return select.EPOLLIN if self.signs else 0
+        return select.EPOLLIN if self.pending else 0
 
     def deliver(self, number):
         """Adds a pending signal."""
-        self.signs.add(number)
+        self.pending.add(number)
         self.notify()
 
-    def heard(self):
+    def take_pending(self):
         """The signals since the last call, each once."""
-        signs, self.signs = self.signs, set()
-        return signs
+        pending, self.pending = self.pending, set()
+        return pending
 
 
 class SystemCalls:
@@ -335,15 +335,15 @@
         """The monotonic clock in ms."""
         return MONOTONIC_START_MS + self.process.world.now
 
-    def wall(self):
+    def wall_clock_ms(self):
         """The wall clock in ms."""
         return WALL_CLOCK_START_MS + self.process.world.now + self.process.world.wall_clock_offset
 
-    def boot(self):
+    def boot_id(self):
         """An id of the machine's boot."""
         return f"{self.machine.address}/{self.machine.boot_count}"
 
-    def pause(self, span):
+    def sleep(self, span):
         """Sleeps for `span` ms."""
         self.enter("pause")
         self.process.sleep(span, False)
@@ -357,12 +357,12 @@
         self.enter("listen")
         return ListeningSocket(self, port)
 
-    def stream(self):
+    def create_socket(self):
         """A new socket."""
         self.enter("socket")
         return Socket(self)
 
-    def settle(self):
+    def freeze_loaded_objects(self):
         """The program has been loaded; nothing to do here."""
         pass
 
@@ -385,7 +385,7 @@
             self.process.sleep(self.process.disk.write_delay_ms, False)
         return self.process.disk.write(self.handles[file], bytes(data))
 
-    def cut(self, file, size):
+    def truncate(self, file, size):
         """Truncates a file to `size` bytes."""
         self.enter("cut")
         del self.handles[file][size:]
@@ -396,7 +396,7 @@
         files = self.process.disk.files
         files[new] = files.pop(old)
 
-    def names(self, folder):
+    def list_directory(self, folder):
         """The names in a directory."""
         self.enter("names")
         return [path[len(folder) + 1 :] for path in self.process.disk.files if path.startswith(f"{folder}/")]
--- a/calicopin/emulator/referee.py
+++ b/calicopin/emulator/referee.py
@@ -98,7 +98,7 @@
 
 
 class Referee:
-    """Judges one trace; `breaks` and `figures()` hold the result."""
+    """Judges one trace; `violations` and `figures()` hold the result."""
 
     def __init__(self, simulation):
         self.scenario, self.products, self.simulation = (
@@ -106,7 +106,7 @@
             simulation.scenario.product,
             simulation,
         )
-        self.breaks, self.submissions, self.answers, self.calls = [], {}, {}, {}
+        self.violations, self.submissions, self.answers, self.calls = [], {}, {}, {}
         self.notices, self.calls_by_text, self.histories = (
             defaultdict(list),
             defaultdict(list),
@@ -124,11 +124,11 @@
             getattr(self, "_" + entry[1].replace("-", "_"), self._ignore)(*entry[:1], *entry[2:])
         self._excuse_stopped_couriers()
         self._judge()
-        self.breaks.sort(key=lambda one: (one.at, one.rule))
+        self.violations.sort(key=lambda one: (one.at, one.rule))
 
     def add(self, rule, at, party, reason):
         """Adds a violation."""
-        self.breaks.append(Violation(rule, at, party, reason))
+        self.violations.append(Violation(rule, at, party, reason))
 
     # Reading the trace: each handler is named after the kind of its entries.
 
--- a/calicopin/emulator/runs.py
+++ b/calicopin/emulator/runs.py
@@ -27,7 +27,7 @@
     digest: str
     simulated_s: float
     cpu: float
-    breaks: list = field(default_factory=list)
+    violations: list = field(default_factory=list)
     figures: dict = field(default_factory=dict)
     events: int = 0
     kills: tuple = ()
@@ -82,7 +82,7 @@
         simulation.world.digest(),
         simulation.world.now / 1000.0,
         cpu,
-        referee.breaks,
+        referee.violations,
         referee.figures(),
         simulation.world.events_run,
         kills,
@@ -112,13 +112,13 @@
     First troubles, then texts are left out, in ever smaller parts; at most `max_runs` runs are played.
     """
     simulation, referee, _ = play(scenario, seed, fault)
-    if not referee.breaks:
+    if not referee.violations:
         return None
-    rule = referee.breaks[0].rule
+    rule = referee.violations[0].rule
     troubles, texts, found, runs_left = (
         list(simulation.troubles),
         list(simulation.texts),
-        referee.breaks[0],
+        referee.violations[0],
         [max_runs],
     )
 
@@ -128,7 +128,7 @@
             return False
         runs_left[0] -= 1
         _, judged, _ = play(scenario, seed, fault, some_troubles, some_texts)
-        same = [one for one in judged.breaks if one.rule == rule]
+        same = [one for one in judged.violations if one.rule == rule]
         if same:
             found = same[0]
         return bool(same)
--- a/calicopin/facade.py
+++ b/calicopin/facade.py
@@ -166,7 +166,9 @@
         self.zones = deployment_settings.Indices(settings.get("zones") or [])
         self.dests, self.endpoints = deployment_settings.Indices(), deployment_settings.Indices()
         restart = {"restarted": now} if restarted else {}
-        self.decisions = deployment_settings.courier(seed, settings, slots=slots, asks=False, **restart)
+        self.decisions = deployment_settings.courier(
+            seed, settings, slots=slots, requests_list=False, **restart
+        )
         self.max_texts = settings["ceilings"]["mostHeld"]
         self.waiting_for_list = 0  # requests that wait for the first list of their destination
         self.texts, self.places, self.events = {}, {}, []
@@ -378,7 +380,7 @@
         if answer.wait > call.waited:
             # the status line gave the outcome before; the wait came later, with the headers
             if not call.open and call.told:
-                self.decisions.halt(call.endpoint, answer.wait)
+                self.decisions.apply_wait(call.endpoint, answer.wait)
             call.waited = answer.wait
         call.told = True
 
--- a/calicopin/fault_log.py
+++ b/calicopin/fault_log.py
@@ -27,7 +27,7 @@
     def __init__(self, now):
         self.now, self.kinds = now, {}
 
-    def tell(self, event: str, message: str, fault: BaseException, **fields) -> None:
+    def log_exception(self, event: str, message: str, fault: BaseException, **fields) -> None:
         """Logs an unexpected exception at ERROR, or counts it; `message` names `fields` in braces."""
         kind = self._state_of(event, fault)
         with_traceback = self.now() >= kind.traceback_at + TRACEBACK_INTERVAL_MS
@@ -37,7 +37,7 @@
         ):
             kind.traceback_at = self.now()
 
-    def tell_refusal(self, event: str, message: str, fault: OSError, **fields) -> None:
+    def log_system_error(self, event: str, message: str, fault: OSError, **fields) -> None:
         """Logs an expected system error that the courier handles, without a traceback."""
         self._write_line(self._state_of(event, fault), event, message + ": {fault}", fault, False, fields)
 
--- a/calicopin/handover/receiver.py
+++ b/calicopin/handover/receiver.py
@@ -122,7 +122,7 @@
                 event="handover.waiting",
             )
             logged_at = time.monotonic()
-        if signal_reader.heard().intersection(signal_reader.STOPS):
+        if signal_reader.take_pending().intersection(signal_reader.STOP_SIGNALS):
             raise StoppedError
         time.sleep(POLL_INTERVAL_S)
 
--- a/calicopin/handover/state.py
+++ b/calicopin/handover/state.py
@@ -33,7 +33,7 @@
     for number, text in held.items():
         known = registry.texts.get(number)
         if known is not None:
-            texts[text.ident] = dict(taken=known.accepted_at, over=known.over)
+            texts[text.ident] = dict(taken=known.accepted_at, over=known.finished)
     ended = [
         asdict(text) | {"body": ""}
         for call in calls
@@ -159,7 +159,7 @@
     for key, until, ident in state["rests"]:
         text = by_ident.get(ident)
         module.registry.settling[key] = (until, known.get(text.number) if text else object())
-        scheduler.later(until, module.registry, "key_settled", key)
+        scheduler.schedule(until, module.registry, "key_settled", key)
     calls = [restore_call(facade, one, by_ident) for one in state["calls"]]
     module.departures.append(
         endpoint for endpoint in module.endpoints.values() if endpoint.ident not in endpoint.dest.endpoints
@@ -218,14 +218,17 @@
         ran_zone=zone,
     )
     known = decisions.Text(event, dest, module.products[text.product], state.get("taken", now))
-    known.over = ended or state.get("over", False)
+    known.finished = ended or state.get("over", False)
     module.registry.texts[text.number] = known
     if known.key is not None:
         module.registry.keys.setdefault(known.key, decisions.deque()).append(known)
     if not in_flight:
         dest.queue.append(known)
-        module.scheduler.later(
-            min(known.until - 2 * module.settings.tick, known.last_submit()), module.registry, "lapse", known
+        module.scheduler.schedule(
+            min(known.valid_until - 2 * module.settings.tick, known.submit_deadline()),
+            module.registry,
+            "expire",
+            known,
         )
 
 
--- a/calicopin/lifecycle/courier_subscription.py
+++ b/calicopin/lifecycle/courier_subscription.py
@@ -11,11 +11,11 @@
 from calicopin.facade import Place
 from calicopin.state.known_list import KnownList
 from calicopin.subscription.interest import InterestFullError
-from calicopin.subscription.session import Standing
+from calicopin.subscription.session import DestinationState
 from calicopin.wire.loop import Event
 from calicopin.wire.subscriber import Subscriber
 
-REFUSALS = {Standing.KNOWN: None, Standing.UNKNOWN: 404, Standing.WAITING: 503}
+REFUSALS = {DestinationState.KNOWN: None, DestinationState.UNKNOWN: 404, DestinationState.WAITING: 503}
 
 
 class FirstAnswer(Event):
@@ -114,7 +114,7 @@
             destination_state = self.subscriber.use(destination)
         except InterestFullError:
             return None
-        if destination_state is not Standing.WAITING:
+        if destination_state is not DestinationState.WAITING:
             return None
         event = FirstAnswer(self.loop)
         self.pending[event] = destination
--- a/calicopin/lifecycle/reload.py
+++ b/calicopin/lifecycle/reload.py
@@ -37,10 +37,10 @@
         """A coroutine that waits for signals: SIGTERM and SIGINT request the stop, SIGHUP the reload."""
         while True:
             yield Until(self.retry_at, self.signal_reader.fd, READ)
-            signals = self.signal_reader.heard()
-            if signals.intersection(self.signal_reader.STOPS):
+            signals = self.signal_reader.take_pending()
+            if signals.intersection(self.signal_reader.STOP_SIGNALS):
                 self.stop.requested.set()
-            if signals.difference(self.signal_reader.STOPS):
+            if signals.difference(self.signal_reader.STOP_SIGNALS):
                 self.retry_deadline = self.loop.now() + PATIENCE
                 self.retry_at = self.loop.now()
             if self.loop.now() >= self.retry_at and not self.stop.retired:
--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -273,14 +273,16 @@
     def log_failed_turn(self, fault):
         """Logs a failed turn, at a limited rate so that a long disk fault does not fill the log."""
         if isinstance(fault, OSError):
-            self.loop.faults.tell_refusal(
+            self.loop.faults.log_system_error(
                 "journal.refused",
                 "the journal cannot be written, {turns} turns in a row",
                 fault,
                 turns=self.stuck,
             )
         else:
-            self.loop.faults.tell("turn.fault", "turn failed, {turns} in a row", fault, turns=self.stuck)
+            self.loop.faults.log_exception(
+                "turn.fault", "turn failed, {turns} in a row", fault, turns=self.stuck
+            )
 
     def refuse_unjournalled(self, now):
         """Refuses messages that wait to be journalled once `HOLD` ms have passed. If part of a record may be
@@ -414,7 +416,7 @@
             answer, collected = CallResult(outstanding.progress), not outstanding.task.finished
             raise
         except Exception as fault:
-            self.loop.faults.tell(
+            self.loop.faults.log_exception(
                 "call.fault", "call to {endpoint} failed with an exception", fault, endpoint=call.place.ident
             )
         finally:
--- a/calicopin/lifecycle/signals.py
+++ b/calicopin/lifecycle/signals.py
@@ -11,20 +11,23 @@
     action. Signals that arrive before the loop runs are kept.
     """
 
-    STOPS = (signal.SIGTERM, signal.SIGINT)
+    STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
     def __init__(self):
         self.received = set()
-        for signal_number in (signal.SIGHUP, *self.STOPS):
+        for signal_number in (signal.SIGHUP, *self.STOP_SIGNALS):
             signal.signal(signal_number, lambda number, _: self.received.add(number))
-        from calicopin.system import HERE, patiently  # after the handlers: this import takes long
+        from calicopin.system import (  # after the handlers: this import takes long
+            REAL_SYSTEM,
+            call_with_retries,
+        )
 
-        self.fd, write_fd = patiently(HERE, os.pipe2, os.O_NONBLOCK | os.O_CLOEXEC)
+        self.fd, write_fd = call_with_retries(REAL_SYSTEM, os.pipe2, os.O_NONBLOCK | os.O_CLOEXEC)
         signal.set_wakeup_fd(write_fd, warn_on_full_buffer=False)
         if self.received:  # a signal came before the pipe was set up
             os.write(write_fd, b"\0")
 
-    def heard(self):
+    def take_pending(self):
         """The set of signals received since the last call."""
         try:
             while os.read(self.fd, 4096):
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from calicopin.admin.server import AdminServer
-from calicopin.deployment_settings import check, pushed
+from calicopin.deployment_settings import check, list_is_pushed
 from calicopin.facade import Facade
 from calicopin.lifecycle.reload import Renewal
 from calicopin.lifecycle.runtime import Runtime
@@ -19,7 +19,7 @@
 from calicopin.state.connections import Budget, Lines
 from calicopin.state.journal import Journal
 from calicopin.state.ledger import Ledger
-from calicopin.system import HERE, patiently
+from calicopin.system import REAL_SYSTEM, call_with_retries
 from calicopin.wire.asking import longest_wait
 from calicopin.wire.clients import Clients
 from calicopin.wire.discovery import Discovery, decode_list
@@ -67,7 +67,7 @@
     return value
 
 
-def posted(environ, renewed=False, system=HERE):
+def posted(environ, renewed=False, system=REAL_SYSTEM):
     """Reads the configuration from the file named by `LB_CONFIG`; for addresses and the folder, environment
     variables take precedence. After a reload (`renewed`) the file's discovery address precedes the variable.
     """
@@ -156,11 +156,11 @@
 
         disk = journal_bytes(disk)
     system, in_flight = loop.system, receiver.in_flight_ids if receiver else None
-    wall_clock_offset, boot = system.wall() - loop.now(), patiently(system, system.boot)
+    wall_clock_offset, boot = system.wall_clock_ms() - loop.now(), call_with_retries(system, system.boot_id)
     if post.store == "segments":
         from calicopin.store.segments import Segments
 
-        journal = patiently(
+        journal = call_with_retries(
             system,
             lambda: Segments(
                 post.folder,
@@ -175,7 +175,7 @@
             ),
         )
     else:
-        journal = patiently(
+        journal = call_with_retries(
             system,
             lambda: Journal(
                 post.folder, disk, wall_clock_offset, system, longest_validity, boot, in_flight, loop.now
@@ -211,7 +211,7 @@
         discovery = runtime.subscribed.start()
         runtime.list_agent = None if receiver else discovery  # after a handover the list is current
     elif post.discovery:
-        is_pushed = pushed(terms)
+        is_pushed = list_is_pushed(terms)
         # the configured list is old, and the agent has the whole current one
         fetch_all = is_pushed and not receiver
         discovery = Discovery(
@@ -239,7 +239,7 @@
     if not receiver:
         runtime.turn()
     products = {grade["name"]: number for number, grade in enumerate(terms["grades"])}
-    listener = loop.system.passed(post.listening_socket) if post.listening_socket else None
+    listener = loop.system.inherited_listener(post.listening_socket) if post.listening_socket else None
     clients = Clients(loop, post.listen, products, budget, runtime, listener)
     clients.status = runtime.status if post.status else None
     stop = Shutdown(loop, runtime, clients)
@@ -268,7 +268,7 @@
         HandoverSender(
             HandoverSocket(post.handover_folder or post.folder, post.folder),
             lock,
-            loop.system.again,
+            loop.system.restart_process,
             loop,
             runtime,
             clients,
@@ -286,10 +286,10 @@
     return runtime
 
 
-def serve(environ, signal_reader, system=HERE):
+def serve(environ, signal_reader, system=REAL_SYSTEM):
     """Runs one courier until a signal stops it; raises ValueError for a configuration that cannot be read."""
     try:
-        post = patiently(system, lambda: posted(environ, system=system))
+        post = call_with_retries(system, lambda: posted(environ, system=system))
     except (KeyError, TypeError, AttributeError) as fault:
         raise ValueError(
             f"{environ.get('LB_CONFIG', 'LB_CONFIG')}: the configuration cannot be read: {fault!r}"
@@ -297,13 +297,13 @@
     lock = receiver = None
     if post.listening_socket:
         # raises for an invalid descriptor before the folder is locked
-        system.passed(post.listening_socket).detach()
+        system.inherited_listener(post.listening_socket).detach()
         lock, receiver, post = acquire_folder(post, environ, signal_reader, system)
         if post is None:
             return
     elif post.configuration:  # on the platform each courier has a folder of its own
-        lock = patiently(system, system.lock, post.folder)
-    loop = patiently(system, lambda: Loop(system=system))
+        lock = call_with_retries(system, system.lock, post.folder)
+    loop = call_with_retries(system, lambda: Loop(system=system))
     try:
         runtime = build(
             post, loop, signal_reader, lambda: posted(environ, renewed=True, system=system), lock, receiver
@@ -312,10 +312,10 @@
         logger.warning(
             "handover failed, this process starts again: {fault}", event="handover.again", fault=fault
         )
-        system.again()
+        system.restart_process()
     if post.log == "json":
         use_json_log(post.name, log_level(environ))
-    system.settle()
+    system.freeze_loaded_objects()
     logger.info(
         "{name} ready on {listen}, {endpoints} endpoints known",
         event="ready",
@@ -376,7 +376,7 @@
     logger.add(write, format="{message}", level=level, backtrace=False, catch=True)
 
 
-def main(signal_reader=None, system=HERE):
+def main(signal_reader=None, system=REAL_SYSTEM):
     """Runs a courier until a signal; returns the exit code: 2 if it cannot run with its configuration."""
     signal_reader = signal_reader or SignalReader()
     logger.remove()
--- a/calicopin/route.py
+++ b/calicopin/route.py
@@ -57,7 +57,7 @@
         """The rate of calls that this sender may count on while the destination is well."""
         return (self.limit or self.listed_limit or self.usual_rate * self.senders) / self.senders
 
-    def pace_now(self):
+    def paced_rate(self):
         """The rate of the bucket, adapted to what is left of the limit; None where nothing paces it.
 
         With nothing left, the rate is cut below the even share of all senders: at the even share, refused
@@ -108,13 +108,13 @@
         """
         return sum(at > self.scheduler.now - span - 1e-6 for at in self.first_attempt_times)
 
-    def speed(self):
+    def allowed_rate(self):
         """The rate of the bucket within what slow start allows; None where nothing limits it."""
-        return self.slow_start.limited_rate(self.scheduler.now, self.pace_now(), self.fair_share())
+        return self.slow_start.limited_rate(self.scheduler.now, self.paced_rate(), self.fair_share())
 
     def refill(self):
         """Refills the bucket up to now. Returns the rate at which it did, or None where nothing limits it."""
-        now, rate = self.scheduler.now, self.speed()
+        now, rate = self.scheduler.now, self.allowed_rate()
         if rate is not None:
             capacity = max(1.0, rate * max(self.BURST_MS, self.scheduler.lag)) if self.mode == WELL else 1.0
             self.tokens = min(
@@ -130,7 +130,7 @@
 
     def take_token(self, first=True):
         """Counts a call. Every call passes here, repeats and restored texts too; `first`: it is no repeat."""
-        now, rate = self.scheduler.now, self.speed()
+        now, rate = self.scheduler.now, self.allowed_rate()
         if not self.slow_start.record_call(now, rate):
             self.scheduler.over_budget.append(self.name)
         self.tokens -= float(rate is not None)
@@ -181,7 +181,7 @@
             if self.rate < before:
                 self.scheduler.log(f"{self.name} cut from {before * 1000:.2f} to {self.rate * 1000:.2f}/s")
 
-    def halt(self, wait):
+    def apply_wait(self, wait):
         """Applies a wait (ms) that an answer asked for: no call goes before its end, and the bucket starts
         empty.
         """
--- a/calicopin/scale/measures.py
+++ b/calicopin/scale/measures.py
@@ -109,7 +109,10 @@
 
 def decision_memory(count: int, seed: int) -> dict[str, float]:
     """Memory of waiting messages in the decisions alone; they wait because no endpoint is ready."""
-    courier, empty = deployment_settings.courier(seed, settings(2 * count), asks=False), resident_bytes()
+    courier, empty = (
+        deployment_settings.courier(seed, settings(2 * count), requests_list=False),
+        resident_bytes(),
+    )
     list_unavailable_destinations(courier)
     for number in range(count):
         courier.handle(
--- a/calicopin/scale/node_slopes.py
+++ b/calicopin/scale/node_slopes.py
@@ -27,7 +27,7 @@
 from calicopin.scale.results import Slope, slope
 from calicopin.subscription.leases import LeaseBounds, LeaseTable
 from calicopin.subscription.messages import SubscribeRequest
-from calicopin.system import HERE
+from calicopin.system import REAL_SYSTEM
 
 FLEET = "scale"
 DESTINATIONS = (100_000, 400_000, 1_700_000)
@@ -98,14 +98,14 @@
     chosen = random.Random(f"change/{seed}").sample(single, min(MAX_CHANGES, len(single)))
     lines = [line_of(destination, 0, "active", 1).encode() for destination in chosen]
     changes = [(decode_entry(line), line) for line in lines]
-    rows, leases, began = catalogue.work, table.work, time.process_time()
+    rows, leases, began = catalogue.examined_rows, table.examined_leases, time.process_time()
     for changed_entry, line in changes:
         table.change(catalogue.apply(changed_entry, line))
         catalogue.entries(changed_entry.cell)
     seconds = time.process_time() - began
     return {
-        "rows": (catalogue.work - rows) / len(changes),
-        "leases": (table.work - leases) / len(changes),
+        "rows": (catalogue.examined_rows - rows) / len(changes),
+        "leases": (table.examined_leases - leases) / len(changes),
         "microseconds": seconds / len(changes) * 1e6,
     }
 
@@ -156,7 +156,7 @@
 ) -> dict[str, float]:
     """Runs the measurement in a fresh process with the garbage collector set up as in a node."""
     context = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(1, context, HERE.settle) as pool:
+    with ProcessPoolExecutor(1, context, REAL_SYSTEM.freeze_loaded_objects) as pool:
         return pool.submit(measure, size, seed).result()
 
 
--- a/calicopin/scale/simulated_couriers.py
+++ b/calicopin/scale/simulated_couriers.py
@@ -18,7 +18,7 @@
 
 from calicopin.facade import Place
 from calicopin.scale.change_feed import ident_of, revision_of
-from calicopin.system import HERE
+from calicopin.system import REAL_SYSTEM
 from calicopin.wire.loop import FOREVER, READ, Loop, Until
 from calicopin.wire.subscriber import Subscriber
 
@@ -305,7 +305,7 @@
     logger.remove()
     loop = Loop()
     fleet = fleet_class(loop, plan)
-    HERE.settle()
+    REAL_SYSTEM.freeze_loaded_objects()
 
     def serve_requests() -> Iterator[Until]:
         while True:
--- a/calicopin/scale/slopes.py
+++ b/calicopin/scale/slopes.py
@@ -7,7 +7,7 @@
 
 from calicopin.scale import guard, measures, results
 from calicopin.scale.fit import Sample
-from calicopin.system import HERE
+from calicopin.system import REAL_SYSTEM
 
 # For the estimate of a run; slightly above the measured values.
 BYTES_PER_DESTINATION = 16_000
@@ -142,7 +142,7 @@
 def run_in_subprocess(measurement: Measurement, size: int, seed: int) -> dict[str, float]:
     """Runs the measurement in a fresh process and returns its figures."""
     context = multiprocessing.get_context("spawn")
-    collector_setup = HERE.settle if measurement.tuned_gc else None
+    collector_setup = REAL_SYSTEM.freeze_loaded_objects if measurement.tuned_gc else None
     with ProcessPoolExecutor(max_workers=1, mp_context=context, initializer=collector_setup) as pool:
         return pool.submit(measurement.measure, size, seed).result()
 
--- a/calicopin/scheduler.py
+++ b/calicopin/scheduler.py
@@ -31,7 +31,7 @@
         actor.inbox.append((message, args))
         self.pending.append(actor)
 
-    def later(self, when, actor, message, *args):
+    def schedule(self, when, actor, message, *args):
         """Posts the message at the time `when` (ms)."""
         heapq.heappush(self.timers, (when, next(self.sequence), actor, message, args))
 
--- a/calicopin/soak/faulty_system.py
+++ b/calicopin/soak/faulty_system.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from calicopin.system import System
-from calicopin.system_errors import PASSING
+from calicopin.system_errors import TRANSIENT_ERRORS
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
         if fault.error == "short":
             return True
         code = getattr(errno, fault.error)
-        if not breakable and code not in PASSING:
+        if not breakable and code not in TRANSIENT_ERRORS:
             return False
         raise OSError(code, f"{fault.error} (injected by the soak)")
 
@@ -142,19 +142,19 @@
         faulty.injector = self.injector
         return faulty
 
-    def wall(self):
+    def wall_clock_ms(self):
         """Unix time in ms, stepped while such a fault is active."""
         fault = self.injector.find_active("wall")
-        return System.wall() + (fault.step * 1000.0 if fault else 0.0)
+        return System.wall_clock_ms() + (fault.step * 1000.0 if fault else 0.0)
 
     def listen(self, host, port):
         """A listening socket on which accept may fail."""
         return self._wrap_socket(System.listen(host, port))
 
-    def stream(self):
+    def create_socket(self):
         """A socket for one connection, whose calls may fail; raises the active fault."""
         self.injector.inject("socket")
-        return self._wrap_socket(System.stream())
+        return self._wrap_socket(System.create_socket())
 
     def poller(self):
         """An epoll whose calls may fail."""
@@ -165,15 +165,15 @@
         self.injector.inject("read")
         return System.read(path)
 
-    def boot(self):
+    def boot_id(self):
         """The machine's boot id, or raises the active fault."""
         self.injector.inject("read")
-        return System.boot()
+        return System.boot_id()
 
-    def cut(self, file, size):
+    def truncate(self, file, size):
         """Truncates a file, or raises the active fault."""
         self.injector.inject("cut")
-        return System.cut(file, size)
+        return System.truncate(file, size)
 
     def write(self, file, data):
         """Writes the data or only a part of it, or raises the active fault."""
--- a/calicopin/state/journal.py
+++ b/calicopin/state/journal.py
@@ -16,7 +16,7 @@
 from calicopin import route_state
 from calicopin.slow_start import WELL
 from calicopin.state.texts import EndedIds, Text
-from calicopin.system import HERE
+from calicopin.system import REAL_SYSTEM
 
 RECORD_HEADER = struct.Struct("<II")
 BLOCK_BYTES = 512
@@ -98,7 +98,7 @@
         folder,
         most,
         offset,
-        system=HERE,
+        system=REAL_SYSTEM,
         max_validity=UNLIMITED,
         boot="",
         in_flight_elsewhere=None,
@@ -324,7 +324,7 @@
         abandoned and the next flush begins a new one with all live records.
         """
         try:
-            self.system.cut(self.file, self.size)
+            self.system.truncate(self.file, self.size)
         except OSError:
             self._abandon_file()
 
--- a/calicopin/state/known_list.py
+++ b/calicopin/state/known_list.py
@@ -17,7 +17,7 @@
 
 from calicopin.facade import Place
 from calicopin.state.journal import write_all
-from calicopin.system import patiently
+from calicopin.system import call_with_retries
 from calicopin.wire.loop import Until
 
 FORMAT_MARK = b"calicopin known list 1"  # format and version of the file
@@ -122,7 +122,7 @@
         self.known, self.most = dict, 0
         self.limit(disk)
         self._changed = False
-        self.boot = patiently(loop.system, loop.system.boot)
+        self.boot = call_with_retries(loop.system, loop.system.boot_id)
         self._confirmed_at = self._written_at = None  # Timestamps; _written_at is the one in the file
         self._write_error_logged = self._truncation_logged = False
 
@@ -158,7 +158,7 @@
 
     def _now(self) -> Timestamp:
         system = self.loop.system
-        return Timestamp(system.wall(), self.loop.now(), self.boot)
+        return Timestamp(system.wall_clock_ms(), self.loop.now(), self.boot)
 
     def confirmed(self) -> None:
         """Records that a discovery node has answered: the list is valid as of now."""
--- a/calicopin/store/__main__.py
+++ b/calicopin/store/__main__.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from calicopin.store.segments import SEGMENT_SUFFIX, NewerFormatError, Segments, scan_records
-from calicopin.system import HERE, System
+from calicopin.system import REAL_SYSTEM, System
 
 RECORD_KIND_NAMES = {
     b"T": "taken",
@@ -34,7 +34,7 @@
     @staticmethod
     def now():
         """The wall clock, in ms."""
-        return System.wall()
+        return System.wall_clock_ms()
 
     @staticmethod
     def create(path):
@@ -59,7 +59,7 @@
     if not os.path.isdir(folder):
         fail(f"{folder}: no such folder")
     try:
-        lock = HERE.lock(folder)
+        lock = REAL_SYSTEM.lock(folder)
     except OSError:
         fail(f"{folder}: in use by a courier; stop it first")
     click.get_current_context().call_on_close(lambda: os.close(lock))
@@ -128,7 +128,7 @@
     lock_folder(folder)
     for name in sorted(name for name in os.listdir(folder) if name.endswith(SEGMENT_SUFFIX)):
         for position, kind, payload in scan_records(
-            HERE.read(os.path.join(folder, name)), Segments._checksum
+            REAL_SYSTEM.read(os.path.join(folder, name)), Segments._checksum
         ):
             output = dict(
                 segment=name,
@@ -157,7 +157,7 @@
         fail(f"{new}: not empty")
     os.makedirs(new, exist_ok=True)
     lock_folder(new)
-    saved = Segments(new, UNLIMITED_BYTES, 0.0, HERE, MAX_VALIDITY_MS)
+    saved = Segments(new, UNLIMITED_BYTES, 0.0, REAL_SYSTEM, MAX_VALIDITY_MS)
     for text in store.texts.values():
         saved.taken(text)
     saved.flush()
--- a/calicopin/store/measure.py
+++ b/calicopin/store/measure.py
@@ -14,14 +14,14 @@
 from calicopin.state.journal import Journal, write_all
 from calicopin.state.texts import Text
 from calicopin.store.segments import Segments
-from calicopin.system import HERE
+from calicopin.system import REAL_SYSTEM
 
 TEXT_BODY = b"x" * 300
 
 
 def make_text(number):
     """A text of the load, resendable with a reference and valid for an hour."""
-    return Text(f"{number:016x}", 7, 0, f"r{number:015x}", None, HERE.now() + 3.6e6, TEXT_BODY)
+    return Text(f"{number:016x}", 7, 0, f"r{number:015x}", None, REAL_SYSTEM.now() + 3.6e6, TEXT_BODY)
 
 
 class PlainAppend:
@@ -29,13 +29,13 @@
 
     def __init__(self, folder, limit):
         self.journal = Journal(folder, limit, 5e11)
-        self.file = HERE.create(os.path.join(folder, "plain"))
+        self.file = REAL_SYSTEM.create(os.path.join(folder, "plain"))
         self.texts, self.size = self.journal.texts, 0
 
     def flush(self):
         """Appends the records buffered since the last call."""
         self.size += len(self.journal.buffer)
-        write_all(HERE, self.file, self.journal.buffer)
+        write_all(REAL_SYSTEM, self.file, self.journal.buffer)
         self.journal.buffer.clear()
 
     def __getattr__(self, name):
@@ -79,8 +79,8 @@
 
 
 STORES = {
-    "journal": lambda folder, limit: Journal(folder, limit, 5e11, HERE, 60000.0, "b"),
-    "segments": lambda folder, limit: Segments(folder, limit, 5e11, HERE, 60000.0, "b"),
+    "journal": lambda folder, limit: Journal(folder, limit, 5e11, REAL_SYSTEM, 60000.0, "b"),
+    "segments": lambda folder, limit: Segments(folder, limit, 5e11, REAL_SYSTEM, 60000.0, "b"),
     "plain append": PlainAppend,
     "sqlite": Sqlite,
 }
@@ -114,7 +114,7 @@
                 store.taken(text)
                 ending = next(waiting, None) or text
                 store.sent(ending, 1000.0, "a")
-                store.over(ending, HERE.now())
+                store.over(ending, REAL_SYSTEM.now())
             start = time.perf_counter()
             store.flush()
             flush_times.append((time.perf_counter() - start) * 1000.0)
--- a/calicopin/store/segments.py
+++ b/calicopin/store/segments.py
@@ -136,7 +136,7 @@
     def _replay(self):
         numbers = sorted(
             int(name[: -len(SEGMENT_SUFFIX)])
-            for name in self.system.names(self.folder)
+            for name in self.system.list_directory(self.folder)
             if name.endswith(SEGMENT_SUFFIX) and name[: -len(SEGMENT_SUFFIX)].isdecimal()
         )
         self.legacy_file = super()._replay()  # in the format of earlier versions, converted once
@@ -267,7 +267,7 @@
         """Removes the legacy file once all its texts are in segments. Until then no segment may be removed,
         as it may hold the end of a text in the legacy file.
         """
-        if self.legacy_file and os.path.basename(self.path) in self.system.names(self.folder):
+        if self.legacy_file and os.path.basename(self.path) in self.system.list_directory(self.folder):
             self.system.remove(self.path)
         self.legacy_file = False
 
@@ -365,7 +365,7 @@
 
     def _log_deferral(self, fault):
         """Logs that cleaning was refused by the system and is deferred."""
-        self.fault_log.tell_refusal(
+        self.fault_log.log_system_error(
             "store.cleaning-refused", "cleaning the segmented store is deferred", fault
         )
 
--- a/calicopin/subscription/leases.py
+++ b/calicopin/subscription/leases.py
@@ -18,7 +18,7 @@
 MIN_LEASE_LIMIT = 1024
 MAX_NODE_NAME_LENGTH = 128  # characters of a node's name, which is part of each lease's name
 MIN_CAPACITY_RETRY_MS = 1000.0  # minimum retry time for a courier refused because all leases are taken
-NOTHING: frozenset[int] = frozenset()
+NO_DESTINATIONS: frozenset[int] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,8 +73,8 @@
         self.destinations = array("I")  # sorted
         self.acknowledged_version: int | None = None  # the version that the courier has confirmed
         self.sent_version: int | None = None  # the version of the last answer, until it is confirmed
-        self.in_flight: set[int] | frozenset[int] = NOTHING  # sent under `sent_version`
-        self.changed: set[int] | frozenset[int] = NOTHING  # not sent yet
+        self.in_flight: set[int] | frozenset[int] = NO_DESTINATIONS  # sent under `sent_version`
+        self.changed: set[int] | frozenset[int] = NO_DESTINATIONS  # not sent yet
         self.tokens, self.tokens_updated_at = tokens, tokens_updated_at
 
     def mark_changed(self, destination: int) -> None:
@@ -92,7 +92,7 @@
             self.acknowledged_version = index
         else:  # the last answer was lost
             self.changed = self.changed | self.in_flight
-        self.sent_version, self.in_flight = None, NOTHING
+        self.sent_version, self.in_flight = None, NO_DESTINATIONS
         return True
 
 
@@ -105,7 +105,7 @@
         self.version = 0  # incremented for each answer that is full or has destinations
         self.serial = 0  # number of the last lease granted
         self.subscriptions = 0
-        self.work = 0  # leases examined by changes, requests and expiry
+        self.examined_leases = 0  # leases examined by changes, requests and expiry
         self._leases: OrderedDict[str, Lease] = OrderedDict()  # by name, the next to expire first
         self._couriers: dict[str, Lease] = {}
         # a single subscriber, the common case, is stored without a set
@@ -139,7 +139,7 @@
         touched = set()
         for destination in destinations:
             for lease in self._subscribers_of(destination):
-                self.work += 1
+                self.examined_leases += 1
                 lease.mark_changed(destination)
                 touched.add(lease.name)
         return touched
@@ -176,7 +176,7 @@
             if rate_refusal:
                 return rate_refusal
             self._end(previous)
-        self.work += 1
+        self.examined_leases += 1
         lease = self._grant(request.courier, now, previous)
         self._set_destinations(lease, wanted)
         self._extend(lease, now)
@@ -191,7 +191,7 @@
         lease = self._leases.get(request.lease)
         if lease is None or lease.courier != request.courier:
             return self._unknown_lease(request.lease)
-        self.work += 1
+        self.examined_leases += 1
         self._extend(lease, now)
         rate_refusal = self._take_token(lease, now)
         if rate_refusal:
@@ -242,7 +242,7 @@
         self._leases.move_to_end(lease.name)
 
     def _end(self, lease: Lease) -> None:
-        self.work += 1
+        self.examined_leases += 1
         del self._leases[lease.name]
         del self._couriers[lease.courier]
         self._set_destinations(lease, set())
@@ -296,13 +296,13 @@
     def _full_update(self, lease: Lease) -> LeaseUpdate:
         """The whole set; all earlier versions become invalid."""
         lease.acknowledged_version = None
-        lease.changed = lease.in_flight = NOTHING
+        lease.changed = lease.in_flight = NO_DESTINATIONS
         return self._update_with_new_version(lease, True, lease.destinations)
 
     def _pending_update(self, lease: Lease) -> LeaseUpdate:
         if not lease.changed:
             return self._empty_update(lease)
-        changed, lease.changed = lease.changed, NOTHING
+        changed, lease.changed = lease.changed, NO_DESTINATIONS
         lease.in_flight = lease.in_flight | changed
         return self._update_with_new_version(lease, False, sorted(lease.in_flight))
 
--- a/calicopin/subscription/session.py
+++ b/calicopin/subscription/session.py
@@ -23,7 +23,7 @@
 MAX_WAIT_LEASE_FRACTION = 1.0 / 3.0
 
 
-class Standing(Enum):
+class DestinationState(Enum):
     """What is known about a destination."""
 
     KNOWN = "known"  # a node confirmed that it exists
@@ -129,11 +129,11 @@
         """Whether the destination is in the set."""
         return destination in self._wanted
 
-    def destination_state(self, destination: int) -> Standing:
+    def destination_state(self, destination: int) -> DestinationState:
         """What is known about the destination; one known only from a snapshot counts as KNOWN."""
         if destination in self._known:
-            return Standing.KNOWN
-        return Standing.UNKNOWN if destination in self._unknown else Standing.WAITING
+            return DestinationState.KNOWN
+        return DestinationState.UNKNOWN if destination in self._unknown else DestinationState.WAITING
 
     def confirmed(self, destination: int) -> bool:
         """Whether an answer has covered the destination since it was subscribed."""
--- a/calicopin/system.py
+++ b/calicopin/system.py
@@ -13,7 +13,7 @@
 import sys
 import time
 
-from calicopin.system_errors import of_a_moment
+from calicopin.system_errors import is_transient_file_error
 
 RETRY_LIMIT_MS = 5000.0  # how long a start retries an operation that fails with a transient error
 RETRY_INTERVAL_MS = 50.0
@@ -31,12 +31,12 @@
         return time.monotonic() * 1000.0
 
     @staticmethod
-    def wall():
+    def wall_clock_ms():
         """Unix time in ms; it may be set forwards or backwards at any moment."""
         return time.time() * 1000.0
 
     @staticmethod
-    def boot():
+    def boot_id():
         """The id of the current boot; while it is the same, the monotonic clock keeps running.
 
         Returns "" where the system has no boot id; raises OSError for a transient error.
@@ -45,12 +45,12 @@
             with open("/proc/sys/kernel/random/boot_id", encoding="ascii") as file:
                 return file.read().strip()
         except OSError as fault:
-            if of_a_moment(fault):
+            if is_transient_file_error(fault):
                 raise
             return ""
 
     @staticmethod
-    def pause(duration):
+    def sleep(duration):
         """Sleeps for `duration` ms; for startup and shutdown only, when the event loop does not run."""
         time.sleep(duration / 1000.0)
 
@@ -74,7 +74,7 @@
         return listener
 
     @staticmethod
-    def passed(descriptor):
+    def inherited_listener(descriptor):
         """The listening socket inherited under the given descriptor number, made non-blocking.
 
         Raises ValueError if it is not a listening socket.
@@ -93,7 +93,7 @@
         return sock
 
     @staticmethod
-    def again():
+    def restart_process():
         """Replaces this process by a new run of the same command line; does not return."""
         os.execv(sys.executable, [sys.executable, *sys.orig_argv[1:]])
 
@@ -139,7 +139,7 @@
         return status.st_mtime_ns, status.st_size, status.st_ino
 
     @staticmethod
-    def stream():
+    def create_socket():
         """A non-blocking, unconnected TCP socket."""
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
 
@@ -179,14 +179,14 @@
             os.close(folder)
 
     @staticmethod
-    def settle():
+    def freeze_loaded_objects():
         """Excludes the objects of the loaded program from later garbage collections."""
         gc.collect()
         gc.freeze()
         gc.set_threshold(20000, 20, 50)
 
     @staticmethod
-    def names(folder):
+    def list_directory(folder):
         """The names in a folder."""
         return os.listdir(folder)
 
@@ -195,7 +195,7 @@
     remove = staticmethod(os.unlink)  # (path)
     sync = staticmethod(os.fdatasync)  # (file)
     write = staticmethod(os.write)  # (file, data) -> bytes written, possibly fewer than given
-    cut = staticmethod(os.ftruncate)  # (file, size)
+    truncate = staticmethod(os.ftruncate)  # (file, size)
     replace = staticmethod(os.replace)  # (old path, new path), atomic
 
     @staticmethod
@@ -210,10 +210,10 @@
             pass
 
 
-HERE = System()
+REAL_SYSTEM = System()
 
 
-def patiently(system, operation, *args):
+def call_with_retries(system, operation, *args):
     """Calls `operation(*args)` and retries it after transient errors; for startup only, since it sleeps.
 
     Raises the OSError of the operation after `RETRY_LIMIT_MS`, and at once if it is not transient.
@@ -223,6 +223,6 @@
         try:
             return operation(*args)
         except OSError as fault:
-            if not of_a_moment(fault) or system.now() >= deadline:
+            if not is_transient_file_error(fault) or system.now() >= deadline:
                 raise
-        system.pause(RETRY_INTERVAL_MS)
+        system.sleep(RETRY_INTERVAL_MS)
--- a/calicopin/system_errors.py
+++ b/calicopin/system_errors.py
@@ -7,10 +7,10 @@
 import errno
 
 # The kernel lacked resources for the call, or a signal interrupted it; the connection or file is unchanged.
-PASSING = frozenset((errno.EINTR, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM))
+TRANSIENT_ERRORS = frozenset((errno.EINTR, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM))
 
 # This machine lacked resources for a connection; the peer was not contacted.
-LOCAL_RESOURCE_ERRORS = PASSING | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
+LOCAL_RESOURCE_ERRORS = TRANSIENT_ERRORS | {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL}
 
 # No route to the peer, as reported by this machine; ECONNABORTED: aborted by this machine.
 NO_ROUTE_ERRORS = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ECONNABORTED))
@@ -49,14 +49,14 @@
 )
 
 
-def of_a_moment(fault: OSError) -> bool:
+def is_transient_file_error(fault: OSError) -> bool:
     """Whether opening, reading or creating a file may succeed if retried."""
     return fault.errno in TRANSIENT_FILE_ERRORS
 
 
 def is_transient(fault: OSError) -> bool:
     """Whether the same call on the same connection or file may succeed if retried."""
-    return fault.errno in PASSING
+    return fault.errno in TRANSIENT_ERRORS
 
 
 def lacks_local_resources(code: int | None) -> bool:
--- a/calicopin/wire/clients.py
+++ b/calicopin/wire/clients.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from calicopin.state.texts import Text
-from calicopin.system import patiently
+from calicopin.system import call_with_retries
 from calicopin.wire.http import TOO_LONG, Line, accept_next
 from calicopin.wire.loop import AGAIN, FOREVER, READ, Event, Until
 
@@ -142,9 +142,9 @@
         host, _, port = address.rpartition(":")
         system = loop.system
         self.listener = listener or (
-            patiently(system, system.listen_path, port)
+            call_with_retries(system, system.listen_path, port)
             if host == "unix"
-            else patiently(system, system.listen, host, int(port))
+            else call_with_retries(system, system.listen, host, int(port))
         )
         self.status = None  # returns the body of /-/status; None if it is not served
         self.idle, self.lingering, self.open, self.leaving, self.closing = {}, {}, 0, False, False
@@ -254,7 +254,7 @@
                 yield Until(self.loop.now() + client.delay)
             yield from self.close_gracefully(line)
         except Exception as fault:  # the process goes on, and the client still gets an answer
-            self.loop.faults.tell(
+            self.loop.faults.log_exception(
                 "request.fault", "a client's request failed by an unexpected exception", fault
             )
             yield from self.refuse_request(line, 500, "a fault of the courier")
@@ -456,7 +456,7 @@
             if not unsent:
                 return
             if tries_left:
-                self.loop.system.pause(FINAL_ANSWER_RETRY_MS)
+                self.loop.system.sleep(FINAL_ANSWER_RETRY_MS)
         logger.warning(
             "{clients} clients were left without an answer", event="end.unanswered", clients=len(unsent)
         )
--- a/calicopin/wire/http.py
+++ b/calicopin/wire/http.py
@@ -299,7 +299,7 @@
     """One try: (0, the connected socket), or (errno, None)."""
     host, _, port = address.rpartition(":")
     try:
-        sock = loop.system.stream()
+        sock = loop.system.create_socket()
     except OSError as fault:  # a local error in any case: the peer was not contacted
         return (fault.errno if lacks_local_resources(fault.errno) else errno.ENOBUFS), None
     code = errno.ECANCELED  # remains if the coroutine is cancelled while it waits
--- a/calicopin/wire/loop.py
+++ b/calicopin/wire/loop.py
@@ -8,7 +8,7 @@
 from itertools import count
 
 from calicopin.fault_log import FaultLog
-from calicopin.system import HERE
+from calicopin.system import REAL_SYSTEM
 
 READ = select.EPOLLIN | select.EPOLLRDHUP
 WRITE = select.EPOLLOUT
@@ -64,7 +64,7 @@
     is the longest delay of a timer in ms, until a reader resets it.
     """
 
-    def __init__(self, turn=lambda: FOREVER, now=None, system=HERE):
+    def __init__(self, turn=lambda: FOREVER, now=None, system=REAL_SYSTEM):
         self.now, self.turn, self.system = now or system.now, turn, system
         self.epoll, self.fds, self.faults = system.poller(), {}, FaultLog(self.now)
         # due: heap of (time, sequence number, task, wait id); ready: queue of (task, wait id, value)
@@ -90,7 +90,7 @@
                     yield from begin()
                     return
                 except Exception as fault:
-                    self.faults.tell(
+                    self.faults.log_exception(
                         "coroutine.again", "restarting a coroutine after an unexpected exception", fault
                     )
                     yield Until(self.now() + AGAIN)
@@ -155,7 +155,9 @@
             return
         except Exception as fault:  # an exception ends this coroutine only, not the process
             task.finished = True
-            self.faults.tell("coroutine.fault", "a coroutine ended by an unexpected exception", fault)
+            self.faults.log_exception(
+                "coroutine.fault", "a coroutine ended by an unexpected exception", fault
+            )
             return
         task.wait = wait
         if wait.event is not None:
--- a/calicopin/wire/subscriber.py
+++ b/calicopin/wire/subscriber.py
@@ -23,7 +23,7 @@
     encode_request,
 )
 from calicopin.subscription.nodes import NodeChoice
-from calicopin.subscription.session import AnswerContent, OutgoingRequest, Session, Standing
+from calicopin.subscription.session import AnswerContent, DestinationState, OutgoingRequest, Session
 from calicopin.wire.agent import Agent
 from calicopin.wire.discovery import decode_list
 from calicopin.wire.http import TOO_LONG
@@ -109,7 +109,7 @@
 
     # Interface for the rest of the courier.
 
-    def use(self, destination: int) -> Standing:
+    def use(self, destination: int) -> DestinationState:
         """Notes a use and subscribes if needed; raises InterestFullError at the limit of destinations."""
         self._note_use(destination, self.loop.now())
         return self.session.destination_state(destination)
--- a/tests/configuration_helper.py
+++ b/tests/configuration_helper.py
@@ -85,12 +85,12 @@
 class SilentSignalReader:
     """A signal reader that receives no signal."""
 
-    STOPS = ()
+    STOP_SIGNALS = ()
 
     def __init__(self):
         self.fd, self.write_end = os.pipe()
 
-    def heard(self):
+    def take_pending(self):
         return set()
 
     def close(self):
--- a/tests/forced_faults.py
+++ b/tests/forced_faults.py
@@ -77,9 +77,9 @@
     def listen(self, host, port):
         return self.wrap(System.listen(host, port))
 
-    def stream(self):
+    def create_socket(self):
         self.meet("socket")
-        return self.wrap(System.stream())
+        return self.wrap(System.create_socket())
 
     def poller(self):
         return ForcedPoller(self)
@@ -88,7 +88,7 @@
         self.meet("read")
         return System.read(path)
 
-    def boot(self):
+    def boot_id(self):
         self.meet("boot")
         return ""
 
@@ -107,9 +107,9 @@
         self.meet("sync_folder")
         return System.sync_folder(path)
 
-    def cut(self, file, size):
+    def truncate(self, file, size):
         self.meet("cut")
-        return System.cut(file, size)
+        return System.truncate(file, size)
 
     def replace(self, old, new):
         self.meet("replace")
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -112,7 +112,7 @@
     """
 
     @staticmethod
-    def boot():
+    def boot_id():
         return ""
 
 
--- a/tests/test_courier.py
+++ b/tests/test_courier.py
@@ -409,7 +409,9 @@
     signal_reader = SignalReader()
     os.kill(os.getpid(), signal.SIGHUP)
     os.kill(os.getpid(), signal.SIGTERM)
-    assert signal_reader.heard() == {signal.SIGHUP, signal.SIGTERM} and not signal_reader.heard()
+    assert (
+        signal_reader.take_pending() == {signal.SIGHUP, signal.SIGTERM} and not signal_reader.take_pending()
+    )
 
 
 def refuses_connections(courier):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -270,13 +270,15 @@
     """
     route = DecisionsFixture(senders=200).courier.dests[0].routes[None]
     route.rate, route.slow_start.failures, route.slow_start.first_failure_at = 0.001, 2, -8000.0
-    assert route.speed() == pytest.approx(0.2 * 2.0**0.5 / (8000.0 + 3000.0)), "at most one call in their age"
+    assert route.allowed_rate() == pytest.approx(0.2 * 2.0**0.5 / (8000.0 + 3000.0)), (
+        "at most one call in their age"
+    )
     route.slow_start.failures = 1
-    assert route.speed() == pytest.approx(0.2 * 2.0**0.5 / (8000.0 + 3000.0)), (
+    assert route.allowed_rate() == pytest.approx(0.2 * 2.0**0.5 / (8000.0 + 3000.0)), (
         "a sender with few calls sees one failure"
     )
     route.slow_start.first_failure_at = route.scheduler.now - 2999.0
-    assert route.speed() == pytest.approx(0.001)
+    assert route.allowed_rate() == pytest.approx(0.001)
 
 
 def test_skipped_maintenance_changes_no_average():
--- a/tests/test_discovery_node.py
+++ b/tests/test_discovery_node.py
@@ -43,7 +43,7 @@
     decode_refusal,
     encode_request,
 )
-from calicopin.system import HERE
+from calicopin.system import REAL_SYSTEM
 from calicopin.wire.loop import Loop
 
 HEADER = b'{"form":1,"fleet":"fleet"}\n'
@@ -151,11 +151,11 @@
     work = {}
     for known in (1_000, 10_000, 100_000):
         catalogue = load_catalogue(*(entry(f"s-{number}", number * 16) for number in range(known)))
-        before = catalogue.work
+        before = catalogue.examined_rows
         for number in range(500):
             assert apply_entry(catalogue, entry(f"s-{number}", number * 16, "leaving")) == {number * 16}
             assert len(catalogue.entries(number * 16)) == 1
-        work[known] = catalogue.work - before
+        work[known] = catalogue.examined_rows - before
     assert max(work.values()) <= min(work.values()) + 10, work
 
 
@@ -549,7 +549,7 @@
     def __init__(self, path, leases=None, server=None, loop=None, port=0, run="run"):
         self.path, self.loop = path, loop or Loop(now=Clock())
         self.table = LeaseTable("fleet", "n1", run, leases or LeaseBounds())
-        listener = HERE.listen("127.0.0.1", port)
+        listener = REAL_SYSTEM.listen("127.0.0.1", port)
         self.port = listener.getsockname()[1]
         self.server = NodeServer(self.loop, listener, self.table, server or ServerBounds())
         self.source = Source(self.loop, str(path), "fleet", self.server.change, self.table.subscribed)
@@ -1035,10 +1035,10 @@
         node.loop.once(node.loop.now())
     for number in range(50):
         Courier(node, f"c-{number}").subscribe(*range(number * 10, number * 10 + 10))
-    leases, rows = node.table.work, node.source.catalogue.work
+    leases, rows = node.table.examined_leases, node.source.catalogue.examined_rows
     node.append(*(entry(f"s-{number}", number, "leaving") for number in range(100)))
-    assert node.table.work - leases == 100
-    assert node.source.catalogue.work - rows <= 100 * 4
+    assert node.table.examined_leases - leases == 100
+    assert node.source.catalogue.examined_rows - rows <= 100 * 4
 
 
 # An upstream node as the source.
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("name", scenario_names())
 def test_every_scenario_runs_without_a_violation(name):
     simulation, referee, _ = runs.play(load(name), 3)
-    assert not referee.breaks, list(map(str, referee.breaks[:5]))
+    assert not referee.violations, list(map(str, referee.violations[:5]))
     assert len(referee.calls) > 100
 
 
@@ -91,7 +91,7 @@
     watches_served = [
         details[1] for at, kind, *details in simulation.world.trace if kind == "asked" and at > 12000.0
     ]
-    assert not referee.breaks and len(first_answers) == 40 and max(first_answers.values()) < 20000.0
+    assert not referee.violations and len(first_answers) == 40 and max(first_answers.values()) < 20000.0
     assert watches_served.count(False) <= 3 and watches_served.count(True) < 2 * 28, (
         "at most one more call for each courier that was killed"
     )
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_random_troubles_cause_no_violation(seed):
     _, referee, _ = runs.play(load("mixed"), seed)
-    assert not referee.breaks, list(map(str, referee.breaks[:5]))
+    assert not referee.violations, list(map(str, referee.violations[:5]))
 
 
 @pytest.mark.parametrize("seed", [1287, 1354, 1432, 1897, 1923, 1983, 2158, 2190, 2252])
@@ -110,7 +110,7 @@
     the referee had judged wrongly.
     """
     _, referee, _ = runs.play(load("mixed"), seed)
-    assert not referee.breaks, list(map(str, referee.breaks[:5]))
+    assert not referee.violations, list(map(str, referee.violations[:5]))
 
 
 def test_the_same_seed_gives_the_same_run_in_any_process_and_order():
@@ -136,7 +136,7 @@
     """Each fault breaks its rule within its number of seeds."""
     scenario, rule, seeds = SHOWN_BY[name]
     for seed in range(1, seeds + 1):
-        if any(violation.rule == rule for violation in runs.play(load(scenario), seed, name)[1].breaks):
+        if any(violation.rule == rule for violation in runs.play(load(scenario), seed, name)[1].violations):
             return
     raise AssertionError(f"{seeds} seeds of {scenario} do not break {rule!r}")
 
@@ -156,7 +156,7 @@
 def test_fleet_mode_causes_no_violation(name):
     results = [fleet.play(load(name), 5, couriers=20, texts=30.0) for _ in range(2)]
     assert (
-        not results[0].breaks
+        not results[0].violations
         and results[0].digest == results[1].digest
         and results[0].figures["delivered"] > 50
     )
@@ -273,6 +273,6 @@
     for seed in range(31, 37):
         scenario = replace(mixed, couriers=replace(mixed.couriers, scrape_s=0.7, holders=3))
         _, referee, _ = runs.play(scenario, seed)
-        assert not referee.breaks, (seed, list(map(str, referee.breaks[:5])))
+        assert not referee.violations, (seed, list(map(str, referee.violations[:5])))
         admin_answers += sum(status == 200 for *_, status, _ in referee.admin_calls)
     assert admin_answers > 300
--- a/tests/test_emulator_subscriptions.py
+++ b/tests/test_emulator_subscriptions.py
@@ -46,7 +46,7 @@
 def play_without_violation(name, seed):
     """The same, with a check that no rule is broken."""
     simulation, referee = play_once(name, seed)
-    assert not referee.breaks, list(map(str, referee.breaks[:5]))
+    assert not referee.violations, list(map(str, referee.violations[:5]))
     return simulation, referee
 
 
@@ -131,7 +131,7 @@
 def test_another_seed_causes_no_violation_and_each_list_is_compared_at_the_end(name):
     simulation, _ = play_without_violation(name, 2)
     judged = ListReferee(simulation, Referee(simulation))
-    assert not judged.referee.breaks
+    assert not judged.referee.violations
     assert judged.destinations_compared > 3 * len(simulation.couriers)
     assert judged.leaves_judged > 0
 
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -550,7 +550,7 @@
 def test_a_repeat_window_that_ends_during_a_restart_permits_no_resend(tmp_path, monkeypatch, away, again):
     """The window is one second: the message is sent again within it, and not after it."""
     wall = Clock(1e12)
-    monkeypatch.setattr(Rebooted, "wall", staticmethod(wall))
+    monkeypatch.setattr(Rebooted, "wall_clock_ms", staticmethod(wall))
     grades = [grade | {"keyTtl": 1.0} for grade in terms()["grades"]]
     courier = CourierFixture(tmp_path, grades=grades)
     assert courier.post("a", product="order") == b"202"
--- a/tests/test_fault_log.py
+++ b/tests/test_fault_log.py
@@ -21,14 +21,14 @@
     clock = Clock()
     faults = FaultLog(clock)
     for _ in range(100):
-        faults.tell("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
+        faults.log_exception("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
     assert len(records) == 1 and records[0]["exception"] is not None
     clock.now += LINE_INTERVAL_MS
-    faults.tell("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
+    faults.log_exception("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
     assert records[1]["message"] == "a call to s-1 ended: ValueError('odd') (99 more since the last line)"
     assert records[1]["exception"] is None and records[1]["extra"]["event"] == "call.fault"
     clock.now += TRACEBACK_INTERVAL_MS
-    faults.tell("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
+    faults.log_exception("call.fault", "a call to {endpoint} ended", ValueError("odd"), endpoint="s-1")
     assert records[2]["exception"] is not None and records[2]["extra"]["left_out"] == 0
 
 
@@ -36,7 +36,7 @@
     clock = Clock()
     faults = FaultLog(clock)
     for _ in range(3 * int(TRACEBACK_INTERVAL_MS / LINE_INTERVAL_MS)):
-        faults.tell_refusal("journal.refused", "{turns} turns", OSError(28, "full"), turns=3)
+        faults.log_system_error("journal.refused", "{turns} turns", OSError(28, "full"), turns=3)
         clock.now += LINE_INTERVAL_MS / 2.0
     assert len(records) == 1.5 * TRACEBACK_INTERVAL_MS / LINE_INTERVAL_MS
     assert all(record["exception"] is None for record in records)
@@ -47,11 +47,11 @@
 def test_kinds_differ_by_event_type_and_errno_and_their_number_is_bounded(records):
     faults = FaultLog(Clock())
     for fault in (ValueError("a"), KeyError("a"), OSError(5, "io"), OSError(28, "full"), OSError(5, "other")):
-        faults.tell("turn.fault", "a turn ended", fault)
-    faults.tell("call.fault", "a call ended", ValueError("a"))
+        faults.log_exception("turn.fault", "a turn ended", fault)
+    faults.log_exception("call.fault", "a call ended", ValueError("a"))
     assert len(records) == 5
     for number in range(3 * MAX_KINDS):
-        faults.tell(f"event {number}", "odd", ValueError())
+        faults.log_exception(f"event {number}", "odd", ValueError())
     assert len(faults.kinds) <= MAX_KINDS
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -56,7 +56,7 @@
         step()
         return out
     setattr(owner, name, staticmethod(call) if static else call)
-for name in ("lock", "read", "create", "write", "replace", "close", "cut"):
+for name in ("lock", "read", "create", "write", "replace", "close", "truncate"):
     watch(system.System, name, True)
 for name in ("send_fds", "recv_fds"):
     watch(socket, name)
@@ -79,7 +79,9 @@
 sender.HandoverSender.__init__ = disarm()
 # for the other roles the steps are counted and no kill follows
 arm(sender.HandoverSender, "accepts") if role == "old" else arm(receiver, "request_handover")
-system.System.again = staticmethod(lambda: os.execv(sys.executable, [sys.executable, "-m", "calicopin"]))
+system.System.restart_process = staticmethod(
+    lambda: os.execv(sys.executable, [sys.executable, "-m", "calicopin"])
+)
 sys.argv = sys.argv[:1]
 from calicopin.lifecycle.start import main
 sys.exit(main(signal_reader))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -222,11 +222,11 @@
     table = make_table(lease_ms=1000.0)
     for number in range(500):
         open_lease(table, (number,), f"c-{number}", now=float(number))
-    before = table.work
+    before = table.examined_leases
     table.expire(1002.5)
-    assert (len(table), table.work - before) == (497, 3)
+    assert (len(table), table.examined_leases - before) == (497, 3)
     table.expire(1002.5)
-    assert table.work - before == 3
+    assert table.examined_leases - before == 3
 
 
 def test_leases_of_another_node_run_or_courier_are_refused():
@@ -332,13 +332,13 @@
     table = make_table()
     for number in range(leases):
         open_lease(table, (number * 10, number * 10 + 1), f"c-{number}")
-    before = table.work
+    before = table.examined_leases
     table.change({10})
-    assert table.work - before == 1
+    assert table.examined_leases - before == 1
     open_lease(table, (10,), "one more")
-    before = table.work
+    before = table.examined_leases
     table.change({10})
-    assert table.work - before == 2
+    assert table.examined_leases - before == 2
 
 
 def test_a_subscription_uses_less_than_64_bytes():
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -16,7 +16,7 @@
 from calicopin.lifecycle.reload import PATIENCE as RELOAD_RETRY_LIMIT
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.state.journal import Journal
-from calicopin.system import RETRY_LIMIT_MS, System, patiently
+from calicopin.system import RETRY_LIMIT_MS, System, call_with_retries
 from calicopin.system_errors import TRANSIENT_FILE_ERRORS
 from calicopin.wire.listfile import CHECK_INTERVAL_MS, ListFile
 from calicopin.wire.loop import AGAIN, Loop
@@ -38,7 +38,7 @@
     def now(self):
         return self.clock
 
-    def pause(self, span):
+    def sleep(self, span):
         self.clock += span
 
 
@@ -47,17 +47,17 @@
     system = PausedSystem()
     system.told["read"].extend([error] * 5)
     (tmp_path / "one").write_bytes(b"told")
-    assert patiently(system, system.read, str(tmp_path / "one")) == b"told" and system.clock > 0.0
+    assert call_with_retries(system, system.read, str(tmp_path / "one")) == b"told" and system.clock > 0.0
 
 
 def test_a_start_fails_after_the_retry_limit_and_at_once_for_permanent_errors(tmp_path):
     system = PausedSystem()
     with pytest.raises(FileNotFoundError):
-        patiently(system, system.read, str(tmp_path / "none"))
+        call_with_retries(system, system.read, str(tmp_path / "none"))
     assert system.clock == 0.0
     system.always["read"] = "EIO"
     with pytest.raises(OSError) as raised:
-        patiently(system, system.read, str(tmp_path / "none"))
+        call_with_retries(system, system.read, str(tmp_path / "none"))
     assert raised.value.errno == errno.EIO and RETRY_LIMIT_MS <= system.clock < RETRY_LIMIT_MS + 100.0
 
 
@@ -66,14 +66,14 @@
 
     step = 0.0
 
-    def boot(self):
+    def boot_id(self):
         self.meet("boot")
         return "b"
 
-    def wall(self):
-        return System.wall() + self.step
+    def wall_clock_ms(self):
+        return System.wall_clock_ms() + self.step
 
-    def pause(self, span):
+    def sleep(self, span):
         pass
 
 
@@ -98,7 +98,7 @@
     assert courier.post("a", left=60.0) == b"202"
     courier.kill()
     system = ForcedFaults()
-    system.pause = lambda span: None
+    system.sleep = lambda span: None
     system.told["read"].extend(["EIO", "ENFILE"])
     restarted = CourierFixture(
         tmp_path, clock=Clock(courier.loop.now()), endpoint=courier.endpoint, system=system
@@ -122,7 +122,7 @@
     poller = select.poll()  # unlike `select`, works for any descriptor number
     poller.register(reader.fd, select.POLLIN)
     assert not refused and poller.poll(0) == [(reader.fd, select.POLLIN)]
-    assert reader.heard() == {signal.SIGHUP}
+    assert reader.take_pending() == {signal.SIGHUP}
 
 
 def test_a_reload_is_retried_after_transient_errors(tmp_path):
--- a/tests/test_refusing_folder.py
+++ b/tests/test_refusing_folder.py
@@ -38,8 +38,8 @@
     def create(self, path):
         return System.create(path) if self.error is None else self.fail()
 
-    def cut(self, file, size):
-        return self.fail() if self.error and self.cut_fails else System.cut(file, size)
+    def truncate(self, file, size):
+        return self.fail() if self.error and self.cut_fails else System.truncate(file, size)
 
 
 @pytest.fixture
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -153,10 +153,10 @@
             raise OSError(errno.EIO, "EIO")
         return System.write(file, data)
 
-    def cut(self, file, size):
+    def truncate(self, file, size):
         if self.failing:
             raise OSError(errno.EIO, "EIO")
-        System.cut(file, size)
+        System.truncate(file, size)
 
 
 def test_a_partial_record_that_cannot_be_truncated_hides_no_later_record(tmp_path):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -7,7 +7,7 @@
 from courier_helper import place, text
 from helper import Clock, free_address
 
-from calicopin.deployment_settings import check, load_columns, partners, product, pushed
+from calicopin.deployment_settings import check, list_is_pushed, load_columns, partners, product
 from calicopin.facade import CallProgress, CallResult, Facade
 from calicopin.interface import Repeat
 from calicopin.lifecycle.signals import SignalReader
@@ -120,7 +120,12 @@
     settings = {path.stem: settings_of(tomllib.loads(path.read_text())) for path in SITES}
     permits, alerts = settings["tromso-permits"], settings["cusco-alerts"]
     assert [product(grade, "linear").repeat for grade in permits["grades"]] == [Repeat.ONCE_ONLY]
-    assert not pushed(permits) and not load_columns(permits) and pushed(alerts) and load_columns(alerts)
+    assert (
+        not list_is_pushed(permits)
+        and not load_columns(permits)
+        and list_is_pushed(alerts)
+        and load_columns(alerts)
+    )
     assert (
         min(grade["giveUp"] for grade in alerts["grades"]) <= 1.2
         and min(grade["keyTtl"] for grade in alerts["grades"] if grade["keyTtl"]) == 1.0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -40,15 +40,22 @@
     def now(self):
         return self.at
 
-    def wall(self):
+    def wall_clock_ms(self):
         return self.at + self.offset
 
-    def boot(self):
+    def boot_id(self):
         return self.run
 
 
 def open_journal(kind, folder, machine):
-    told = (str(folder), 200_000, machine.wall() - machine.now(), machine, LASTING, machine.boot())
+    told = (
+        str(folder),
+        200_000,
+        machine.wall_clock_ms() - machine.now(),
+        machine,
+        LASTING,
+        machine.boot_id(),
+    )
     return Segments(*told) if kind == "segments" else Journal(*told)
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -209,8 +209,8 @@
     assert system_with_fault("write", "short").write(file, b"12345678") == 4
     assert system_with_fault("socket", "ENFILE").write(file, b"12345678") == 8
     with pytest.raises(OSError):
-        system_with_fault("socket", "ENFILE").stream()
-    assert abs(system_with_fault("wall", step=3600.0).wall() / 1000.0 - time.time() - 3600.0) < 5.0
+        system_with_fault("socket", "ENFILE").create_socket()
+    assert abs(system_with_fault("wall", step=3600.0).wall_clock_ms() / 1000.0 - time.time() - 3600.0) < 5.0
 
 
 def test_client_connection_gets_short_reads_but_no_fatal_error():
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -13,7 +13,7 @@
 from calicopin.state.connections import Budget, Lines
 from calicopin.state.journal import Journal, allocated_bytes
 from calicopin.state.texts import EndedIds, Text
-from calicopin.system import HERE, System
+from calicopin.system import REAL_SYSTEM, System
 
 OFFSET = 5e11
 
@@ -272,10 +272,10 @@
 
 
 def test_ids_of_ended_texts_survive_restarts_for_the_longest_validity_period(tmp_path):
-    now = HERE.now()
+    now = REAL_SYSTEM.now()
 
     def restart(boot="b", offset=OFFSET, max_validity=60000.0):
-        return Journal(str(tmp_path), 3_000_000, offset, HERE, max_validity, boot)
+        return Journal(str(tmp_path), 3_000_000, offset, REAL_SYSTEM, max_validity, boot)
 
     journal = restart()
     for ident in "abc":
@@ -291,29 +291,33 @@
 
 
 def test_a_wall_clock_change_within_one_boot_does_not_move_a_validity(tmp_path):
-    journal = Journal(str(tmp_path), 3_000_000, OFFSET, HERE, 60000.0, "b")
-    until = HERE.now() + 5000.0
+    journal = Journal(str(tmp_path), 3_000_000, OFFSET, REAL_SYSTEM, 60000.0, "b")
+    until = REAL_SYSTEM.now() + 5000.0
     journal.taken(replace(text("a"), until=until))
     journal.flush()
     for step in (300_000.0, -300_000.0):
-        assert Journal(str(tmp_path), 3_000_000, OFFSET + step, HERE, 60000.0, "b").texts[
+        assert Journal(str(tmp_path), 3_000_000, OFFSET + step, REAL_SYSTEM, 60000.0, "b").texts[
             "a"
         ].until == pytest.approx(until)
-    after = Journal(str(tmp_path), 3_000_000, OFFSET - 300_000.0, HERE, 60000.0, "another").texts["a"].until
+    after = (
+        Journal(str(tmp_path), 3_000_000, OFFSET - 300_000.0, REAL_SYSTEM, 60000.0, "another")
+        .texts["a"]
+        .until
+    )
     assert (
-        after <= HERE.now() + 60000.0
+        after <= REAL_SYSTEM.now() + 60000.0
     )  # the wall clock was set back while the courier was down; the longest validity is the limit
 
 
 def test_ended_ids_take_a_bounded_share_of_the_disk(tmp_path):
-    journal = Journal(str(tmp_path), 100_000, OFFSET, HERE, 60000.0, "b")
+    journal = Journal(str(tmp_path), 100_000, OFFSET, REAL_SYSTEM, 60000.0, "b")
     for number in range(5000):
         one = text(f"{number:016x}", 0)
         journal.taken(one)
         journal.over(one, 1e6 + number / 100.0)
         journal.flush()
         assert disk_bytes(tmp_path) <= 100_000
-    kept = Journal(str(tmp_path), 100_000, OFFSET, HERE, 60000.0, "b")
+    kept = Journal(str(tmp_path), 100_000, OFFSET, REAL_SYSTEM, 60000.0, "b")
     assert kept.knows(f"{4999:016x}") and len(kept.past.idents) < 1500
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,17 +15,19 @@
 from calicopin.store.__main__ import main
 from calicopin.store.measure import STORES, measure_store
 from calicopin.store.segments import NewerFormatError, Segments, scan_records
-from calicopin.system import HERE, System
+from calicopin.system import REAL_SYSTEM, System
 
 OFFSET, MAX_VALIDITY_MS = 5e11, 60000.0
 
 
-def open_store(folder, disk=200_000, system=HERE):
+def open_store(folder, disk=200_000, system=REAL_SYSTEM):
     return Segments(str(folder), disk, OFFSET, system, MAX_VALIDITY_MS, "b")
 
 
 def text(ident, size=100, **other):
-    return Text(ident, 3, 0, f"ref{ident}", None, HERE.now() + 50000.0, bytes([len(ident)]) * size, **other)
+    return Text(
+        ident, 3, 0, f"ref{ident}", None, REAL_SYSTEM.now() + 50000.0, bytes([len(ident)]) * size, **other
+    )
 
 
 def approximately(at):
@@ -56,7 +58,7 @@
     for number in range(first, first + count):
         ident = f"t{number}"
         while not store.room(400):  # as the courier does: it accepts no text without room
-            store.over(rng.choice(list(store.texts.values())), HERE.now())
+            store.over(rng.choice(list(store.texts.values())), REAL_SYSTEM.now())
         store.taken(text(ident, rng.randrange(400)))
         for one in rng.sample(list(store.texts.values()), min(3, len(store.texts))):
             if one.verdict is not None:
@@ -69,7 +71,7 @@
             elif choice == 3:
                 store.given_up(one, "bounced", 300.0)
             elif choice >= 4 and (len(store.texts) > 60 or rng.random() < 0.3):
-                store.over(one, HERE.now())
+                store.over(one, REAL_SYSTEM.now())
         store.flush()
 
 
@@ -156,11 +158,11 @@
 def test_a_single_file_journal_is_converted_once(tmp_path):
     from calicopin.state.journal import Journal
 
-    old = Journal(str(tmp_path), 200_000, OFFSET, HERE, MAX_VALIDITY_MS, "b")
+    old = Journal(str(tmp_path), 200_000, OFFSET, REAL_SYSTEM, MAX_VALIDITY_MS, "b")
     for ident in "abc":
         old.taken(text(ident))
     old.sent(old.texts["b"], 1234.0, "z")
-    old.over(old.texts["c"], HERE.now())
+    old.over(old.texts["c"], REAL_SYSTEM.now())
     old.flush()
     store = open_store(tmp_path)
     assert set(store.texts) == {"a", "b"} and store.texts["b"].ran_at == 1234.0 and store.knows("c")
@@ -183,7 +185,7 @@
             run_traffic(store, rng, 1, number)
         except OSError:
             failed += 1
-    store.system = HERE
+    store.system = REAL_SYSTEM
     store.taken(text("last"))
     store.flush()
     reopened = open_store(tmp_path, 100_000)
@@ -205,7 +207,7 @@
         one = text(f"n{number}", 80)
         store.taken(one)
         store.flush()
-        store.over(one, HERE.now())
+        store.over(one, REAL_SYSTEM.now())
         store.flush()
     assert min(store.sizes) > 10 and {one.ident for one in long_lived} == set(
         open_store(tmp_path, 100_000).texts
@@ -227,7 +229,7 @@
 @pytest.mark.parametrize("seed,call", [(1, call) for call in range(20, 1500, 37)])
 def test_each_text_has_exactly_one_end_after_a_kill_at_any_system_call(seed, call):
     _, referee, _ = runs.play(load("crash-segments"), seed, kills=(call, 1 + call % 23))
-    assert not referee.breaks, list(map(str, referee.breaks[:3]))
+    assert not referee.violations, list(map(str, referee.violations[:3]))
 
 
 def run_command(*words):
@@ -273,7 +275,7 @@
 
 
 def test_a_folder_in_use_is_left_alone(tmp_path):
-    lock = HERE.lock(str(tmp_path))
+    lock = REAL_SYSTEM.lock(str(tmp_path))
     assert (
         run_command("verify", tmp_path).exit_code == 2
         and run_command("verify", tmp_path / "nowhere").exit_code == 2
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -393,7 +393,7 @@
 
     at, disk_full = 1.8e12, False
 
-    def wall(self):
+    def wall_clock_ms(self):
         return self.at
 
     def create(self, path):
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -14,8 +14,8 @@
 from calicopin.subscription.leases import LeaseBounds, LeaseTable
 from calicopin.subscription.messages import Grant, Reason, Refusal, encode_answer, encode_refusal
 from calicopin.subscription.nodes import NEXT_NODE_JITTER_MS, ranking
-from calicopin.subscription.session import Standing
-from calicopin.system import HERE
+from calicopin.subscription.session import DestinationState
+from calicopin.system import REAL_SYSTEM
 from calicopin.wire.asking import TOLD
 from calicopin.wire.loop import Event, Loop, Until
 from calicopin.wire.subscriber import AGAIN, PROMPT, STARTUP_LIMIT_MS, WAIT, Subscriber
@@ -158,7 +158,7 @@
     updates = Updates()
     subscriber, node, request = started(loop, updates, 41, 7)
     assert updates == [([("e-41", True, False), ("e-7", True, False)], True)] and subscriber.tried
-    assert subscriber.use(41) is Standing.KNOWN and subscriber.version == 1
+    assert subscriber.use(41) is DestinationState.KNOWN and subscriber.version == 1
     node.respond(request, 2, [entry("e-41", 41, "leaving"), entry("f-41", 41)])
     spin(loop, lambda: len(updates) == 2)
     assert updates[1] == ([("e-41", False, False), ("f-41", True, False)], False)
@@ -168,7 +168,7 @@
     node.respond(request, 3, [entry("f-41", 41)], complete=[41], unknown=[7])
     spin(loop, lambda: len(updates) == 3)
     assert updates[2] == ([("e-41", False, True), ("e-7", False, True), ("f-41", True, False)], False)
-    assert subscriber.use(7) is Standing.UNKNOWN
+    assert subscriber.use(7) is DestinationState.UNKNOWN
     assert {key: [each.ident for each in value] for key, value in subscriber.subscribed().items()} == {
         41: ["f-41"]
     }
@@ -177,7 +177,7 @@
 def test_fresh_subscription_does_not_wait_for_the_parked_poll(loop):
     updates, event, ended = Updates(), Event(loop), []
     subscriber, node, _ = started(loop, updates, 41)
-    assert subscriber.use(9) is Standing.WAITING
+    assert subscriber.use(9) is DestinationState.WAITING
 
     def client():
         ended.append((yield Until(event=event)))
@@ -192,7 +192,7 @@
     subscriber.use(11)
     node.respond(request, 2, [entry("e-9", 9)])
     spin(loop, lambda: ended)
-    assert updates[1] == ([("e-9", True, False)], False) and subscriber.use(9) is Standing.KNOWN
+    assert updates[1] == ([("e-9", True, False)], False) and subscriber.use(9) is DestinationState.KNOWN
     advance(loop)
     target, request = node.next_request()
     assert target == "/api/targets?index=2&wait=0" and request["subscribe"] == [10, 11], (
@@ -207,7 +207,7 @@
     subscriber.settled(10, late)
     subscriber.unsettled(10, late)
     node.respond(request, 3, [entry("e-10", 10)], unknown=[11])
-    spin(loop, lambda: subscriber.use(10) is Standing.KNOWN)
+    spin(loop, lambda: subscriber.use(10) is DestinationState.KNOWN)
     assert not late.is_set, "its wait was dropped"
 
 
@@ -221,7 +221,7 @@
     assert again == request and again["sequence"] == 1 and again["subscribe"] == [9]
     node.respond(again, 2, [entry("e-9", 9)])
     spin(loop, lambda: len(updates) == 2)
-    assert subscriber.use(9) is Standing.KNOWN
+    assert subscriber.use(9) is DestinationState.KNOWN
 
 
 def _advance_until_request(loop, node, milliseconds=AGAIN, most=200):
@@ -307,7 +307,7 @@
         advance(loop)
         _, request = _advance_until_request(loop, node)
         assert request["lease"] is None and request["subscribe"] == [41]
-    assert len(updates) == 1 and subscriber.use(41) is Standing.KNOWN
+    assert len(updates) == 1 and subscriber.use(41) is DestinationState.KNOWN
     assert sum(fault in line for line in log_lines) == 1 and "the known list stays in use" in log_lines[0]
     node.respond(request, 1, [entry("f-41", 41)], full=True)
     spin(loop, lambda: len(updates) == 2)
@@ -360,7 +360,7 @@
     _, request = _advance_until_request(loop, nodes[1], 10.0)
     assert request["subscribe"] == [9] and loop.now() - began <= PROMPT + NEXT_NODE_JITTER_MS + 30.0
     nodes[1].respond(request, 1, [entry("e-9", 9)], full=True)
-    spin(loop, lambda: subscriber.use(9) is Standing.KNOWN)
+    spin(loop, lambda: subscriber.use(9) is DestinationState.KNOWN)
 
 
 def test_refused_connection_leads_to_the_next_node(loop):
@@ -406,8 +406,8 @@
     node.hang_up()
     for _ in range(200):
         advance(loop)
-    assert subscriber.use(41) is Standing.KNOWN and len(updates) == 1
-    assert subscriber.use(9) is Standing.WAITING
+    assert subscriber.use(41) is DestinationState.KNOWN and len(updates) == 1
+    assert subscriber.use(9) is DestinationState.WAITING
     back, began = Node.__new__(Node), loop.now()
     back.loop, back.address, back.name, back.lease, back.peer = loop, address, name, "n1-9", None
     host, port = address.split(":")
@@ -419,7 +419,7 @@
     _, request = _advance_until_request(loop, back, 20.0)
     back.respond(request, 1, [entry("f-41", 41), entry("e-9", 9)], full=True)
     spin(loop, lambda: len(updates) == 2)
-    assert loop.now() - began < TOLD and subscriber.use(9) is Standing.KNOWN
+    assert loop.now() - began < TOLD and subscriber.use(9) is DestinationState.KNOWN
     assert 2 <= len(log_lines) <= 4, "one line for each kind of fault, not for each try"
 
 
@@ -447,8 +447,8 @@
     node = Node(loop)
     subscriber = make_subscriber(loop, [node], updates, {41: [place("old", 41)], 7: []})
     assert (
-        subscriber.use(41) is Standing.KNOWN
-        and subscriber.use(7) is Standing.WAITING
+        subscriber.use(41) is DestinationState.KNOWN
+        and subscriber.use(7) is DestinationState.WAITING
         and not subscriber.tried
     )
     assert list(subscriber.subscribed()) == [41]
@@ -458,7 +458,7 @@
     node.respond(request, 1, [entry("new", 41)], full=True, unknown=[7])
     spin(loop, lambda: updates)
     assert updates == [([("new", True, False)], True)] and notified == [True]
-    assert subscriber.use(7) is Standing.UNKNOWN
+    assert subscriber.use(7) is DestinationState.UNKNOWN
 
 
 def test_an_idle_destination_is_unsubscribed_with_the_next_request_and_subscribed_to_anew_when_used(loop):
@@ -470,7 +470,7 @@
     spin(loop, lambda: len(updates) == 2)
     _, request = node.next_request()
     assert (request["sequence"], request["unsubscribe"]) == (1, [41]) and updates.released == [41]
-    assert subscriber.use(41) is Standing.WAITING
+    assert subscriber.use(41) is DestinationState.WAITING
     node.respond(request, 1)
     spin(loop, lambda: len(updates) == 3)
     advance(loop)
@@ -486,7 +486,7 @@
         subscriber.use(9)
     updates.in_use.clear()
     loop.now.now += 1000.0
-    assert subscriber.use(9) is Standing.WAITING
+    assert subscriber.use(9) is DestinationState.WAITING
     _, request = node.next_request()
     assert (request["subscribe"], request["unsubscribe"]) == ([9], [41]) and updates.released == [41]
 
@@ -503,7 +503,7 @@
     )
     assert len(updates) == 2 and subscriber.figures().interrupted == 0
     node.respond(request, 3, [entry("f-41", 41), entry("e-9", 9)])
-    spin(loop, lambda: subscriber.use(9) is Standing.KNOWN)
+    spin(loop, lambda: subscriber.use(9) is DestinationState.KNOWN)
     assert [one.ident for one in subscriber.subscribed()[41]] == ["f-41"]
 
 
@@ -566,7 +566,7 @@
     assert not _has_request(loop, nodes[1])
     nodes[0].respond(request, 1, full=True, unknown=range(20000))
     spin(loop, lambda: updates)
-    assert subscriber.use(7) is Standing.UNKNOWN
+    assert subscriber.use(7) is DestinationState.UNKNOWN
 
 
 class RealNode:
@@ -575,7 +575,7 @@
     def __init__(self, loop, log, run="1", address="127.0.0.1:0"):
         host, port = address.split(":")
         self.loop, self.log = loop, log
-        listener = HERE.listen(host, int(port))
+        listener = REAL_SYSTEM.listen(host, int(port))
         self.address = "127.0.0.1:%d" % listener.getsockname()[1]
         self.table = LeaseTable(FLEET, "n1", run, LeaseBounds())
         self.server = NodeServer(loop, listener, self.table, ServerBounds())
@@ -629,17 +629,17 @@
     subscriber = make_subscriber(loop, [node], updates, idle=60000.0)
     subscriber.use(41)
     subscriber.use(99)
-    run_until(loop, lambda: subscriber.use(99) is Standing.UNKNOWN)
+    run_until(loop, lambda: subscriber.use(99) is DestinationState.UNKNOWN)
     assert listed(subscriber) == {41: [("e-41", True)]}
     node.write(entry("e-41", 41, "leaving"), entry("f-41", 41), entry("e-99", 99))
-    run_until(loop, lambda: subscriber.use(99) is Standing.KNOWN)
+    run_until(loop, lambda: subscriber.use(99) is DestinationState.KNOWN)
     assert listed(subscriber) == {41: [("e-41", False), ("f-41", True)], 99: [("e-99", True)]}
     node.write(entry("e-41", 41, "left"))
     run_until(loop, lambda: listed(subscriber)[41] == [("f-41", True)])
     assert ("e-41", False, True) in updates[-1][0]
     run_until(loop, lambda: subscriber.session.longest_wait(subscriber.address, WAIT) and node.server.parked)
     notified = []
-    assert subscriber.use(7) is Standing.WAITING
+    assert subscriber.use(7) is DestinationState.WAITING
     subscriber.settled(7, notified)
     began = loop.now()
     run_until(loop, lambda: notified, step=0.0)
@@ -660,16 +660,16 @@
     node, updates = RealNode(loop, log), Updates()
     subscriber = make_subscriber(loop, [node], updates)
     subscriber.use(41)
-    run_until(loop, lambda: subscriber.use(41) is Standing.KNOWN)
+    run_until(loop, lambda: subscriber.use(41) is DestinationState.KNOWN)
     node.kill()
     loop.now.now += POLL_INTERVAL_MS
     with open(log, "a", encoding="ascii") as file:
         file.write(json.dumps(entry("e-41", 41, "left")) + "\n" + json.dumps(entry("g-41", 41)) + "\n")
     run_until(loop, lambda: subscriber.nodes.current is None)
-    assert subscriber.use(41) is Standing.KNOWN and subscriber.use(7) is Standing.WAITING
+    assert subscriber.use(41) is DestinationState.KNOWN and subscriber.use(7) is DestinationState.WAITING
     began = loop.now()
     back = RealNode(loop, log, "2", node.address)
-    run_until(loop, lambda: subscriber.use(7) is Standing.KNOWN)
+    run_until(loop, lambda: subscriber.use(7) is DestinationState.KNOWN)
     assert listed(subscriber) == {41: [("g-41", True)], 7: [("e-7", True)]}
     assert loop.now() - began <= TOLD and back.server.refused[Reason.LEASE_OVER] == 1
 
@@ -679,7 +679,7 @@
     node, updates = RealNode(loop, log), Updates()
     subscriber = make_subscriber(loop, [node], updates)
     subscriber.use(41)
-    run_until(loop, lambda: subscriber.use(41) is Standing.KNOWN and node.server.parked)
+    run_until(loop, lambda: subscriber.use(41) is DestinationState.KNOWN and node.server.parked)
     node.table.expire(loop.now() + 31000.0)
     node.write(entry("e-41", 41, "left"), entry("g-41", 41))
     run_until(loop, lambda: listed(subscriber) == {41: [("g-41", True)]})
--- a/tests/test_subscription_properties.py
+++ b/tests/test_subscription_properties.py
@@ -20,7 +20,8 @@
 from calicopin.subscription.leases import LeaseBounds, LeaseTable, LeaseUpdate, Wait
 from calicopin.subscription.messages import Grant, MessageError, Reason, Refusal, SubscribeAnswer
 from calicopin.subscription.nodes import NodeChoice
-from calicopin.subscription.session import Session, Standing
+from calicopin.subscription.session import DestinationState as Standing
+from calicopin.subscription.session import Session
 from calicopin.wire.asking import TOLD
 from calicopin.wire.subscriber import AGAIN, PROMPT, SILENCE, WAIT
 
--- a/tests/test_subscription_session.py
+++ b/tests/test_subscription_session.py
@@ -4,7 +4,7 @@
 
 from calicopin.facade import Place
 from calicopin.subscription.messages import Grant, MessageError, Reason, Refusal, SubscribeAnswer
-from calicopin.subscription.session import Session, Standing
+from calicopin.subscription.session import DestinationState, Session
 
 NODE, OTHER = "127.0.0.1:1", "127.0.0.1:2"
 
@@ -45,7 +45,7 @@
     session = Session("fleet", "c-1")
     session.subscribe(41)
     session.subscribe(7)
-    assert session.destination_state(41) is Standing.WAITING
+    assert session.destination_state(41) is DestinationState.WAITING
     ask = session.next(NODE)
     assert (
         ask.request.lease is None
@@ -55,7 +55,10 @@
     )
     news = answer(session, ask, 5, [place("a", 41), place("b", 41)], full=True, unknown=[7])
     assert news.whole and news_states(news) == [("a", True, False), ("b", True, False)]
-    assert (session.destination_state(41), session.destination_state(7)) == (Standing.KNOWN, Standing.UNKNOWN)
+    assert (session.destination_state(41), session.destination_state(7)) == (
+        DestinationState.KNOWN,
+        DestinationState.UNKNOWN,
+    )
     ask = session.next(NODE)
     assert (
         request_change(ask) == (0, (), ())
@@ -71,15 +74,19 @@
     news = answer(session, session.next(NODE), 2, [place("f", 41)])
     assert not news.whole and news_states(news) == [("e-41", False, True), ("f", True, False)]
     news = answer(session, session.next(NODE), 3, [place("f", 41, left=True)])
-    assert news_states(news) == [("f", False, True)] and session.destination_state(41) is Standing.KNOWN
+    assert (
+        news_states(news) == [("f", False, True)] and session.destination_state(41) is DestinationState.KNOWN
+    )
     news = answer(session, session.next(NODE), 4, unknown=[41])
     assert (
         news_states(news) == []
-        and session.destination_state(41) is Standing.UNKNOWN
+        and session.destination_state(41) is DestinationState.UNKNOWN
         and list(session.known_endpoints()) == [7]
     )
     news = answer(session, session.next(NODE), 5, [place("g", 41)])
-    assert news_states(news) == [("g", True, False)] and session.destination_state(41) is Standing.KNOWN
+    assert (
+        news_states(news) == [("g", True, False)] and session.destination_state(41) is DestinationState.KNOWN
+    )
 
 
 def test_an_endpoint_that_moves_to_another_destination_has_not_left():
@@ -122,21 +129,21 @@
     assert (
         request_change(ask) == (0, (), ())
         and ask.released == ()
-        and session.destination_state(41) is Standing.KNOWN
+        and session.destination_state(41) is DestinationState.KNOWN
     )
     session.unsubscribe(41)
     session.subscribe(41)
     session.unsubscribe(41)
     ask = session.next(NODE)
     assert request_change(ask) == (1, (), (41,)) and ask.released == (41,)
-    assert session.destination_state(41) is Standing.WAITING and session.known_endpoints() == {}
+    assert session.destination_state(41) is DestinationState.WAITING and session.known_endpoints() == {}
     session.subscribe(41)
     assert session.next(NODE).request == ask.request, "its answer is still outstanding"
     answer(session, session.next(NODE), 2)
     ask = session.next(NODE)
     assert request_change(ask) == (2, (41,), ())
     answer(session, ask, 3, [place("e-41", 41)])
-    assert session.destination_state(41) is Standing.KNOWN
+    assert session.destination_state(41) is DestinationState.KNOWN
 
 
 def test_an_ended_lease_is_followed_by_a_new_one_with_the_current_set():
@@ -147,7 +154,7 @@
     assert session.refused(Refusal(Reason.LEASE_OVER, "over")), "the same node at once"
     ask = session.next(NODE)
     assert ask.request.lease is None and request_change(ask) == (0, (41, 9), ())
-    assert session.destination_state(41) is Standing.KNOWN, "the last valid state is kept"
+    assert session.destination_state(41) is DestinationState.KNOWN, "the last valid state is kept"
     assert not session.refused(Refusal(Reason.LEASE_OVER, "over")), "no lease was named: another node"
 
 
@@ -199,8 +206,8 @@
 
 def test_restored_destinations_are_subscribed_and_known_and_not_confirmed():
     session = Session("fleet", "c-1", {41: [place("old", 41)], 7: []})
-    assert session.destination_state(41) is Standing.KNOWN and not session.confirmed(41)
-    assert session.destination_state(7) is Standing.WAITING
+    assert session.destination_state(41) is DestinationState.KNOWN and not session.confirmed(41)
+    assert session.destination_state(7) is DestinationState.WAITING
     ask = session.next(NODE)
     assert ask.request.subscribe == (41, 7)
     news = answer(session, ask, 1, [place("new", 41)], full=True, unknown=[7])
@@ -218,7 +225,7 @@
     session = open_session(41, 7)
     news = answer(session, session.next(NODE), 9, [place("f", 41)], full=True, complete=[41], unknown=[7])
     assert news.whole and news_states(news) == [("f", True, False)] and session.resyncs == 1
-    assert session.destination_state(7) is Standing.UNKNOWN
+    assert session.destination_state(7) is DestinationState.UNKNOWN
 
 
 def test_destinations_that_were_not_subscribed_are_ignored():
@@ -226,8 +233,8 @@
     news = answer(session, session.next(NODE), 2, [place("x", 99), place("f", 41)], unknown=[98])
     assert news_states(news) == [("e-41", False, True), ("f", True, False)] and news.confirmed == (41,)
     assert (
-        session.destination_state(99) is Standing.WAITING
-        and session.destination_state(98) is Standing.WAITING
+        session.destination_state(99) is DestinationState.WAITING
+        and session.destination_state(98) is DestinationState.WAITING
     )
 
 
@@ -279,4 +286,4 @@
     session = open_session(41)
     news = answer(session, session.next(OTHER), 1, full=True, unknown=[41], node="n2", lease="n2-1")
     assert not news.whole and news_states(news) == [("e-41", False, True)]
-    assert session.destination_state(41) is Standing.UNKNOWN
+    assert session.destination_state(41) is DestinationState.UNKNOWN
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -11,7 +11,7 @@
 from forced_faults import SHORT, ForcedFaults
 from helper import answer, spin
 
-from calicopin.system_errors import PASSING, SINGLE_CONNECTION_ERRORS
+from calicopin.system_errors import SINGLE_CONNECTION_ERRORS, TRANSIENT_ERRORS
 from calicopin.wire.loop import AGAIN
 
 TRANSIENT = ("EINTR", "ENOBUFS", "ENOMEM")  # EINTR: where Python does not retry by itself
@@ -61,7 +61,7 @@
     assert not courier.runtime.journal.texts and not peer.hear()
 
 
-@pytest.mark.parametrize("code", sorted(SINGLE_CONNECTION_ERRORS - PASSING))
+@pytest.mark.parametrize("code", sorted(SINGLE_CONNECTION_ERRORS - TRANSIENT_ERRORS))
 def test_a_connection_that_ended_before_its_accept_does_not_delay_the_next(courier, system, code):
     system.told["accept"].append(errno.errorcode[code])
     peer = courier.request(body=b"abc")
--- a/tests/test_time.py
+++ b/tests/test_time.py
@@ -28,11 +28,15 @@
             base = ast.unparse(node.value)
             if base in ("time", "datetime", "datetime.datetime") and node.attr in READERS:
                 found.add(f"{base}.{node.attr}")
-            elif node.attr == "wall" and base.endswith(("system", "System")):
+            elif node.attr == "wall_clock_ms" and base.endswith(("system", "System")):
                 found.add("wall")
         elif isinstance(node, ast.ImportFrom) and node.module == "time":
             found |= {f"time.{name.name}" for name in node.names}
-        elif isinstance(node, ast.FunctionDef) and node.name == "wall" and path.name == "faulty_system.py":
+        elif (
+            isinstance(node, ast.FunctionDef)
+            and node.name == "wall_clock_ms"
+            and path.name == "faulty_system.py"
+        ):
             found.add("wall")
     return found
 
@@ -54,11 +58,11 @@
 
     step = 0.0
 
-    def boot(self):
+    def boot_id(self):
         return "b"
 
-    def wall(self):
-        return System.wall() + self.step
+    def wall_clock_ms(self):
+        return System.wall_clock_ms() + self.step
 
 
 STATES = ("waiting", "called", "wait advised", "may have run", "ended")
@@ -131,7 +135,9 @@
     assert courier.post("b", left=60.0) == b"202", "journalled after the step"
     until = courier.runtime.journal.texts["b"].until
     check_after_start(state, tmp_path, courier, system)
-    reloaded = Journal(str(tmp_path), 3_000_000, system.wall() - courier.loop.now(), system, 60_000.0, "b")
+    reloaded = Journal(
+        str(tmp_path), 3_000_000, system.wall_clock_ms() - courier.loop.now(), system, 60_000.0, "b"
+    )
     assert reloaded.texts["b"].until == pytest.approx(until, abs=100.0)
 
 
@@ -144,7 +150,7 @@
 
 
 def test_a_reboot_never_extends_the_time_left_of_a_message(tmp_path):
-    now, offset = System.now(), System.wall() - System.now()
+    now, offset = System.now(), System.wall_clock_ms() - System.now()
     journal = Journal(str(tmp_path), 3_000_000, offset, System(), 60_000.0, "b")
     journal.taken(replace(text("a"), until=now + 5000.0))
     journal.flush()
