--- a/tests/forced_faults.py
+++ b/tests/forced_faults.py
@@ -18,7 +18,7 @@
     system = None
 
     def _meet(self, name):
-        return self.system.meet(name)
+        return self.system.fail_if_scheduled(name)
 
     def accept(self):
         self._meet("accept")
@@ -47,21 +47,21 @@
 
 
 class ForcedFaults(Rebooted):
-    """Fails calls by name: `told` holds the errno names for the next calls, `always` one for every call.
+    """Fails calls by name: `scheduled` holds errno names for the next calls, `permanent` one for every call.
 
-    `met` counts the failures. Calls on connections of clients are named `client_recv`, `client_send` and
+    `failed` counts the failures. Calls on connections of clients are named `client_recv`, `client_send` and
     `client_peek`.
     """
 
     def __init__(self):
-        self.told, self.always, self.met = defaultdict(deque), {}, defaultdict(int)
+        self.scheduled, self.permanent, self.failed = defaultdict(deque), {}, defaultdict(int)
 
     def next(self, name):
-        error = self.told[name].popleft() if self.told[name] else self.always.get(name)
-        self.met[name] += error is not None
+        error = self.scheduled[name].popleft() if self.scheduled[name] else self.permanent.get(name)
+        self.failed[name] += error is not None
         return error
 
-    def meet(self, name):
+    def fail_if_scheduled(self, name):
         """Raises the scheduled error; returns whether the call is to be a short one."""
         error = self.next(name)
         if error is None or error == SHORT:
@@ -78,45 +78,45 @@
         return self.wrap(System.listen(host, port))
 
     def create_socket(self):
-        self.meet("socket")
+        self.fail_if_scheduled("socket")
         return self.wrap(System.create_socket())
 
     def poller(self):
         return ForcedPoller(self)
 
     def read(self, path):
-        self.meet("read")
+        self.fail_if_scheduled("read")
         return System.read(path)
 
     def boot_id(self):
-        self.meet("boot")
+        self.fail_if_scheduled("boot")
         return ""
 
     def create(self, path):
-        self.meet("create")
+        self.fail_if_scheduled("create")
         return System.create(path)
 
     def write(self, file, data):
-        return System.write(file, data[:1] if self.meet("write") else data)
+        return System.write(file, data[:1] if self.fail_if_scheduled("write") else data)
 
     def sync(self, file):
-        self.meet("sync")
+        self.fail_if_scheduled("sync")
         return System.sync(file)
 
     def sync_folder(self, path):
-        self.meet("sync_folder")
+        self.fail_if_scheduled("sync_folder")
         return System.sync_folder(path)
 
     def truncate(self, file, size):
-        self.meet("cut")
+        self.fail_if_scheduled("cut")
         return System.truncate(file, size)
 
     def replace(self, old, new):
-        self.meet("replace")
+        self.fail_if_scheduled("replace")
         return System.replace(old, new)
 
     def remove(self, path):
-        self.meet("remove")
+        self.fail_if_scheduled("remove")
         return System.remove(path)
 
 
@@ -127,11 +127,11 @@
         self.system, self.poller = system, System.poller()
 
     def register(self, fd, mask):
-        self.system.meet("epoll_ctl")
+        self.system.fail_if_scheduled("epoll_ctl")
         self.poller.register(fd, mask)
 
     def modify(self, fd, mask):
-        self.system.meet("epoll_ctl")
+        self.system.fail_if_scheduled("epoll_ctl")
         self.poller.modify(fd, mask)
 
     def unregister(self, fd):
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -208,11 +208,11 @@
     half.say(request()[:-1])
     spin(loop, lambda: server.open and not server.idle)
     half.say(request()[-1:] + request(X_Request_ID="behind"))
-    system.told[call].extend([error] * 5)
+    system.scheduled[call].extend([error] * 5)
     server.refuse_outstanding_requests()
     for connection in server.visits:
         connection.line.sock.close()  # as at the end of the process
-    assert system.met[call] == 5
+    assert system.failed[call] == 5
     assert half.wait_end() == REFUSAL_RESPONSE and not half.reset
 
 
@@ -225,9 +225,9 @@
     for other in others:
         other.say(request()[:-1])
     spin(loop, lambda: server.open == 2 and not server.idle)
-    system.told["client_send"].extend([error] * 5)
+    system.scheduled["client_send"].extend([error] * 5)
     last = client(loop, address)
-    assert last.wait_end() == REFUSAL_RESPONSE and system.met["client_send"] == 5
+    assert last.wait_end() == REFUSAL_RESPONSE and system.failed["client_send"] == 5
 
 
 # Endpoints.
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("error", TRANSIENT)
 def test_a_start_retries_after_transient_errors(tmp_path, error):
     system = PausedSystem()
-    system.told["read"].extend([error] * 5)
+    system.scheduled["read"].extend([error] * 5)
     (tmp_path / "one").write_bytes(b"told")
     assert call_with_retries(system, system.read, str(tmp_path / "one")) == b"told" and system.clock > 0.0
 
@@ -55,7 +55,7 @@
     with pytest.raises(FileNotFoundError):
         call_with_retries(system, system.read, str(tmp_path / "none"))
     assert system.clock == 0.0
-    system.always["read"] = "EIO"
+    system.permanent["read"] = "EIO"
     with pytest.raises(OSError) as raised:
         call_with_retries(system, system.read, str(tmp_path / "none"))
     assert raised.value.errno == errno.EIO and RETRY_LIMIT_MS <= system.clock < RETRY_LIMIT_MS + 100.0
@@ -67,7 +67,7 @@
     step = 0.0
 
     def boot_id(self):
-        self.meet("boot")
+        self.fail_if_scheduled("boot")
         return "b"
 
     def wall_clock_ms(self):
@@ -86,7 +86,7 @@
     until = courier.runtime.journal.texts["a"].until
     courier.kill()
     system.step = step
-    system.told["boot"].append("ENFILE")
+    system.scheduled["boot"].append("ENFILE")
     restarted = CourierFixture(
         tmp_path, clock=Clock(courier.loop.now()), endpoint=courier.endpoint, system=system
     )
@@ -99,12 +99,12 @@
     courier.kill()
     system = ForcedFaults()
     system.sleep = lambda span: None
-    system.told["read"].extend(["EIO", "ENFILE"])
+    system.scheduled["read"].extend(["EIO", "ENFILE"])
     restarted = CourierFixture(
         tmp_path, clock=Clock(courier.loop.now()), endpoint=courier.endpoint, system=system
     )
     assert set(restarted.runtime.journal.texts) == {"a"}
-    assert isinstance(restarted.runtime.journal, Journal) and system.met["read"] == 2
+    assert isinstance(restarted.runtime.journal, Journal) and system.failed["read"] == 2
 
 
 def test_a_start_without_a_descriptor_for_signals_retries_and_keeps_pending_signals(monkeypatch):
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -43,10 +43,10 @@
         self.call_number += 1
         return self.call_number - 1 in self.failing_calls
 
-    def meet(self, name):
+    def fail_if_scheduled(self, name):
         if name in FAILING_CALLS and self.next_call_fails():
-            self.told[name].append(self.rng.choice(ERRORS))
-        return super().meet(name)
+            self.scheduled[name].append(self.rng.choice(ERRORS))
+        return super().fail_if_scheduled(name)
 
     def write(self, file, data):
         if self.call_number in self.failing_calls and len(data) > 1:
@@ -141,7 +141,7 @@
     os.makedirs(tmp_path / "s")
     driver = StoreDriver(OPENERS[kind](tmp_path / "s", system), 1)
     assert driver.run_turn()
-    system.always = dict.fromkeys(("write", "cut", "create", "sync"), "EIO")
+    system.permanent = dict.fromkeys(("write", "cut", "create", "sync"), "EIO")
     driver.store.taken(text("pending", 100))
     sizes = []
     for _ in range(1200):
@@ -149,12 +149,12 @@
             driver.store.flush()
         sizes.append(len(driver.store.buffer) + len(getattr(driver.store, "segment_head", b"")))
     assert max(sizes) < 20_000 and len(os.listdir(tmp_path / "s")) <= 3
-    system.always = dict.fromkeys(("write", "cut", "sync"), "EIO")
+    system.permanent = dict.fromkeys(("write", "cut", "sync"), "EIO")
     for _ in range(1200):
         with pytest.raises(OSError):
             driver.store.flush()
     assert len(os.listdir(tmp_path / "s")) <= 4
-    system.always = {}
+    system.permanent = {}
     driver.store.flush()
     assert "pending" in OPENERS[kind](tmp_path / "s", System()).texts
 
@@ -193,14 +193,14 @@
     """
     system = ForcedFaults()
     store = open_segments(tmp_path, system)
-    system.always["remove"] = "EBUSY"
+    system.permanent["remove"] = "EBUSY"
     for number in range(400):
         store.taken(text(f"m{number}", 900))
         store.over(store.texts[f"m{number}"], system.now())
         store.flush()
-    assert system.met["remove"]
+    assert system.failed["remove"]
     file_count = len([name for name in os.listdir(tmp_path) if name.endswith(SEGMENT_SUFFIX)])
-    system.always.clear()
+    system.permanent.clear()
     store.taken(text("last", 10))
     store.flush()
     assert len([name for name in os.listdir(tmp_path) if name.endswith(SEGMENT_SUFFIX)]) < file_count
@@ -211,7 +211,7 @@
     store = open_segments(tmp_path, system)
     store.taken(text("a", 100))
     store.flush()
-    system.told["sync"].append("EIO")
+    system.scheduled["sync"].append("EIO")
     store.taken(text("b", 100))
     with pytest.raises(OSError):
         store.flush()
@@ -245,7 +245,7 @@
     system = RecordingSystem()
     store = open_segments(tmp_path, system)
     assert system.order == ["create", "sync_folder", "write"]
-    system.told["sync_folder"].append("EIO")
+    system.scheduled["sync_folder"].append("EIO")
     for number in range(200):
         store.taken(text(f"m{number}", 900))
         store.over(store.texts[f"m{number}"], system.now())
@@ -253,5 +253,5 @@
     refused = next(
         position for position, operation in enumerate(system.order[2:], 2) if operation == "sync_folder"
     )
-    assert not system.told["sync_folder"] and system.order[refused + 1] == "create"
+    assert not system.scheduled["sync_folder"] and system.order[refused + 1] == "create"
     assert system.order[refused + 2 : refused + 4] == ["sync_folder", "write"]
--- a/tests/test_system_errors.py
+++ b/tests/test_system_errors.py
@@ -45,9 +45,9 @@
 @pytest.mark.parametrize("error", TRANSIENT)
 @pytest.mark.parametrize("call", ["client_recv", "client_send", "client_peek"])
 def test_a_request_is_answered_despite_transient_errors(courier, system, call, error):
-    system.told[call].extend([error] * 3)
+    system.scheduled[call].extend([error] * 3)
     peer = courier.request(body=b"abc")
-    spin(courier.loop, lambda: system.met[call] or b"202" in peer.hear())
+    spin(courier.loop, lambda: system.failed[call] or b"202" in peer.hear())
     courier.pass_time(5 * AGAIN)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
     assert set(courier.runtime.journal.texts) == {"a"}
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"])
 def test_a_broken_client_connection_withdraws_its_unacknowledged_text(courier, system, error):
-    system.told["client_send"].append(error)
+    system.scheduled["client_send"].append(error)
     peer = courier.request(product="once")
     spin(courier.loop, lambda: courier.runtime.ledger.withdrawn["once"])
     assert not courier.runtime.journal.texts and not peer.hear()
@@ -63,39 +63,39 @@
 
 @pytest.mark.parametrize("code", sorted(SINGLE_CONNECTION_ERRORS - TRANSIENT_ERRORS))
 def test_a_connection_that_ended_before_its_accept_does_not_delay_the_next(courier, system, code):
-    system.told["accept"].append(errno.errorcode[code])
+    system.scheduled["accept"].append(errno.errorcode[code])
     peer = courier.request(body=b"abc")
     spin(courier.loop, lambda: b"202" in peer.hear())
-    assert system.met["accept"] == 1 and courier.loop.now() == 1000.0, "without a wait"
+    assert system.failed["accept"] == 1 and courier.loop.now() == 1000.0, "without a wait"
 
 
 @pytest.mark.parametrize("error", ["ECONNABORTED", "EPROTO", "EPERM"])
 def test_an_accept_that_always_fails_does_not_spin(courier, system, error):
     """The error leaves the connection in the queue, so each pass of the loop would fail again at once."""
-    system.always["accept"] = error
+    system.permanent["accept"] = error
     peer = courier.request(body=b"abc")
     for _ in range(200):
         courier.loop.once(courier.loop.now())
-    assert system.met["accept"] < 40
-    system.always.clear()
+    assert system.failed["accept"] < 40
+    system.permanent.clear()
     courier.pass_time(2 * AGAIN)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL"])
 def test_an_accept_without_resources_is_retried_after_a_pause(courier, system, error):
-    system.told["accept"].extend([error] * 2)
+    system.scheduled["accept"].extend([error] * 2)
     peer = courier.request(body=b"abc")
-    spin(courier.loop, lambda: system.met["accept"] == 1)
+    spin(courier.loop, lambda: system.failed["accept"] == 1)
     for _ in range(20):
         courier.loop.once(courier.loop.now())
-    assert system.met["accept"] == 1, "it does not spin"
+    assert system.failed["accept"] == 1, "it does not spin"
     courier.pass_time(2 * AGAIN)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
 def test_a_request_and_its_call_may_be_read_and_written_byte_by_byte(courier, system):
-    system.always.update(client_recv=SHORT, client_send=SHORT, recv=SHORT, send=SHORT, write=SHORT)
+    system.permanent.update(client_recv=SHORT, client_send=SHORT, recv=SHORT, send=SHORT, write=SHORT)
     peer = courier.request(body=b"abc")
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
     endpoint_peer = courier.endpoint.meet()
@@ -105,7 +105,7 @@
 
 
 def test_the_list_and_a_notice_may_be_read_and_written_byte_by_byte(tmp_path, system):
-    system.always.update(recv=SHORT, send=SHORT, write=SHORT)
+    system.permanent.update(recv=SHORT, send=SHORT, write=SHORT)
     courier = CourierFixture(tmp_path, system=system)
     assert courier.post("a", product="once") == b"202"
     peer = courier.endpoint.meet()
@@ -120,21 +120,21 @@
 @pytest.mark.parametrize("call", ["socket", "connect"])
 @pytest.mark.parametrize("error", ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL", "EAGAIN"])
 def test_a_lack_of_local_resources_is_not_a_failure_of_the_endpoint(courier, system, call, error):
-    system.told[call].extend([error] * 6)
+    system.scheduled[call].extend([error] * 6)
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
-    spin(courier.loop, lambda: system.met[call])
+    spin(courier.loop, lambda: system.failed[call])
     courier.pass_time(7 * AGAIN)
     assert b"X-Request-ID: a" in courier.endpoint.meet().wait(b"\r\n\r\n")
-    assert system.met[call] == 6 and modes(courier) == {"well"} and endpoint_failures(courier) == before
+    assert system.failed[call] == 6 and modes(courier) == {"well"} and endpoint_failures(courier) == before
     assert courier.runtime.journal.texts["a"].tries == 1, "a connect without resources is not an attempt"
 
 
 def test_a_lack_of_local_resources_during_connect_is_not_a_failure_either(courier, system):
-    system.told["so_error"].append("ENOBUFS")
+    system.scheduled["so_error"].append("ENOBUFS")
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
-    spin(courier.loop, lambda: system.met["so_error"])
+    spin(courier.loop, lambda: system.failed["so_error"])
     courier.pass_time(2 * AGAIN)
     courier.endpoint.meet()
     assert (
@@ -145,10 +145,10 @@
 
 @pytest.mark.parametrize("error", ["ENETUNREACH", "EHOSTUNREACH", "ENETDOWN", "ECONNABORTED"])
 def test_a_connect_without_a_route_is_retried(courier, system, error):
-    system.told["connect"].extend([error] * 3)
+    system.scheduled["connect"].extend([error] * 3)
     before = endpoint_failures(courier)
     assert courier.post("a") == b"202"
-    spin(courier.loop, lambda: system.met["connect"])
+    spin(courier.loop, lambda: system.failed["connect"])
     courier.pass_time(4 * AGAIN)
     assert (
         b"X-Request-ID: a" in courier.endpoint.meet().wait(b"\r\n\r\n")
@@ -157,9 +157,9 @@
 
 
 def test_a_route_that_stays_missing_counts_as_a_failure_of_the_call(courier, system):
-    system.always["connect"] = "ENETUNREACH"
+    system.permanent["connect"] = "ENETUNREACH"
     assert courier.post("a") == b"202"
-    spin(courier.loop, lambda: system.met["connect"])
+    spin(courier.loop, lambda: system.failed["connect"])
     courier.pass_time(3000.0)
     assert endpoint_failures(courier)[0][0] > 0
 
@@ -167,15 +167,15 @@
 @pytest.mark.parametrize("call", ["send", "recv", "peek"])
 @pytest.mark.parametrize("error", TRANSIENT)
 def test_a_call_goes_on_despite_transient_errors(courier, system, call, error):
-    system.told[call].extend([error] * 2)
+    system.scheduled[call].extend([error] * 2)
     before = endpoint_failures(courier)
     assert courier.post("a", product="once") == b"202"
     peer = courier.endpoint.meet()
-    spin(courier.loop, lambda: system.met[call] or b"\xfe\xfe\xfe" in peer.hear())
+    spin(courier.loop, lambda: system.failed[call] or b"\xfe\xfe\xfe" in peer.hear())
     courier.pass_time(4 * AGAIN)
     peer.wait(b"\xfe\xfe\xfe")
     peer.say(answer(200))
-    spin(courier.loop, lambda: system.met[call] or courier.runtime.ledger.succeeded["once"])
+    spin(courier.loop, lambda: system.failed[call] or courier.runtime.ledger.succeeded["once"])
     courier.pass_time(4 * AGAIN)
     assert courier.runtime.ledger.succeeded["once"] == 1 and endpoint_failures(courier) == before
 
@@ -188,27 +188,27 @@
     """With `max_user_watches` exhausted, a coroutine resumed at once retried for ever in one pass."""
     peer = courier.request(body=b"abc")
     peer.wait(b"\r\n\r\n")
-    system.always["epoll_ctl"] = error
+    system.permanent["epoll_ctl"] = error
     second = courier.request("b")
     for _ in range(50):
         courier.loop.once(courier.loop.now())
-    assert system.met["epoll_ctl"] < 20
+    assert system.failed["epoll_ctl"] < 20
     courier.pass_time(5 * AGAIN)
-    system.always.clear()
+    system.permanent.clear()
     courier.pass_time(5 * AGAIN)
     assert second.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
 
 
 def test_a_close_that_fails_does_not_disturb_the_courier(courier, system):
     """Linux frees the descriptor even if close returns an error."""
-    system.always["close"] = "EIO"
+    system.permanent["close"] = "EIO"
     for ident in "ab":
         peer = courier.request(ident)
         assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
         peer.sock.close()
-    spin(courier.loop, lambda: system.met["close"] >= 2)
+    spin(courier.loop, lambda: system.failed["close"] >= 2)
     assert not courier.runtime.stuck
-    system.always.clear()
+    system.permanent.clear()
     assert courier.post("c") == b"202"
 
 
@@ -217,10 +217,10 @@
 
     The platform did not know the message yet and ignored the notice; the message was lost.
     """
-    system.told["client_send"].append("ENOBUFS")
+    system.scheduled["client_send"].append("ENOBUFS")
     peer = courier.request(left=0.03)
     courier.pass_time(95.0)
-    assert system.met["client_send"] and not peer.hear() and not courier.runtime.facade.texts
+    assert system.failed["client_send"] and not peer.hear() and not courier.runtime.facade.texts
     assert not courier.runtime.notices.owed, "the message has ended, and its notice waits for the 202"
     courier.pass_time(2 * AGAIN)
     assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
@@ -228,7 +228,7 @@
 
 
 def test_no_notice_is_owed_if_the_client_left_before_the_202_of_an_ended_message(courier, system):
-    system.told["client_send"].extend(["ENOBUFS", "ECONNRESET"])
+    system.scheduled["client_send"].extend(["ENOBUFS", "ECONNRESET"])
     peer = courier.request(left=0.03)
     courier.pass_time(95.0)
     peer.sock.close()
--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -293,12 +293,12 @@
     loop.now.now += RECONNECT_INTERVAL_MS
     peer = listener.meet()
     spin(loop, lambda: notices.line is not None)
-    system.always[call] = error
+    system.permanent[call] = error
     notices.owe(undelivered_text())
     assert b'"dead"' in peer.wait(b"dead")
     peer.say(answer(204))
     spin(loop, lambda: received == ["a"])
-    assert not system.met[call]
+    assert not system.failed[call]
 
 
 def test_a_connection_for_notices_closed_by_the_agent_is_reopened_after_an_interval(loop):
