--- a/calicopin/interface.py
+++ b/calicopin/interface.py
@@ -85,8 +85,8 @@
     concurrent calls, `room` the texts held, `tries` the submits of one text. `tick` is the time between two
     batches. `settle` is how long a submit without an answer may still run, `max_retry_after` the longest
     advice to stay away, and `closes_idle` says that idle connections are closed early. With `requests_list`,
-    the list of endpoints is asked for, and the courier counts as informed `ask_within` after its last request.
-    `restarted` is the time of a restart, after which texts of the last process may still run.
+    the list of endpoints is asked for, and the courier counts as informed `ask_within` after its last
+    request. `restarted` is the time of a restart, after which texts of the last process may still run.
     """
 
     seed: int
