--- a/calicopin/emulator/list_faults.py
+++ b/calicopin/emulator/list_faults.py
@@ -6,13 +6,13 @@
 from calicopin.discovery_node.source import Source
 from calicopin.emulator.faults import fault
 from calicopin.emulator.referee import DRAIN, KNOWN
-from calicopin.lifecycle import subscribed as subscribed_module
+from calicopin.lifecycle import courier_subscription as subscription_module
+from calicopin.lifecycle.courier_subscription import CourierSubscription
 from calicopin.lifecycle.runtime import Runtime
-from calicopin.lifecycle.subscribed import CourierSubscription
 from calicopin.state.known_list import KnownList
-from calicopin.subscription.leases import NOTHING, Lease
+from calicopin.subscription.leases import NO_DESTINATIONS, Lease
 from calicopin.subscription.nodes import NodeChoice
-from calicopin.subscription.session import Standing
+from calicopin.subscription.session import DestinationState
 from calicopin.wire.subscriber import Subscriber
 
 
@@ -49,13 +49,21 @@
     """An unsubscribed destination is not forgotten, and messages for it are accepted at once."""
     change(Runtime, "released", lambda runtime, destination: None)
     change(CourierSubscription, "first_answer", lambda subscribed, destination: None)
-    change(subscribed_module, "REFUSAL_STATUS", subscribed_module.REFUSAL_STATUS | {Standing.WAITING: None})
+    change(
+        subscription_module,
+        "REFUSAL_STATUS",
+        subscription_module.REFUSAL_STATUS | {DestinationState.WAITING: None},
+    )
 
 
 @fault("taken-on-before-the-first-answer", "subscriptions", KNOWN)
 def _(change):
     change(CourierSubscription, "first_answer", lambda subscribed, destination: None)
-    change(subscribed_module, "REFUSAL_STATUS", subscribed_module.REFUSAL_STATUS | {Standing.WAITING: None})
+    change(
+        subscription_module,
+        "REFUSAL_STATUS",
+        subscription_module.REFUSAL_STATUS | {DestinationState.WAITING: None},
+    )
 
 
 @fault("list-in-the-folder-of-any-age", "subscriptions-old-list", KNOWN)
@@ -86,7 +94,7 @@
         return
         yield
 
-    change(Source, "_take_appended", take_nothing)
+    change(Source, "_apply_appended", take_nothing)
 
 
 @fault("answer-lost-is-not-told-again", "subscriptions-partition", KNOWN, 8)
@@ -95,7 +103,7 @@
     acknowledge = Lease.acknowledge
 
     def acknowledge_anything(lease, index):
-        lease.in_flight = NOTHING
+        lease.in_flight = NO_DESTINATIONS
         return acknowledge(lease, index)
 
     change(Lease, "acknowledge", acknowledge_anything)
--- a/calicopin/lifecycle/subscribed.py
+++ b/calicopin/lifecycle/courier_subscription.py
@@ -11,11 +11,11 @@
 from calicopin.facade import Place
 from calicopin.state.known_list import KnownList
 from calicopin.subscription.interest import InterestFullError
-from calicopin.subscription.session import Standing
+from calicopin.subscription.session import DestinationState
 from calicopin.wire.loop import Event
 from calicopin.wire.subscriber import Subscriber
 
-REFUSAL_STATUS = {Standing.KNOWN: None, Standing.UNKNOWN: 404, Standing.WAITING: 503}
+REFUSAL_STATUS = {DestinationState.KNOWN: None, DestinationState.UNKNOWN: 404, DestinationState.WAITING: 503}
 
 
 class FirstAnswer(Event):
@@ -114,12 +114,12 @@
             destination_state = self.subscriber.use(destination)
         except InterestFullError:
             return None
-        if destination_state is not Standing.WAITING:
+        if destination_state is not DestinationState.WAITING:
             return None
         event = FirstAnswer(self.loop)
         self.pending[event] = destination
         self.pending_by_destination[destination] += 1
-        self.facade.awaited += 1
+        self.facade.waiting_for_list += 1
         self.subscriber.settled(destination, event)
         return event
 
@@ -127,7 +127,7 @@
         """Removes the event: its message no longer waits."""
         if (destination := self.pending.pop(event, None)) is not None:
             self.subscriber.unsettled(destination, event)
-            self.facade.awaited -= 1
+            self.facade.waiting_for_list -= 1
             self.pending_by_destination[destination] -= 1
             if not self.pending_by_destination[destination]:
                 del self.pending_by_destination[destination]
--- a/calicopin/lifecycle/start.py
+++ b/calicopin/lifecycle/start.py
@@ -10,16 +10,16 @@
 from loguru import logger
 
 from calicopin.admin.server import AdminServer
-from calicopin.deployment_settings import check, pushed
+from calicopin.deployment_settings import check, list_is_pushed
 from calicopin.facade import Facade
-from calicopin.lifecycle.renewal import ConfigurationReload
+from calicopin.lifecycle.reload import ConfigurationReload
 from calicopin.lifecycle.runtime import Runtime
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.lifecycle.stop import Shutdown
 from calicopin.state.connections import Budget, ConnectionPool
 from calicopin.state.journal import Journal
 from calicopin.state.ledger import Counters
-from calicopin.system import HERE, patiently
+from calicopin.system import REAL_SYSTEM, call_with_retries
 from calicopin.wire.clients import Clients
 from calicopin.wire.discovery import Discovery, decode_list
 from calicopin.wire.listfile import ListFile
@@ -67,7 +67,7 @@
     return value
 
 
-def load_configuration(environ, reloaded=False, system=HERE):
+def load_configuration(environ, reloaded=False, system=REAL_SYSTEM):
     """Reads the configuration from the file named by `LB_CONFIG`; for addresses and the folder, environment
     variables take precedence. After a reload (`reloaded`) the file's discovery address precedes the variable.
     """
@@ -156,11 +156,11 @@
 
         disk = journal_bytes(disk)
     system, in_flight = loop.system, receiver.in_flight_ids if receiver else None
-    wall_clock_offset, boot = system.wall() - loop.now(), patiently(system, system.boot)
+    wall_clock_offset, boot = system.wall_clock_ms() - loop.now(), call_with_retries(system, system.boot_id)
     if configuration.store == "segments":
         from calicopin.store.segments import Segments
 
-        journal = patiently(
+        journal = call_with_retries(
             system,
             lambda: Segments(
                 configuration.folder,
@@ -175,7 +175,7 @@
             ),
         )
     else:
-        journal = patiently(
+        journal = call_with_retries(
             system,
             lambda: Journal(
                 configuration.folder,
@@ -205,7 +205,7 @@
         version, places = receiver.snapshot["version"], ()
         runtime.restore_from_handover(receiver)
     if configuration.nodes:
-        from calicopin.lifecycle.subscribed import build_subscription
+        from calicopin.lifecycle.courier_subscription import build_subscription
 
         runtime.subscription = build_subscription(
             configuration, loop, runtime, long_poll_timeout, facade.places.values() if receiver else None
@@ -216,13 +216,13 @@
             if configuration.nodes
             else initial_list(configuration.configured_list)
         )
-        facade.listed(places, True)
+        facade.update_list(places, True)
         runtime.restore()
     if configuration.nodes:
         discovery = runtime.subscription.start()
         runtime.list_agent = None if receiver else discovery  # after a handover the list is current
     elif configuration.discovery:
-        is_pushed = pushed(terms)
+        is_pushed = list_is_pushed(terms)
         # the configured list is old, and the agent has the whole current one
         fetch_all = is_pushed and not receiver
         discovery = Discovery(
@@ -255,7 +255,11 @@
     if not receiver:
         runtime.turn()
     products = {grade["name"]: number for number, grade in enumerate(terms["grades"])}
-    listener = loop.system.passed(configuration.listening_socket) if configuration.listening_socket else None
+    listener = (
+        loop.system.inherited_listener(configuration.listening_socket)
+        if configuration.listening_socket
+        else None
+    )
     clients = Clients(loop, configuration.listen, products, budget, runtime, listener)
     clients.status = runtime.status if configuration.status else None
     stop = Shutdown(loop, runtime, clients)
@@ -286,7 +290,7 @@
         HandoverSender(
             HandoverSocket(configuration.handover_folder or configuration.folder, configuration.folder),
             lock,
-            loop.system.again,
+            loop.system.restart_process,
             loop,
             runtime,
             clients,
@@ -304,10 +308,10 @@
     return runtime
 
 
-def serve(environ, signal_reader, system=HERE):
+def serve(environ, signal_reader, system=REAL_SYSTEM):
     """Runs one courier until a signal stops it; raises ValueError for a configuration that cannot be read."""
     try:
-        configuration = patiently(system, lambda: load_configuration(environ, system=system))
+        configuration = call_with_retries(system, lambda: load_configuration(environ, system=system))
     except (KeyError, TypeError, AttributeError) as fault:
         raise ValueError(
             f"{environ.get('LB_CONFIG', 'LB_CONFIG')}: the configuration cannot be read: {fault!r}"
@@ -315,13 +319,13 @@
     lock = receiver = None
     if configuration.listening_socket:
         # raises for an invalid descriptor before the folder is locked
-        system.passed(configuration.listening_socket).detach()
+        system.inherited_listener(configuration.listening_socket).detach()
         lock, receiver, configuration = acquire_folder(configuration, environ, signal_reader, system)
         if configuration is None:
             return
     elif configuration.operator_configuration:  # on the platform each courier has a folder of its own
-        lock = patiently(system, system.lock, configuration.folder)
-    loop = patiently(system, lambda: Loop(system=system))
+        lock = call_with_retries(system, system.lock, configuration.folder)
+    loop = call_with_retries(system, lambda: Loop(system=system))
     try:
         runtime = build(
             configuration,
@@ -335,10 +339,10 @@
         logger.warning(
             "handover failed, this process starts again: {fault}", event="handover.again", fault=fault
         )
-        system.again()
+        system.restart_process()
     if configuration.log == "json":
         use_json_log(configuration.name, log_level(environ))
-    system.settle()
+    system.freeze_loaded_objects()
     logger.info(
         "{name} ready on {listen}, {endpoints} endpoints known",
         event="ready",
@@ -399,7 +403,7 @@
     logger.add(write, format="{message}", level=level, backtrace=False, catch=True)
 
 
-def main(signal_reader=None, system=HERE):
+def main(signal_reader=None, system=REAL_SYSTEM):
     """Runs a courier until a signal; returns the exit code: 2 if it cannot run with its configuration."""
     signal_reader = signal_reader or SignalReader()
     logger.remove()
@@ -413,7 +417,8 @@
         serve(os.environ, signal_reader, system)
     except BlockingIOError:
         print(
-            f"{os.environ['LB_CONFIG']}: courier.state: the folder is held by another courier; each courier needs its own",
+            f"{os.environ['LB_CONFIG']}: courier.state: the folder is held by another courier; "
+            f"each courier needs its own",
             file=sys.stderr,
         )
         return 2
--- a/tests/courier_helper.py
+++ b/tests/courier_helper.py
@@ -17,7 +17,7 @@
 
 def make_facade(now=0.0, places=None, **other):
     decisions = Facade(7, terms(**other), 8, now)
-    decisions.listed([make_place()] if places is None else list(places), True)
+    decisions.update_list([make_place()] if places is None else list(places), True)
     decisions.tick(now)
     return decisions
 
@@ -28,7 +28,7 @@
 
 def take_calls(decisions):
     calls = []
-    while call := decisions.pick():
+    while call := decisions.next_call():
         calls.append(call)
         for sent in call.texts:
             sent.mark_sent(0.0, call.place.zone)
@@ -37,7 +37,7 @@
 
 def take_endings(decisions):
     ends = []
-    while end := decisions.ended():
+    while end := decisions.next_final_answer():
         ends.append((end.text.ident, end.verdict))
     return ends
 
@@ -100,8 +100,10 @@
     def post(self, ident, product="notice", size=3, left=20.0, dest=7):
         peer = client(self.loop, self.listen)
         peer.say(
-            f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: {left}\r\n"
-            f"X-Envelope: dest={dest}\r\nContent-Length: {size}\r\n\r\n".encode()
+            (
+                f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: "
+                f"{left}\r\nX-Envelope: dest={dest}\r\nContent-Length: {size}\r\n\r\n"
+            ).encode()
             + b"\xfe" * size
         )
         return peer.wait(b"\r\n\r\n").split()[1]
@@ -110,8 +112,10 @@
         """A client that has sent a message and not got the answer yet."""
         peer = client(self.loop, self.listen)
         peer.say(
-            f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: {left}\r\n"
-            f"X-Envelope: dest=7\r\nContent-Length: {len(body)}\r\n\r\n".encode()
+            (
+                f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: "
+                f"{left}\r\nX-Envelope: dest=7\r\nContent-Length: {len(body)}\r\n\r\n"
+            ).encode()
             + body
         )
         return peer
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -13,7 +13,7 @@
 from helper import Clock, Listener, Peer, Rebooted, answer, client, spin, terms
 from wire_helper import Out, call, clients, request
 
-from calicopin.facade import Answer, Far, how
+from calicopin.facade import CallProgress, CallResult, outcome_of
 from calicopin.interface import How
 from calicopin.lifecycle.shutdown_steps import LAST_ACCEPT_MS, STOP_LIMIT_MS
 from calicopin.lifecycle.stop import POLL_INTERVAL_MS
@@ -147,9 +147,10 @@
     """A client whose request has been read except for its last byte."""
     peer, count = client(courier.loop, courier.listen), courier.clients.open
     peer.say(
-        f"POST /notice HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: 20\r\n"
-        "X-Envelope: dest=7\r\n"
-        "Content-Length: 3\r\n\r\nab".encode()
+        (
+            f"POST /notice HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: 20\r\n"
+            f"X-Envelope: dest=7\r\nContent-Length: 3\r\n\r\nab"
+        ).encode()
     )
     spin(courier.loop, lambda: courier.clients.open == count + 1 and len(courier.clients.idle) == 1)
     return peer
@@ -209,11 +210,11 @@
     half.say(request()[:-1])
     spin(loop, lambda: server.open and not server.idle)
     half.say(request()[-1:] + request(X_Request_ID="behind"))
-    system.told[call].extend([error] * 5)
+    system.scheduled[call].extend([error] * 5)
     server.refuse_outstanding_requests()
     for connection in server.connections:
         connection.connection.sock.close()  # as at the end of the process
-    assert system.met[call] == 5
+    assert system.failed[call] == 5
     assert half.wait_end() == REFUSAL_RESPONSE and not half.reset
 
 
@@ -226,9 +227,9 @@
     for other in others:
         other.say(request()[:-1])
     spin(loop, lambda: server.open == 2 and not server.idle)
-    system.told["client_send"].extend([error] * 5)
+    system.scheduled["client_send"].extend([error] * 5)
     last = client(loop, address)
-    assert last.wait_end() == REFUSAL_RESPONSE and system.met["client_send"] == 5
+    assert last.wait_end() == REFUSAL_RESPONSE and system.failed["client_send"] == 5
 
 
 # Endpoints.
@@ -254,7 +255,13 @@
 
 
 @pytest.mark.parametrize(
-    "status,far", [(429, Far.ANSWERED), (503, Far.ANSWERED), (500, Far.UNSENT), (200, Far.ANSWERED)]
+    "status,far",
+    [
+        (429, CallProgress.ANSWERED),
+        (503, CallProgress.ANSWERED),
+        (500, CallProgress.UNSENT),
+        (200, CallProgress.ANSWERED),
+    ],
 )
 @pytest.mark.parametrize("then", ["holds", "ends"])
 def test_an_answer_that_comes_while_the_call_is_still_written_is_read(loop, status, far, then):
@@ -266,16 +273,20 @@
     if then == "ends":
         peer.sock.shutdown(socket.SHUT_WR)
     ended = exchange.end()
-    assert (ended.far, ended.wait) == (far, 700.0) and (far == Far.UNSENT or ended.status == status)
+    assert (ended.progress, ended.wait) == (far, 700.0) and (
+        far == CallProgress.UNSENT or ended.status == status
+    )
 
 
 def test_a_reset_while_the_call_is_written_counts_as_not_sent(loop):
     exchange, peer = blocked(loop, Listener(loop))
     reset(peer)
-    assert exchange.end() == Answer(Far.UNSENT)
+    assert exchange.end() == CallResult(CallProgress.UNSENT)
 
 
-@pytest.mark.parametrize("said,far", [(b"HTTP/1.1 200 OK\r\n", Far.ANSWERED), (b"HTTP/1.1 200 O", Far.SENT)])
+@pytest.mark.parametrize(
+    "said,far", [(b"HTTP/1.1 200 OK\r\n", CallProgress.ANSWERED), (b"HTTP/1.1 200 O", CallProgress.SENT)]
+)
 def test_an_answer_that_arrives_together_with_the_time_out_counts_if_its_status_line_is_complete(
     loop, said, far
 ):
@@ -290,7 +301,7 @@
     loop.now.now += 501.0
     peer.say(said)
     loop.resume(task, False)  # as the loop does if the bytes arrive after its poll
-    assert exchange.end().far == far
+    assert exchange.end().progress == far
 
 
 @pytest.mark.parametrize("texts", [1, 2])
@@ -311,12 +322,12 @@
     loop.now.now += 500.0 if late else 499.0
     ended = exchange.end()
     if late:
-        assert (ended.far, ended.gone, exchange.told) == (Far.SENT, True, [])
-        assert how(ended, outgoing.texts[0].ident) == (How.CALLED_OFF, False), (
+        assert (ended.progress, ended.stale_connection, exchange.told) == (CallProgress.SENT, True, [])
+        assert outcome_of(ended, outgoing.texts[0].ident) == (How.CALLED_OFF, False), (
             "not a failure of the endpoint, and it may have run"
         )
     else:
-        assert (ended.far, ended.status) == (Far.ANSWERED, 200)
+        assert (ended.progress, ended.status) == (CallProgress.ANSWERED, 200)
 
 
 def test_the_time_out_of_a_call_ends_with_its_first_message_however_long_a_turn_takes(tmp_path):
@@ -352,16 +363,16 @@
     else:
         loop.now.now += 501.0
     ended = exchange.end()
-    assert (ended.far, ended.wait) == (Far.SENT, 900.0)
+    assert (ended.progress, ended.wait) == (CallProgress.SENT, 900.0)
 
 
 def test_a_once_only_message_with_an_incomplete_refusal_is_not_resent_and_the_wait_applies():
     decisions = make_facade()
-    decisions.hand_in(make_text("once", 2))
+    decisions.add_text(make_text("once", 2))
     decisions.tick(0.0)
     (sent,) = take_calls(decisions)
-    decisions.report(sent, Answer(Far.SENT, wait=900.0), 50.0)
-    decisions.hand_in(make_text("other"))
+    decisions.report(sent, CallResult(CallProgress.SENT, wait=900.0), 50.0)
+    decisions.add_text(make_text("other"))
     decisions.tick(50.0)
     assert take_endings(decisions) == [("once", "dead")] and not take_calls(decisions)
     due = 50.0
@@ -393,7 +404,7 @@
     exchange = Out(loop, call(listener.address), lines)
     peer.wait(b"\x00\xff")
     peer.say(answer(200))
-    assert exchange.end().far == Far.SENT and lines.count == 0
+    assert exchange.end().progress == CallProgress.SENT and lines.count == 0
 
 
 # Discovery.
@@ -459,8 +470,8 @@
     for restored in (False, True):
         decisions = make_facade()
         for number in range(3):
-            decisions.hand_in(make_text(f"old-{number}", 1, until=4000.0), restored=restored)
-        decisions.hand_in(make_text("new", until=20000.0))
+            decisions.add_text(make_text(f"old-{number}", 1, until=4000.0), restored=restored)
+        decisions.add_text(make_text("new", until=20000.0))
         decisions.tick(0.0)
         calls = [sent.ident for batch in take_calls(decisions) for sent in batch.texts]
         ends[restored] = sorted(ident for ident, verdict in take_endings(decisions) if verdict), sorted(calls)
@@ -541,7 +552,7 @@
 def test_a_repeat_window_that_ends_during_a_restart_permits_no_resend(tmp_path, monkeypatch, away, again):
     """The window is one second: the message is sent again within it, and not after it."""
     wall = Clock(1e12)
-    monkeypatch.setattr(Rebooted, "wall", staticmethod(wall))
+    monkeypatch.setattr(Rebooted, "wall_clock_ms", staticmethod(wall))
     grades = [grade | {"keyTtl": 1.0} for grade in terms()["grades"]]
     courier = CourierFixture(tmp_path, grades=grades)
     assert courier.post("a", product="order") == b"202"
--- a/tests/test_passing_faults.py
+++ b/tests/test_passing_faults.py
@@ -13,10 +13,10 @@
 
 from calicopin.discovery_node.source import POLL_INTERVAL_MS as SOURCE_POLL_INTERVAL_MS
 from calicopin.discovery_node.source import Source
-from calicopin.lifecycle.renewal import RELOAD_RETRY_WINDOW_MS
+from calicopin.lifecycle.reload import RELOAD_RETRY_WINDOW_MS
 from calicopin.lifecycle.signals import SignalReader
 from calicopin.state.journal import Journal
-from calicopin.system import RETRY_LIMIT_MS, System, patiently
+from calicopin.system import RETRY_LIMIT_MS, System, call_with_retries
 from calicopin.system_errors import TRANSIENT_FILE_ERRORS
 from calicopin.wire.listfile import CHECK_INTERVAL_MS, ListFile
 from calicopin.wire.loop import RETRY_DELAY_MS, Loop
@@ -38,26 +38,26 @@
     def now(self):
         return self.clock
 
-    def pause(self, span):
+    def sleep(self, span):
         self.clock += span
 
 
 @pytest.mark.parametrize("error", TRANSIENT)
 def test_a_start_retries_after_transient_errors(tmp_path, error):
     system = PausedSystem()
-    system.told["read"].extend([error] * 5)
+    system.scheduled["read"].extend([error] * 5)
     (tmp_path / "one").write_bytes(b"told")
-    assert patiently(system, system.read, str(tmp_path / "one")) == b"told" and system.clock > 0.0
+    assert call_with_retries(system, system.read, str(tmp_path / "one")) == b"told" and system.clock > 0.0
 
 
 def test_a_start_fails_after_the_retry_limit_and_at_once_for_permanent_errors(tmp_path):
     system = PausedSystem()
     with pytest.raises(FileNotFoundError):
-        patiently(system, system.read, str(tmp_path / "none"))
+        call_with_retries(system, system.read, str(tmp_path / "none"))
     assert system.clock == 0.0
-    system.always["read"] = "EIO"
+    system.permanent["read"] = "EIO"
     with pytest.raises(OSError) as raised:
-        patiently(system, system.read, str(tmp_path / "none"))
+        call_with_retries(system, system.read, str(tmp_path / "none"))
     assert raised.value.errno == errno.EIO and RETRY_LIMIT_MS <= system.clock < RETRY_LIMIT_MS + 100.0
 
 
@@ -66,14 +66,14 @@
 
     step = 0.0
 
-    def boot(self):
-        self.meet("boot")
+    def boot_id(self):
+        self.fail_if_scheduled("boot")
         return "b"
 
-    def wall(self):
-        return System.wall() + self.step
+    def wall_clock_ms(self):
+        return System.wall_clock_ms() + self.step
 
-    def pause(self, span):
+    def sleep(self, span):
         pass
 
 
@@ -86,7 +86,7 @@
     until = courier.runtime.journal.texts["a"].until
     courier.kill()
     system.step = step
-    system.told["boot"].append("ENFILE")
+    system.scheduled["boot"].append("ENFILE")
     restarted = CourierFixture(
         tmp_path, clock=Clock(courier.loop.now()), endpoint=courier.endpoint, system=system
     )
@@ -98,13 +98,13 @@
     assert courier.post("a", left=60.0) == b"202"
     courier.kill()
     system = ForcedFaults()
-    system.pause = lambda span: None
-    system.told["read"].extend(["EIO", "ENFILE"])
+    system.sleep = lambda span: None
+    system.scheduled["read"].extend(["EIO", "ENFILE"])
     restarted = CourierFixture(
         tmp_path, clock=Clock(courier.loop.now()), endpoint=courier.endpoint, system=system
     )
     assert set(restarted.runtime.journal.texts) == {"a"}
-    assert isinstance(restarted.runtime.journal, Journal) and system.met["read"] == 2
+    assert isinstance(restarted.runtime.journal, Journal) and system.failed["read"] == 2
 
 
 def test_a_start_without_a_descriptor_for_signals_retries_and_keeps_pending_signals(monkeypatch):
--- a/tests/test_subscribed_courier.py
+++ b/tests/test_subscribed_courier.py
@@ -63,7 +63,10 @@
         """Sends a client's request and returns its connection."""
         peer = client(self.loop, self.listen)
         peer.say(
-            f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: {left}\r\nX-Envelope: dest={dest}\r\nContent-Length: 3\r\n\r\n".encode()
+            (
+                f"POST /{product} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: "
+                f"{left}\r\nX-Envelope: dest={dest}\r\nContent-Length: 3\r\n\r\n"
+            ).encode()
             + b"\xfe" * 3
         )
         return peer
@@ -79,7 +82,7 @@
 
     @property
     def awaited(self):
-        return self.runtime.facade.awaited
+        return self.runtime.facade.waiting_for_list
 
     def first_request(self, *destinations):
         """The first request of a courier started with these destinations."""
@@ -201,7 +204,7 @@
     peer = courier.send_message("b", dest=99)
     heard = peer.wait(b"\r\n\r\n")
     assert heard.split()[1] == b"503" and b"Retry-After: 2.000" in heard
-    assert not courier.runtime.facade.dests.index and not courier.runtime.facade.module.dests
+    assert not courier.runtime.facade.dests.index and not courier.runtime.facade.decisions.dests
     waiting[0].sock.close()
     spin(courier.loop, lambda: courier.awaited == 39)
     waiting.append(courier.send_message("c", dest=99))
@@ -334,8 +337,8 @@
         courier.node.respond(asked, 3)
         courier.advance(2000.0)
         passed += 2000.0
-    assert not facade.places and not facade.dests.index and not facade.module.dests
-    assert not facade.module.endpoints and not courier.runtime.pool.listed
+    assert not facade.places and not facade.dests.index and not facade.decisions.dests
+    assert not facade.decisions.endpoints and not courier.runtime.pool.listed
     for number in range(2):
         _, asked = courier.node.next_request()
         courier.node.respond(asked, 4 + number)
@@ -369,7 +372,7 @@
 
 
 def configuration_reload(courier):
-    from calicopin.lifecycle.renewal import ConfigurationReload
+    from calicopin.lifecycle.reload import ConfigurationReload
 
     return ConfigurationReload(
         courier.loop,
@@ -398,7 +401,7 @@
 
     at, disk_full = 1.8e12, False
 
-    def wall(self):
+    def wall_clock_ms(self):
         return self.at
 
     def create(self, path):
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -9,7 +9,7 @@
 from calicopin.configuration import partners
 from calicopin.configuration.read import read
 from calicopin.configuration.startup import partner_list_loader
-from calicopin.lifecycle.renewal import ConfigurationReload
+from calicopin.lifecycle.reload import ConfigurationReload
 from calicopin.lifecycle.start import load_configuration
 from calicopin.wire.listfile import CHECK_INTERVAL_MS, ListFile
 from calicopin.wire.loop import Loop
@@ -25,9 +25,9 @@
     entries = []
     for number in range(count):
         entries.append(
-            f'[[partner]]\nname = "p{number}"\ndestination = {number}\nkind = "gateway"\n\n'
-            "[[partner.endpoint]]\n"
-            f'address = "127.0.0.1:{first + number}"\n'
+            f'[[partner]]\nname = "p{number}"\ndestination = {number}\nkind = "gateway(
+                "\n\n[[partner.endpoint]]\naddress = "
+            )127.0.0.1:{first + number}"\n'
         )
     return partners.seal("\n".join(entries).encode())
 
@@ -95,9 +95,10 @@
             data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
         rewrite(path, data)
         peer.say(
-            f"POST /stock HTTP/1.1\r\nHost: x\r\nX-Request-ID: t{number}\r\nX-Timeout: 2\r\n"
-            f"X-Envelope: dest={rng.randrange(5)}\r\n"
-            "Content-Length: 0\r\n\r\n".encode()
+            (
+                f"POST /stock HTTP/1.1\r\nHost: x\r\nX-Request-ID: t{number}\r\nX-Timeout: 2\r\n"
+                f"X-Envelope: dest={rng.randrange(5)}\r\nContent-Length: 0\r\n\r\n"
+            ).encode()
         )
         received = peer.wait(b"\r\n\r\n")
         accepted, refused = (
@@ -136,9 +137,10 @@
     peer = client(loop, listen)
     for ident, dest in (("a", 0), ("b", 1)):
         peer.say(
-            f"POST /stock HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: 3\r\n"
-            f"X-Envelope: dest={dest}\r\n"
-            "Content-Length: 0\r\n\r\n".encode()
+            (
+                f"POST /stock HTTP/1.1\r\nHost: x\r\nX-Request-ID: {ident}\r\nX-Timeout: 3\r\n"
+                f"X-Envelope: dest={dest}\r\nContent-Length: 0\r\n\r\n"
+            ).encode()
         )
         assert peer.wait(b"\r\n\r\n").startswith(b"HTTP/1.1 202")
     (tmp_path / "list.toml").write_bytes(partner_list(1))
