--- a/calicopin/lifecycle/runtime.py
+++ b/calicopin/lifecycle/runtime.py
@@ -488,7 +488,11 @@
             yield Until(self.loop.now() + SWEEP_INTERVAL_MS)
             self.pool.sweep(self.loop.now())
             if self.loop.now() >= report_at:
-                message = "loop at most {late_ms:.1f} ms late; {taken} accepted, {turned_away} refused, {given_up} given up, {held} held, {out} calls in progress"
+                message = (
+                    "loop at most {late_ms:.1f} ms late; {taken} accepted, {turned_away} refused, "
+                    "{given_up} given up, "
+                    "{held} held, {out} calls in progress"
+                )
                 counters = self.counters
                 logger.info(
                     message,
--- a/calicopin/store/measure.py
+++ b/calicopin/store/measure.py
@@ -50,7 +50,9 @@
     def __init__(self, folder, _):
         self.database = sqlite3.connect(os.path.join(folder, "base"), isolation_level=None)
         self.database.executescript(
-            "pragma journal_mode=wal; pragma synchronous=off;create table if not exists text(id text primary key, until real, tries int, body blob) without rowid; begin"
+            "pragma journal_mode=wal; pragma synchronous=off;"
+            "create table if not exists text(id text primary key, until real, tries int, body blob) "
+            "without rowid; begin"
         )
         self.texts = {}
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -332,7 +332,8 @@
 # The stored and sent forms: outer names stay as they are.
 
 STORED_FIELDS = (
-    "rate start agreed limit tokens filled pause cut_at changed waited left sent_at usual flow cut_off mode since fails refused last_refused fail_since failed_at doubted gap warm_at"
+    "rate start agreed limit tokens filled pause cut_at changed waited left sent_at usual flow cut_off "
+    "mode since fails refused last_refused fail_since failed_at doubted gap warm_at"
 ).split()
 
 
--- a/tests/test_watched_list.py
+++ b/tests/test_watched_list.py
@@ -25,9 +25,9 @@
     entries = []
     for number in range(count):
         entries.append(
-            f'[[partner]]\nname = "p{number}"\ndestination = {number}\nkind = "gateway(
-                "\n\n[[partner.endpoint]]\naddress = "
-            )127.0.0.1:{first + number}"\n'
+            f'[[partner]]\nname = "p{number}"\ndestination = {number}\nkind = "gateway"\n\n'
+            "[[partner.endpoint]]\n"
+            f'address = "127.0.0.1:{first + number}"\n'
         )
     return partners.seal("\n".join(entries).encode())
 
