--- a/tests/test_wire_platform.py
+++ b/tests/test_wire_platform.py
@@ -331,7 +331,7 @@
     monkeypatch.setattr(
         socket, "socket", lambda *_: (_ for _ in ()).throw(OSError(24, "too many open files"))
     )
-    monkeypatch.setattr(loop.faults, "tell", lambda *message, **_: received.append(message))
+    monkeypatch.setattr(loop.faults, "log_exception", lambda *message, **_: received.append(message))
     notices.owe(Text("a", 1, 0, None, None, 1.0, b"", verdict="dead"))
     for _ in range(3):
         spin(loop, lambda: loop.timers and loop.timers[0][0] == loop.now() + 100.0)
