--- a/calicopin/lifecycle/stop.py
+++ b/calicopin/lifecycle/stop.py
@@ -95,7 +95,7 @@
     def refuse_if_retired(self):
         """Raises ValueError if another process has taken over."""
         if self.retired:
-            raise ValueError("this process has handed over to a newer one: call that one")
+            raise ValueError("all was handed over to a newer process: call that one")
 
     def begin_drain(self, began):
         """Runs the steps of a drain that was requested at `began`, in ms of the loop's clock."""
